--- a/Makefile
+++ b/Makefile
@@ -20,7 +20,7 @@
 	.ci/test
 
 lint: packages
-	clang-format --dry-run --Werror $(SOURCES)
+	clang-format-19 --dry-run --Werror $(SOURCES)
 
 # The real program before stand-in servers, for some seconds.
 demo: build
--- a/adapter/link.cpp
+++ b/adapter/link.cpp
@@ -37,7 +37,8 @@
     }
     std::string_view needed(std::size_t i, const char* what) const {
         const auto value = text(i);
-        if (value.empty()) throw Malformed(std::string{words_[0]} + ": expected " + what);
+        if (value.empty())
+            throw Malformed(std::string{words_[0]} + ": expected " + what);
         return value;
     }
     std::int64_t integer(std::size_t i, const char* what) const {
@@ -75,7 +76,8 @@
 Value look_up(const std::array<std::pair<std::string_view, Value>, N>& table, std::string_view word,
               const char* what) {
     for (const auto& [name, value] : table)
-        if (name == word) return value;
+        if (name == word)
+            return value;
     throw Malformed(std::string{"expected "} + what + ", got '" + std::string{word} + "'");
 }
 
@@ -93,17 +95,23 @@
 
 Load parse_load(std::string_view text) {
     Load load;
-    if (text.empty()) return load;
+    if (text.empty())
+        return load;
     for (std::string_view pair : split(text, ',')) {
         const auto at = pair.find(':');
-        if (at == std::string_view::npos) continue;
+        if (at == std::string_view::npos)
+            continue;
         const std::string_view name = pair.substr(0, at);
         try {
             const double value = to_double(pair.substr(at + 1));
-            if (name == "concurrent") load.in_flight = value;
-            if (name == "load_share") load.utilisation = value;
-            if (name == "x0") load.hit_share = value;
-            if (name == "x1") load.link_fullness = value;
+            if (name == "concurrent")
+                load.in_flight = value;
+            if (name == "load_share")
+                load.utilisation = value;
+            if (name == "x0")
+                load.hit_share = value;
+            if (name == "x1")
+                load.link_fullness = value;
         } catch (const std::invalid_argument&) {
             throw Malformed("expected a load report (name:value), got '" + std::string{pair} + "'");
         }
@@ -118,24 +126,30 @@
     void serve() {
         Words words;
         while (next(words)) {
-            if (words[0] != "BATCH") throw Malformed("expected BATCH, got '" + std::string{words[0]} + "'");
+            if (words[0] != "BATCH")
+                throw Malformed("expected BATCH, got '" + std::string{words[0]} + "'");
             now_ = Time{Span{Fields{words, 1}.integer(1, "a clock time")}};
             reply_.clear();
             do {
-                if (!next(words)) throw Malformed("input ended inside a batch, expected COMMIT");
+                if (!next(words))
+                    throw Malformed("input ended inside a batch, expected COMMIT");
             } while (handle(words));
             out_ << reply_ << "YIELD\n" << std::flush;
         }
     }
-    std::size_t line_number() const { return line_number_; }
+    std::size_t line_number() const {
+        return line_number_;
+    }
 
 private:
     // The next line that is not blank, split; false at the end of the input.
     bool next(Words& words) {
         while (std::getline(in_, line_)) {
             ++line_number_;
-            if (!line_.empty() && line_.back() == '\r') line_.pop_back();
-            if (line_.empty()) continue;
+            if (!line_.empty() && line_.back() == '\r')
+                line_.pop_back();
+            if (line_.empty())
+                continue;
             words = split(line_, ' ');
             return true;
         }
@@ -144,7 +158,8 @@
     // False at the end of the batch.
     bool handle(const Words& words) {
         const std::string_view name = words[0];
-        if (name == "COMMIT") return false;
+        if (name == "COMMIT")
+            return false;
         if (name == "ROSTER")
             read_roster(words);
         else if (name == "OPEN_INSTANCE")
@@ -165,7 +180,9 @@
             for (std::size_t i = 0; i < settings.classes.size(); ++i)
                 instance.class_index[settings.classes[i].name] = i;
             instance.router.emplace(std::move(settings), seed);
-        } catch (const SettingsError& e) { reply_ += "BROKEN " + id + " " + e.what() + "\n"; }
+        } catch (const SettingsError& e) {
+            reply_ += "BROKEN " + id + " " + e.what() + "\n";
+        }
     }
     void read_roster(const Words& words) {
         const Fields f{words, 2};
@@ -174,8 +191,10 @@
         const auto rows = f.integer(2, "a count of entries");
         Words row;
         for (std::int64_t i = 0; i < rows; ++i) {
-            if (!next(row)) throw Malformed("input ended inside a batch, expected ROW");
-            if (row[0] != "ROW") throw Malformed("expected ROW, got '" + std::string{row[0]} + "'");
+            if (!next(row))
+                throw Malformed("input ended inside a batch, expected ROW");
+            if (row[0] != "ROW")
+                throw Malformed("expected ROW, got '" + std::string{row[0]} + "'");
             const Fields r{row, 5};
             ListedCache c;
             c.condition = look_up(kConditions, r.text(1), "a condition");
@@ -183,7 +202,8 @@
             c.weight = r.number_or(3, 1, "a nominal size");
             c.cell = CellId{r.integer_or_0(4, "a group")};
             c.zone = r.text(5);
-            if (const auto up = r.integer_or_0(6, "a start time"); up != 0) c.up_since = Time{Span{up}};
+            if (const auto up = r.integer_or_0(6, "a start time"); up != 0)
+                c.up_since = Time{Span{up}};
             c.kind = r.text(7);
             roster.push_back(std::move(c));
         }
@@ -193,23 +213,30 @@
         auto at = instances_.find(id);
         Instance* instance = at == instances_.end() ? nullptr : &at->second;
         const std::optional<Event> event = parse(words, name, instance);
-        if (!event || !instance || !instance->router) return;
+        if (!event || !instance || !instance->router)
+            return;
         for (const Action& action : instance->router->on(*event, now_))
             std::visit([&](const auto& a) { write(id, a); }, action);
     }
     std::optional<Event> parse(const Words& words, std::string_view name, const Instance* instance) {
-        if (name == "KNOCK") return parse_request(words, instance);
-        if (name == "SETTLED") return parse_outcome(words);
+        if (name == "KNOCK")
+            return parse_request(words, instance);
+        if (name == "SETTLED")
+            return parse_outcome(words);
         if (name == "WAKE")
             return Timer{TimerId{static_cast<std::uint64_t>(Fields{words, 2}.integer(2, "a timer"))}};
-        if (name == "ABORTED") return Abandoned{request_id(Fields{words, 2})};
+        if (name == "ABORTED")
+            return Abandoned{request_id(Fields{words, 2})};
         if (name == "UNDER_WAY") {
             const Fields f{words, 3};
             return Started{request_id(f), static_cast<std::uint32_t>(f.integer(3, "an attempt"))};
         }
-        if (name == "STRUCK_OUT") return parse_purge(words);
-        if (name == "PEERS_KNOWN") return parse_list(words);
-        if (name == "PEER" || name == "PROBE_DONE") return std::nullopt;  // neither is ever asked for
+        if (name == "STRUCK_OUT")
+            return parse_purge(words);
+        if (name == "PEERS_KNOWN")
+            return parse_list(words);
+        if (name == "PEER" || name == "PROBE_DONE")
+            return std::nullopt;  // neither is ever asked for
         throw Malformed("unknown event '" + std::string{name} + "'");
     }
     static RequestId request_id(const Fields& f) {
@@ -226,7 +253,8 @@
         r.part = static_cast<std::uint32_t>(f.integer_or_0(10, "a part"));
         r.size_kb = f.number_or(11, 0, "a size");
         const auto name = f.needed(8, "a class");
-        if (!instance || !instance->router) return std::nullopt;
+        if (!instance || !instance->router)
+            return std::nullopt;
         const auto index = instance->class_index.find(name);
         if (index == instance->class_index.end())
             throw Malformed("KNOCK: expected a class of the settings, got '" + std::string{name} + "'");
@@ -242,7 +270,8 @@
         o.took = Span{f.integer_or_0(6, "a time")};
         o.over = f.text(7) == "1";
         const auto note = f.integer_or_0(8, "a detail");
-        if (note >= 0 && note <= 10) o.note = static_cast<Note>(note);
+        if (note >= 0 && note <= 10)
+            o.note = static_cast<Note>(note);
         o.source_wait = Span{f.integer_or_0(9, "a time")};
         o.load = parse_load(f.text(10));
         return o;
@@ -250,7 +279,8 @@
     static Purge parse_purge(const Words& words) {
         const Fields f{words, 3};
         Purge p;
-        if (!f.text(2).empty()) p.object = f.object(2);
+        if (!f.text(2).empty())
+            p.object = f.object(2);
         p.group = GroupId{static_cast<std::uint64_t>(f.integer_or_0(3, "a group"))};
         p.age = Span{f.integer_or_0(4, "an age")};
         return p;
@@ -258,7 +288,8 @@
     std::optional<Event> parse_list(const Words& words) {
         const Fields f{words, 3};
         const auto form = f.text(2);
-        if (form == "failed") return std::nullopt;
+        if (form == "failed")
+            return std::nullopt;
         if (form != "delta" && form != "full" && form != "cached")
             throw Malformed("PEERS_KNOWN: expected delta, full, cached or failed, got '" + std::string{form} +
                             "'");
@@ -276,29 +307,44 @@
         ((reply_ += ' ', append(values)), ...);
         reply_ += '\n';
     }
-    void append(const std::string& text) { reply_ += text; }
+    void append(const std::string& text) {
+        reply_ += text;
+    }
     template <class Number>
-    void append(Number n) requires std::is_arithmetic_v<Number> {
+    void append(Number n)
+        requires std::is_arithmetic_v<Number>
+    {
         reply_ += std::to_string(n);
     }
-    void append(Span s) { append(s.count()); }
+    void append(Span s) {
+        append(s.count());
+    }
     template <class Id>
-    void append(Id id) requires std::is_enum_v<Id> {
+    void append(Id id)
+        requires std::is_enum_v<Id>
+    {
         append(static_cast<std::underlying_type_t<Id>>(id));
     }
 
     void write(const std::string& id, const Send& a) {
-        if (!a.fill) return line("HAND_OFF", id, a.request, a.target.address, a.timeout);
+        if (!a.fill)
+            return line("HAND_OFF", id, a.request, a.target.address, a.timeout);
         const int bits = (a.fill->join ? 1 : 0) | (a.fill->held_only ? 2 : 0) | (a.fill->renew ? 8 : 0);
         line("GET", id, a.request, a.target.address, a.timeout, a.fill->source.address, a.fill->rank,
              a.fill->oldest, bits);
     }
-    void write(const std::string& id, const Cancel& a) { line("DROP_ATTEMPT", id, a.request, a.attempt); }
+    void write(const std::string& id, const Cancel& a) {
+        line("DROP_ATTEMPT", id, a.request, a.attempt);
+    }
     void write(const std::string& id, const Refuse& a) {
         line("OVERLOAD_REPLY", id, a.request, a.retry_after);
     }
-    void write(const std::string& id, const Fail& a) { line("FAIL", id, a.request); }
-    void write(const std::string& id, const SetTimer& a) { line("ARM", id, a.after, a.id); }
+    void write(const std::string& id, const Fail& a) {
+        line("FAIL", id, a.request);
+    }
+    void write(const std::string& id, const SetTimer& a) {
+        line("ARM", id, a.after, a.id);
+    }
 
     std::istream& in_;
     std::ostream& out_;
--- a/adapter/settings.cpp
+++ b/adapter/settings.cpp
@@ -19,13 +19,15 @@
         return at == values_.end() || at->second == "-" ? nullptr : &at->second;
     }
     std::string_view needed(const std::string& key) const {
-        if (const auto* value = find(key); value && !value->empty()) return *value;
+        if (const auto* value = find(key); value && !value->empty())
+            return *value;
         throw SettingsError("setting absent: " + key);
     }
     template <class Read, class Value>
     Value read(const std::string& key, Read parse, Value fallback) const {
         const auto* value = find(key);
-        if (!value || value->empty()) return fallback;
+        if (!value || value->empty())
+            return fallback;
         try {
             return static_cast<Value>(parse(*value));
         } catch (const std::invalid_argument&) {
@@ -34,19 +36,23 @@
     }
     double number(const std::string& key, double fallback = 0) const {
         const double value = read(key, to_double, fallback);
-        if (!(value >= 0 && value <= 1e15)) throw SettingsError("setting unreadable: " + key);
+        if (!(value >= 0 && value <= 1e15))
+            throw SettingsError("setting unreadable: " + key);
         return value;
     }
     Span span(const std::string& key) const {
         const auto value = read(key, to_double, 0.0);
-        if (!(value >= 0 && value < 9e18)) throw SettingsError("setting unreadable: " + key);
+        if (!(value >= 0 && value < 9e18))
+            throw SettingsError("setting unreadable: " + key);
         return Span{static_cast<Span::rep>(value)};
     }
     Span needed_span(const std::string& key) const {
         needed(key);
         return span(key);
     }
-    bool flag(const std::string& key) const { return read(key, to_flag, false); }
+    bool flag(const std::string& key) const {
+        return read(key, to_flag, false);
+    }
     std::string text(const std::string& key) const {
         const auto* value = find(key);
         return value ? std::string{*value} : std::string{};
@@ -54,30 +60,39 @@
     // Item `index` of a list, or absent.
     std::string_view item(const std::string& key, std::size_t index) const {
         const auto* value = find(key);
-        if (!value) return {};
+        if (!value)
+            return {};
         const auto items = split(*value, ',');
         return index < items.size() ? items[index] : std::string_view{};
     }
     double item_number(const std::string& key, std::size_t index) const {
         const auto text = item(key, index);
-        if (text.empty()) return 0;
+        if (text.empty())
+            return 0;
         try {
             return to_double(text);
-        } catch (const std::invalid_argument&) { throw SettingsError("setting unreadable: " + key); }
+        } catch (const std::invalid_argument&) {
+            throw SettingsError("setting unreadable: " + key);
+        }
+    }
+    bool item_flag(const std::string& key, std::size_t index) const {
+        return item(key, index) == "true";
     }
-    bool item_flag(const std::string& key, std::size_t index) const { return item(key, index) == "true"; }
     template <class Value>
     Value one_of(const std::string& key, std::string_view value,
                  std::initializer_list<std::pair<std::string_view, Value>> known) const {
         for (const auto& [name, meaning] : known)
-            if (name == value) return meaning;
+            if (name == value)
+                return meaning;
         throw SettingsError("setting unreadable: " + key + "=" + std::string{value});
     }
 
 private:
     static bool to_flag(std::string_view text) {
-        if (text == "true" || text == "1") return true;
-        if (text == "false" || text == "0") return false;
+        if (text == "true" || text == "1")
+            return true;
+        if (text == "false" || text == "0")
+            return false;
         throw std::invalid_argument("not a bool");
     }
     std::map<std::string, std::string_view> values_;
@@ -129,7 +144,8 @@
 double to_double(std::string_view text) {
     double value = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-    if (error != std::errc{} || end != text.data() + text.size()) throw std::invalid_argument("not a number");
+    if (error != std::errc{} || end != text.data() + text.size())
+        throw std::invalid_argument("not a number");
     return value;
 }
 
@@ -146,7 +162,8 @@
     while (true) {
         const auto end = text.find(at);
         parts.push_back(text.substr(0, end));
-        if (end == std::string_view::npos) return parts;
+        if (end == std::string_view::npos)
+            return parts;
         text.remove_prefix(end + 1);
     }
 }
@@ -156,7 +173,8 @@
     Settings s;
     pairs.needed("classes.count");
     const double count = pairs.number("classes.count");
-    if (count > 1000) throw SettingsError("setting unreadable: classes.count");
+    if (count > 1000)
+        throw SettingsError("setting unreadable: classes.count");
     for (std::size_t i = 0; i < static_cast<std::size_t>(count); ++i)
         s.classes.push_back(parse_class(pairs, i));
     parse_zone(pairs, s);
--- a/bench/trace_bench.cpp
+++ b/bench/trace_bench.cpp
@@ -20,11 +20,16 @@
 }
 void* operator new(std::size_t bytes) {
     ++allocated;
-    if (void* p = std::malloc(bytes)) return p;
+    if (void* p = std::malloc(bytes))
+        return p;
     throw std::bad_alloc{};
 }
-void operator delete(void* p) noexcept { std::free(p); }
-void operator delete(void* p, std::size_t) noexcept { std::free(p); }
+void operator delete(void* p) noexcept {
+    std::free(p);
+}
+void operator delete(void* p, std::size_t) noexcept {
+    std::free(p);
+}
 
 namespace silverrail::trace {
 namespace {
@@ -53,7 +58,8 @@
     for (const auto& s : m.sinks) {
         const MemorySource source{s->bytes()};
         Reader reader{source};
-        for (const auto& c : reader.chunks()) m.records += c.summary.records - c.summary.held;
+        for (const auto& c : reader.chunks())
+            m.records += c.summary.records - c.summary.held;
     }
     return m;
 }
@@ -62,12 +68,14 @@
 class OneRouter : public benchmark::Fixture {
 public:
     void SetUp(const benchmark::State&) override {
-        if (!made.sinks.empty()) return;
+        if (!made.sinks.empty())
+            return;
         made = make(120, 1);
         source = std::make_unique<MemorySource>(made.sinks[0]->bytes());
         Reader reader{*source};
         reader.each({}, [&](const Record& r, bool held, const state::InForce& f) {
-            if (!held) lines += config::json_line(json_of(r, f.unix_ns(r.source, r.at))) + '\n';
+            if (!held)
+                lines += config::json_line(json_of(r, f.unix_ns(r.source, r.at))) + '\n';
             return true;
         });
     }
@@ -77,7 +85,8 @@
 };
 
 BENCHMARK_F(OneRouter, Size)(benchmark::State& state) {
-    for (auto _ : state) benchmark::DoNotOptimize(made.calls);
+    for (auto _ : state)
+        benchmark::DoNotOptimize(made.calls);
     const auto calls = static_cast<double>(made.calls);
     state.counters["bytes_a_call"] = static_cast<double>(source->size()) / calls;
     state.counters["json_bytes_a_call"] = static_cast<double>(lines.size()) / calls;
@@ -105,7 +114,8 @@
         while (std::getline(in, line)) {
             const auto json = config::parse_json(line);
             const std::string time = (*json)["time"].asString();
-            if (time >= from && time < to) out += line + '\n';
+            if (time >= from && time < to)
+                out += line + '\n';
         }
         benchmark::DoNotOptimize(out);
     }
@@ -125,7 +135,8 @@
         std::istringstream in{lines};
         std::string line;
         std::uint64_t n = 0;
-        while (std::getline(in, line)) n += config::parse_json(line)->isObject();
+        while (std::getline(in, line))
+            n += config::parse_json(line)->isObject();
         benchmark::DoNotOptimize(n);
     }
     state.SetItemsProcessed(state.iterations() * static_cast<std::int64_t>(made.records));
@@ -138,7 +149,8 @@
         reader.each(
             {}, [&](const Record& r, bool held, const state::InForce&) { return held || replay.take(r); });
         replay.end();
-        if (replay.first()) state.SkipWithError("decisions differ");
+        if (replay.first())
+            state.SkipWithError("decisions differ");
     }
     state.SetItemsProcessed(state.iterations() * static_cast<std::int64_t>(made.records));
 }
@@ -150,7 +162,8 @@
     std::vector<state::Kept> records;
     std::uint64_t calls = 0;
     reader.each({}, [&](const Record& r, bool held, const state::InForce&) {
-        if (!held && !std::holds_alternative<state::Start>(r.body)) records.emplace_back(r);
+        if (!held && !std::holds_alternative<state::Start>(r.body))
+            records.emplace_back(r);
         calls += std::holds_alternative<state::Taken>(r.body) && !held;
         return records.size() < 20'000;
     });
@@ -161,13 +174,15 @@
     std::uint64_t allocations = 0;
     for (auto _ : state) {
         const std::uint64_t before = allocated;
-        for (const auto& k : records) recorder.take(k.record());
+        for (const auto& k : records)
+            recorder.take(k.record());
         state.PauseTiming();
         allocations += allocated - before;
         std::this_thread::sleep_for(std::chrono::milliseconds{60});
         state.ResumeTiming();
     }
-    if (recorder.counts().dropped) state.SkipWithError("records were dropped");
+    if (recorder.counts().dropped)
+        state.SkipWithError("records were dropped");
     state.SetItemsProcessed(state.iterations() * static_cast<std::int64_t>(calls));  // calls
     state.counters["allocations"] = static_cast<double>(allocations);
 }
--- a/src/acme/client.cpp
+++ b/src/acme/client.cpp
@@ -32,7 +32,8 @@
 
 // Retry-After in seconds; its form as a date is taken for a minute.
 core::Span retry_after(const HttpResult& r) {
-    if (r.retry_after.empty()) return {};
+    if (r.retry_after.empty())
+        return {};
     unsigned value = 0;
     const char* end = r.retry_after.data() + r.retry_after.size();
     const auto [at, error] = std::from_chars(r.retry_after.data(), end, value);
@@ -54,24 +55,30 @@
       issued_(std::move(issued)),
       log_(log) {}
 
-Client::~Client() { *alive_ = false; }
+Client::~Client() {
+    *alive_ = false;
+}
 
 void Client::after(core::Span span, std::function<void()> action) {
     timers_.at(clock_.now() + span, [alive = alive_, action = std::move(action)] {
-        if (*alive) action();
+        if (*alive)
+            action();
     });
 }
 
 void Client::start() {
     const auto chain = store_.load("certificate.pem");
     const auto key = store_.load("certificate.key");
-    if (chain && key) try {
+    if (chain && key)
+        try {
             const Certificate kept = first_certificate(*chain);
             if (belongs(kept, key_from_pem(*key)) && not_after(kept) * 1000 > clock_.unix_ms() &&
                 X509_check_host(kept.get(), settings_.name.c_str(), 0, 0, nullptr) == 1)
                 return install({*chain, *key});
             log_.line("acme", "the kept certificate is of no use any more");
-        } catch (const CryptoError& e) { log_.line("acme", "kept certificate: %s", e.what()); }
+        } catch (const CryptoError& e) {
+            log_.line("acme", "kept certificate: %s", e.what());
+        }
     begin();
 }
 
@@ -85,20 +92,24 @@
                 store_.save("account.key", key_pem(account_key_));
             }
         }
-    } catch (const std::exception& e) { return fail(e.what()); }
+    } catch (const std::exception& e) {
+        return fail(e.what());
+    }
     account_url_.clear();
     get(settings_.directory, &Client::on_directory);
 }
 
 void Client::get(const std::string& url, Then then) {
     http_.call({"GET", url, {}}, [this, alive = alive_, then](const HttpResult& r) {
-        if (*alive) (this->*then)(r);
+        if (*alive)
+            (this->*then)(r);
     });
 }
 
 std::optional<Json::Value> Client::object(const HttpResult& r) {
     auto json = config::parse_json(r.body);
-    if (!json || !json->isObject()) return std::nullopt;
+    if (!json || !json->isObject())
+        return std::nullopt;
     return json;
 }
 
@@ -109,11 +120,13 @@
                     retry_after(r));
     for (const char* name : {"newNonce", "newAccount", "newOrder"}) {
         urls_[name] = text(*json, name);
-        if (urls_[name].empty()) return fail(std::string{"directory without "} + name);
+        if (urls_[name].empty())
+            return fail(std::string{"directory without "} + name);
     }
     Json::Value account{Json::objectValue};
     account["termsOfServiceAgreed"] = true;
-    if (!settings_.contact.empty()) account["contact"].append(settings_.contact);
+    if (!settings_.contact.empty())
+        account["contact"].append(settings_.contact);
     post(Step::account, urls_["newAccount"], compact(account), &Client::on_account, true);
 }
 
@@ -144,32 +157,39 @@
 void Client::send_post() {
     if (nonce_.empty()) {
         http_.call({"HEAD", urls_["newNonce"], {}}, [this, alive = alive_](const HttpResult& r) {
-            if (*alive) on_nonce(r);
+            if (*alive)
+                on_nonce(r);
         });
         return;
     }
     std::string body;
     try {
         body = jws(pending_.url, pending_.payload, pending_.with_jwk);
-    } catch (const CryptoError& e) { return fail(e.what()); }
+    } catch (const CryptoError& e) {
+        return fail(e.what());
+    }
     http_.call({"POST", pending_.url, std::move(body)}, [this, alive = alive_](HttpResult r) {
-        if (*alive) on_post(std::move(r));
+        if (*alive)
+            on_post(std::move(r));
     });
 }
 
 void Client::on_nonce(const HttpResult& r) {
-    if (r.nonce.empty()) return fail("no nonce: " + r.error, retry_after(r));
+    if (r.nonce.empty())
+        return fail("no nonce: " + r.error, retry_after(r));
     nonce_ = r.nonce;
     send_post();
 }
 
 void Client::on_post(HttpResult r) {
-    if (!r.nonce.empty()) nonce_ = r.nonce;
+    if (!r.nonce.empty())
+        nonce_ = r.nonce;
     if (r.status == 400) {
         const auto problem = object(r);
         if (problem && text(*problem, "type") == "urn:ietf:params:acme:error:badNonce") {
             // RFC 8555, 6.5: the same request again with the nonce that came with the error.
-            if (++pending_.bad_nonces > kMostBadNonces) return fail("badNonce, again and again");
+            if (++pending_.bad_nonces > kMostBadNonces)
+                return fail("badNonce, again and again");
             log_.line("acme", "badNonce, once more");
             return send_post();
         }
@@ -177,7 +197,8 @@
     if (r.status < 200 || r.status >= 300) {
         std::string why =
             "status " + std::to_string(r.status) + " at step " + std::to_string(static_cast<int>(step_));
-        if (!r.error.empty()) why += ": " + r.error;
+        if (!r.error.empty())
+            why += ": " + r.error;
         if (const auto problem = object(r))
             why += ": " + text(*problem, "type") + " " + text(*problem, "detail");
         return fail(why, retry_after(r));
@@ -186,7 +207,8 @@
 }
 
 void Client::on_account(const HttpResult& r) {
-    if (r.location.empty()) return fail("account without a URL");
+    if (r.location.empty())
+        return fail("account without a URL");
     account_url_ = r.location;
     Json::Value order{Json::objectValue};
     Json::Value identifier{Json::objectValue};
@@ -198,18 +220,22 @@
 
 void Client::on_order(const HttpResult& r) {
     const auto json = object(r);
-    if (!json || r.location.empty()) return fail("order without a URL");
+    if (!json || r.location.empty())
+        return fail("order without a URL");
     order_url_ = r.location;
     finalize_url_ = text(*json, "finalize");
     authorizations_.clear();
     for (const Json::Value& url : (*json)["authorizations"])
-        if (url.isString() && authorizations_.size() < 16) authorizations_.push_back(url.asString());
-    if (finalize_url_.empty() || authorizations_.empty()) return fail("order without its parts");
+        if (url.isString() && authorizations_.size() < 16)
+            authorizations_.push_back(url.asString());
+    if (finalize_url_.empty() || authorizations_.empty())
+        return fail("order without its parts");
     next_authorization();
 }
 
 void Client::next_authorization() {
-    if (authorizations_.empty()) return finalize();
+    if (authorizations_.empty())
+        return finalize();
     authorization_url_ = authorizations_.front();
     authorizations_.pop_front();
     polls_ = 0;
@@ -218,15 +244,20 @@
 
 void Client::on_authorization(const HttpResult& r) {
     const auto json = object(r);
-    if (!json) return fail("authorization unreadable");
+    if (!json)
+        return fail("authorization unreadable");
     const std::string status = text(*json, "status");
-    if (status == "valid") return next_authorization();
-    if (status != "pending") return fail("authorization is " + status);
+    if (status == "valid")
+        return next_authorization();
+    if (status != "pending")
+        return fail("authorization is " + status);
     for (const Json::Value& challenge : (*json)["challenges"]) {
-        if (!challenge.isObject() || text(challenge, "type") != "dns-01") continue;
+        if (!challenge.isObject() || text(challenge, "type") != "dns-01")
+            continue;
         const std::string token = text(challenge, "token");
         // The token goes into a hash, but one that is no token means something else is wrong.
-        if (token.empty() || !from_base64url(token)) return fail("challenge with a bad token");
+        if (token.empty() || !from_base64url(token))
+            return fail("challenge with a bad token");
         const std::string name = "_acme-challenge." + text((*json)["identifier"], "value");
         proofs_.show(name, base64url(sha256(token + "." + thumbprint(account_key_))));
         shown_.push_back(name);
@@ -240,15 +271,18 @@
 }
 
 void Client::poll(Step step, const std::string& url, Then then, const HttpResult& r) {
-    if (++polls_ > kMostPolls) return fail("nothing came of it in time");
+    if (++polls_ > kMostPolls)
+        return fail("nothing came of it in time");
     after(std::max(kPoll, retry_after(r)), [this, step, url, then] { post(step, url, "", then); });
 }
 
 void Client::on_validation(const HttpResult& r) {
     const auto json = object(r);
     const std::string status = json ? text(*json, "status") : "unreadable";
-    if (status == "valid") return next_authorization();
-    if (status != "pending" && status != "processing") return fail("authorization is " + status);
+    if (status == "valid")
+        return next_authorization();
+    if (status != "pending" && status != "processing")
+        return fail("authorization is " + status);
     poll(Step::validation, authorization_url_, &Client::on_validation, r);
 }
 
@@ -260,7 +294,9 @@
         Json::Value csr{Json::objectValue};
         csr["csr"] = base64url(signing_request(certificate_key_, settings_.name));
         post(Step::finalize, finalize_url_, compact(csr), &Client::on_issue);
-    } catch (const CryptoError& e) { fail(e.what()); }
+    } catch (const CryptoError& e) {
+        fail(e.what());
+    }
 }
 
 void Client::on_issue(const HttpResult& r) {
@@ -268,17 +304,20 @@
     const std::string status = json ? text(*json, "status") : "unreadable";
     if (status == "valid")
         return post(Step::download, text(*json, "certificate"), "", &Client::on_certificate);
-    if (status != "processing" && status != "ready" && status != "pending") return fail("order is " + status);
+    if (status != "processing" && status != "ready" && status != "pending")
+        return fail("order is " + status);
     poll(Step::issue, order_url_, &Client::on_issue, r);
 }
 
 void Client::on_certificate(const HttpResult& r) {
     try {
         const Certificate certificate = first_certificate(r.body);
-        if (!belongs(certificate, certificate_key_)) return fail("a certificate for another key");
+        if (!belongs(certificate, certificate_key_))
+            return fail("a certificate for another key");
         if (X509_check_host(certificate.get(), settings_.name.c_str(), 0, 0, nullptr) != 1)
             return fail("a certificate for another name");
-        if (not_after(certificate) * 1000 <= clock_.unix_ms()) return fail("a certificate that has run out");
+        if (not_after(certificate) * 1000 <= clock_.unix_ms())
+            return fail("a certificate that has run out");
         Issued issued{r.body, key_pem(certificate_key_)};
         try {
             store_.save("certificate.key", issued.key_pem);
@@ -288,7 +327,9 @@
         }
         failures_ = 0;
         install(std::move(issued));
-    } catch (const CryptoError& e) { fail(e.what()); }
+    } catch (const CryptoError& e) {
+        fail(e.what());
+    }
 }
 
 // Puts it to use, and orders the next when two thirds of its time are over.
@@ -309,7 +350,8 @@
     clear_proofs();
     ++failures_;
     core::Span pause = kFirstPause;
-    for (int i = 1; i < failures_ && pause < kLongestPause; ++i) pause *= 2;
+    for (int i = 1; i < failures_ && pause < kLongestPause; ++i)
+        pause *= 2;
     pause = std::min(pause, kLongestPause);
     pause += pause * static_cast<int>(random_() % 21) / 100;
     pause = std::max(pause, at_least);
@@ -318,7 +360,8 @@
 }
 
 void Client::clear_proofs() {
-    for (const std::string& name : shown_) proofs_.clear(name);
+    for (const std::string& name : shown_)
+        proofs_.clear(name);
     shown_.clear();
 }
 
--- a/src/acme/crypto.cpp
+++ b/src/acme/crypto.cpp
@@ -22,7 +22,8 @@
 constexpr int kCoordinate = 32;  // bytes of a P-256 number
 
 void need(bool good, const char* what) {
-    if (!good) throw CryptoError(what);
+    if (!good)
+        throw CryptoError(what);
 }
 
 Bio reader(std::string_view bytes) {
@@ -58,9 +59,11 @@
     for (const unsigned char c : bytes) {
         bits = bits << 8 | c;
         held += 8;
-        while (held >= 6) out += kDigits[bits >> (held -= 6) & 63];
+        while (held >= 6)
+            out += kDigits[bits >> (held -= 6) & 63];
     }
-    if (held > 0) out += kDigits[bits << (6 - held) & 63];
+    if (held > 0)
+        out += kDigits[bits << (6 - held) & 63];
     return out;
 }
 
@@ -82,9 +85,11 @@
             return std::nullopt;
         bits = bits << 6 | value;
         held += 6;
-        if (held >= 8) out += static_cast<char>(bits >> (held -= 8) & 0xff);
+        if (held >= 8)
+            out += static_cast<char>(bits >> (held -= 8) & 0xff);
     }
-    if (text.size() % 4 == 1 || (bits & ((1u << held) - 1)) != 0) return std::nullopt;
+    if (text.size() % 4 == 1 || (bits & ((1u << held) - 1)) != 0)
+        return std::nullopt;
     return out;
 }
 
@@ -121,7 +126,9 @@
            R"(","y":")" + base64url(coordinate(key, OSSL_PKEY_PARAM_EC_PUB_Y)) + R"("})";
 }
 
-std::string thumbprint(const Key& key) { return base64url(sha256(jwk(key))); }
+std::string thumbprint(const Key& key) {
+    return base64url(sha256(jwk(key)));
+}
 
 std::string sign(const Key& key, std::string_view bytes) {
     const Digest digest{EVP_MD_CTX_new()};
@@ -150,8 +157,9 @@
          "no signing request");
     const std::string names = "DNS:" + name;
     std::unique_ptr<STACK_OF(X509_EXTENSION), void (*)(STACK_OF(X509_EXTENSION)*)> extensions{
-        sk_X509_EXTENSION_new_null(),
-        [](STACK_OF(X509_EXTENSION) * s) { sk_X509_EXTENSION_pop_free(s, X509_EXTENSION_free); }};
+        sk_X509_EXTENSION_new_null(), [](STACK_OF(X509_EXTENSION) * s) {
+            sk_X509_EXTENSION_pop_free(s, X509_EXTENSION_free);
+        }};
     X509_EXTENSION* alt = X509V3_EXT_conf_nid(nullptr, nullptr, NID_subject_alt_name, names.c_str());
     need(extensions && alt && sk_X509_EXTENSION_push(extensions.get(), alt) > 0, "no name in the request");
     need(X509_REQ_add_extensions(request.get(), extensions.get()) == 1 &&
--- a/src/app/bans_part.cpp
+++ b/src/app/bans_part.cpp
@@ -10,7 +10,8 @@
 BansPart::BansPart(net::asio::io_context& io, core::Engine& engine, const std::string& file, Log& log,
                    ReplicaPart* fleet)
     : engine_(engine), log_(log), timer_(io), fleet_(fleet) {
-    if (fleet_) fleet_->follow([this](const std::set<std::string>& keys) { heard(keys); });
+    if (fleet_)
+        fleet_->follow([this](const std::set<std::string>& keys) { heard(keys); });
     if (file.empty()) {
         log_.line("bans", "TMPDIR is not set: they are kept in this process only");
         return;
@@ -21,10 +22,12 @@
 }
 
 void BansPart::start() {
-    if (file_) look();
+    if (file_)
+        look();
     // Said before there was a fleet to tell. With a store of its own the fleet's word is the later one.
     if (fleet_ && fleet_->fresh())
-        for (const auto& box : engine_.bans().ids()) (void)fleet_->set(kKey + box.address, {});
+        for (const auto& box : engine_.bans().ids())
+            (void)fleet_->set(kKey + box.address, {});
 }
 
 // Guards rule 3 over the fleet: a box that is out anywhere is out here, and back here when it is back.
@@ -32,7 +35,8 @@
     members::Bans before = engine_.bans();
     const auto apply = [&](members::Bans& bans) {
         for (const auto& key : keys) {
-            if (!key.starts_with(kKey)) continue;
+            if (!key.starts_with(kKey))
+                continue;
             const core::CacheId box{key.substr(kKey.size())};
             if (!fleet_->in_force(key))
                 bans.remove(box);
@@ -42,22 +46,29 @@
     };
     members::Bans own = before;
     apply(own);
-    if (own == before) return;
+    if (own == before)
+        return;
     // In force at once; kept for the router's other processes where that is possible.
     engine_.set_bans(own);
     log_.line("bans-heard", R"({"out":%zu,"before":%zu})", own.ids().size(), before.ids().size());
-    if (file_) try {
+    if (file_)
+        try {
             engine_.set_bans(file_->change(own, apply));
-        } catch (const std::exception& e) { log_.line("bans", "%s", e.what()); }
+        } catch (const std::exception& e) {
+            log_.line("bans", "%s", e.what());
+        }
 }
 
 // Guards rule 3 over an upgrade: a call to the one process binds the other within the grace.
 void BansPart::look() {
-    if (file_->changed() || unread_) read();
-    if (!unwritten_.empty()) write_what_is_owed();
+    if (file_->changed() || unread_)
+        read();
+    if (!unwritten_.empty())
+        write_what_is_owed();
     timer_.expires_after(kLook);
     timer_.async_wait([this](const net::error_code& error) {
-        if (!error) look();
+        if (!error)
+            look();
     });
 }
 
@@ -65,12 +76,14 @@
 void BansPart::read() {
     try {
         members::Bans bans = file_->read();
-        for (const auto& box : unwritten_) bans.add(box);
+        for (const auto& box : unwritten_)
+            bans.add(box);
         engine_.set_bans(bans);
         unread_ = false;
     } catch (const std::exception& e) {
         // Read again with the next look; said once.
-        if (!std::exchange(unread_, true)) log_.line("bans", "%s; what is out here stays out", e.what());
+        if (!std::exchange(unread_, true))
+            log_.line("bans", "%s; what is out here stays out", e.what());
     }
 }
 
@@ -78,11 +91,14 @@
 void BansPart::write_what_is_owed() {
     try {
         engine_.set_bans(file_->change(engine_.bans(), [this](members::Bans& bans) {
-            for (const auto& box : unwritten_) bans.add(box);
+            for (const auto& box : unwritten_)
+                bans.add(box);
         }));
         log_.line("bans", "%zu that were owed to the file are kept", unwritten_.size());
         unwritten_.clear();
-    } catch (const std::exception& e) { log_.line("bans", "%s; owed to the file", e.what()); }
+    } catch (const std::exception& e) {
+        log_.line("bans", "%s; owed to the file", e.what());
+    }
 }
 
 bool BansPart::known(const core::CacheId& box) const {
@@ -90,18 +106,22 @@
 }
 
 front::admin::Verdict BansPart::out(const core::CacheId& box) {
-    if (!known(box)) return {false, "no such box"};
+    if (!known(box))
+        return {false, "no such box"};
     members::Bans own = engine_.bans();
     const bool kept = own.contains(box) && !unwritten_.contains(box);
-    if (!own.add(box)) return {false, "too many are out"};
+    if (!own.add(box))
+        return {false, "too many are out"};
     engine_.set_bans(own);
     log_.line("box-out", "%s by hand, %zu are out", box.address.c_str(), own.ids().size());
     if (fleet_ && !fleet_->set(kKey + box.address, {}))
         return {false, "out here, but not kept for the fleet"};
-    if (!file_) return {true, fleet_ ? "out" : "out, in this process only"};
+    if (!file_)
+        return {true, fleet_ ? "out" : "out, in this process only"};
     // Nothing needs writing. The fleet was told all the same: said again, it stands against a call back
     // elsewhere.
-    if (kept) return {true, "out"};
+    if (kept)
+        return {true, "out"};
     try {
         engine_.set_bans(file_->change(own, [&](members::Bans& bans) { bans.add(box); }));
         unwritten_.erase(box);
@@ -114,10 +134,12 @@
 }
 
 front::admin::Verdict BansPart::back(const core::CacheId& box) {
-    if (!known(box)) return {false, "no such box"};
+    if (!known(box))
+        return {false, "no such box"};
     members::Bans own = engine_.bans();
     own.remove(box);
-    if (file_) try {
+    if (file_)
+        try {
             own = file_->change(own, [&](members::Bans& bans) { bans.remove(box); });
         } catch (const std::exception& e) {
             log_.line("bans", "%s", e.what());
--- a/src/app/control_part.cpp
+++ b/src/app/control_part.cpp
@@ -7,7 +7,9 @@
 net::tcp::endpoint control_endpoint(const std::string& at) {
     try {
         return endpoint_of(at);
-    } catch (const std::exception& e) { throw config::ConfigError(std::string{"control: "} + e.what()); }
+    } catch (const std::exception& e) {
+        throw config::ConfigError(std::string{"control: "} + e.what());
+    }
 }
 
 ControlPart::ControlPart(World world, const std::string& at, std::size_t most_callers) try
--- a/src/app/control_part.h
+++ b/src/app/control_part.h
@@ -23,7 +23,9 @@
     };
     // Listens at once, as an address that is taken must stop the start; throws config::ConfigError.
     ControlPart(World world, const std::string& at, std::size_t most_callers);
-    void start() override { server_.start(); }
+    void start() override {
+        server_.start();
+    }
     void stop() override {}  // who asks while it ends is told so
 
 private:
--- a/src/app/dns_part.cpp
+++ b/src/app/dns_part.cpp
@@ -10,7 +10,8 @@
 front::dns::ZoneSettings zone_settings(const config::DnsSettings& c) {
     const auto name = [](const std::string& text) {
         const auto parsed = front::dns::parse_name(text);
-        if (!parsed) throw config::ConfigError("not a name: " + text);
+        if (!parsed)
+            throw config::ConfigError("not a name: " + text);
         return *parsed;
     };
     front::dns::ZoneSettings z;
@@ -33,10 +34,12 @@
 public:
     explicit Proofs(front::dns::Front& front) : front_(front) {}
     void show(const std::string& name, const std::string& text) override {
-        if (const auto n = front::dns::parse_name(name)) front_.set_text(*n, text);
+        if (const auto n = front::dns::parse_name(name))
+            front_.set_text(*n, text);
     }
     void clear(const std::string& name) override {
-        if (const auto n = front::dns::parse_name(name)) front_.clear_texts(*n);
+        if (const auto n = front::dns::parse_name(name))
+            front_.clear_texts(*n);
     }
 
 private:
@@ -71,7 +74,8 @@
         server_->listen_tls(endpoint_of(dns_.tls));
         listens("tls", server_->tls_local().port());
     }
-    if (acme_.on()) start_acme();
+    if (acme_.on())
+        start_acme();
 }
 
 void DnsPart::start_acme() {
@@ -91,6 +95,8 @@
     client_->start();
 }
 
-void DnsPart::stop() { server_->stop(); }
+void DnsPart::stop() {
+    server_->stop();
+}
 
 }  // namespace silverrail::app
--- a/src/app/endpoint.h
+++ b/src/app/endpoint.h
@@ -9,7 +9,8 @@
 // address:port; throws config::ConfigError.
 inline net::tcp::endpoint endpoint_of(const std::string& text) {
     const auto e = config::parse_endpoint(text);
-    if (!e) throw config::ConfigError("not an address and a port: " + text);
+    if (!e)
+        throw config::ConfigError("not an address and a port: " + text);
     return {net::asio::ip::make_address(e->host), e->port};
 }
 
--- a/src/app/failover_part.cpp
+++ b/src/app/failover_part.cpp
@@ -38,8 +38,10 @@
 double FailoverPart::warmth(const core::Box& box) const {
     const auto& s = world_.engine.settings();
     auto since = box.entry.up_since;
-    if (back_since_ && (!since || *back_since_ > *since)) since = back_since_;
-    if (!since || s.cold_for <= winchflow::Span{}) return 1;
+    if (back_since_ && (!since || *back_since_ > *since))
+        since = back_since_;
+    if (!since || s.cold_for <= winchflow::Span{})
+        return 1;
     const auto passed = std::chrono::duration<double>(world_.clock.now() - *since) /
                         std::chrono::duration<double>(s.cold_for);
     return s.cold_from + (1 - s.cold_from) * std::clamp(passed, 0.0, 1.0);
@@ -53,9 +55,11 @@
     std::vector<Box> out;
     weights_.clear();
     world_.engine.each_box([&](const core::Box& box, bool avoided) {
-        if (box.entry.condition != winchflow::Condition::ready || !world_.engine.is_cache(box)) return;
+        if (box.entry.condition != winchflow::Condition::ready || !world_.engine.is_cache(box))
+            return;
         weights_[box.entry.zone] += box.entry.weight;
-        if (box.entry.zone != zone_) return;
+        if (box.entry.zone != zone_)
+            return;
         const auto& id = box.entry.id.address;
         Box b{id,
               box.address,
@@ -74,12 +78,15 @@
     const auto now = world_.peers.now();
     std::set<std::string> doubted;
     for (const auto& box : boxes)
-        if (box.doubted) doubted.insert(box.id);
+        if (box.doubted)
+            doubted.insert(box.id);
     std::erase_if(probes_, [&](const auto& item) { return !doubted.contains(item.first); });
     for (const auto& box : boxes) {
-        if (!box.doubted) continue;
+        if (!box.doubted)
+            continue;
         auto& probe = probes_[box.id];
-        if (probe.under_way || now < probe.next) continue;
+        if (probe.under_way || now < probe.next)
+            continue;
         probe.under_way = prober_.look(box.address, [this, id = box.id](bool listens) {
             ++probed_;
             probes_failed_ += listens ? 0 : 1;
@@ -94,7 +101,8 @@
     const auto boxes = own_boxes(alive);
     probe(boxes);
     std::vector<cluster::ZoneBox> zone_boxes;
-    for (const auto& box : boxes) zone_boxes.push_back(box.zone_box);
+    for (const auto& box : boxes)
+        zone_boxes.push_back(box.zone_box);
     health_ = cluster::health_of(zone_boxes, steered());
 
     cluster::Failover::Input in;
@@ -109,21 +117,25 @@
     const auto step = failover_.tick(in);
 
     std::map<std::string, std::string> wanted;
-    if (step.report) wanted.emplace(cluster::zone_subject(zone_), *step.report);
+    if (step.report)
+        wanted.emplace(cluster::zone_subject(zone_), *step.report);
     for (const auto& say : voice_.tick(in.now, wanted, [](const std::string&) { return std::size_t{0}; }))
         world_.reports.say(name_, say);
     for (const auto& write : step.writes)
         written_ += world_.shared.set(cluster::decision_key(write.zone), cluster::text_of(write.decision));
-    for (const auto& change : step.changes) logged(change);
+    for (const auto& change : step.changes)
+        logged(change);
     if (step.factors != factors_) {
         const bool before = steered();
         factors_ = step.factors;
-        if (before && !steered()) back_since_ = world_.clock.now();
+        if (before && !steered())
+            back_since_ = world_.clock.now();
         world_.engine.steer(factors_);
     }
     timer_.expires_after(kTick);
     timer_.async_wait([this](const net::error_code& error) {
-        if (!error) tick();
+        if (!error)
+            tick();
     });
 }
 
@@ -155,7 +167,8 @@
 }
 
 front::admin::Verdict FailoverPart::pin(const std::string& zone, const std::string& how) {
-    if (!failover_.standings().contains(zone)) return {false, "no such zone"};
+    if (!failover_.standings().contains(zone))
+        return {false, "no such zone"};
     const auto key = cluster::pin_key(zone);
     const bool done =
         how == "OFF" ? world_.shared.clear(key) : world_.shared.set(key, how == "IN" ? "in" : "out");
@@ -173,7 +186,8 @@
     }
     for (const auto& [zone, sent] : world_.engine.sent_away()) {
         away += sent;
-        if (failover_.region_of(zone) != failover_.region_of(zone_)) abroad += sent;
+        if (failover_.region_of(zone) != failover_.region_of(zone_))
+            abroad += sent;
     }
     const auto& own = failover_.standings().at(zone_);
     return figure_lines("failover", {{"quorum", failover_.quorum()},
--- a/src/app/failover_part.h
+++ b/src/app/failover_part.h
@@ -23,7 +23,9 @@
         Log& log;
     };
     FailoverPart(World world, const config::PeersSettings& settings, std::uint64_t seed);
-    void start() override { tick(); }
+    void start() override {
+        tick();
+    }
     void stop() override;
     std::string counters() override;
 
--- a/src/app/hearsay_part.cpp
+++ b/src/app/hearsay_part.cpp
@@ -20,7 +20,8 @@
     const auto now = world_.clock.now();
     world_.engine.each_box([&](const core::Box& box, bool avoided) {
         const bool gone = box.entry.condition == Condition::gone;
-        if (gone && (!box.barred || now > *box.barred + kGoneToldFor)) return;
+        if (gone && (!box.barred || now > *box.barred + kGoneToldFor))
+            return;
         out.push_back({box.entry.id.address, box.entry.zone, box.started_ms, avoided,
                        box.entry.condition != Condition::ready});
     });
@@ -30,17 +31,20 @@
 void HearsayPart::tick() {
     const auto step = hearsay_.tick(world_.peers.now(), world_.clock.unix_ms(), boxes(),
                                     world_.reports.entries(), world_.peers.alive_zones());
-    for (const auto& say : step.say) world_.reports.say(name_, say);
+    for (const auto& say : step.say)
+        world_.reports.say(name_, say);
     if (step.changed) {
         std::set<core::CacheId> ids;
-        for (const auto& id : step.out) ids.insert(core::CacheId{id});
+        for (const auto& id : step.out)
+            ids.insert(core::CacheId{id});
         world_.engine.hold_out(std::move(ids));
         world_.log.line("hearsay", R"({"held_out":%zu,"one":"%s"})", step.out.size(),
                         step.out.empty() ? "" : step.out.begin()->c_str());
     }
     timer_.expires_after(kTick);
     timer_.async_wait([this](const net::error_code& error) {
-        if (!error) tick();
+        if (!error)
+            tick();
     });
 }
 
--- a/src/app/hearsay_part.h
+++ b/src/app/hearsay_part.h
@@ -20,8 +20,12 @@
         Log& log;
     };
     HearsayPart(World world, const config::PeersSettings& settings, std::uint64_t seed);
-    void start() override { tick(); }
-    void stop() override { timer_.cancel(); }
+    void start() override {
+        tick();
+    }
+    void stop() override {
+        timer_.cancel();
+    }
     std::string counters() override;
 
 private:
--- a/src/app/overlap.cpp
+++ b/src/app/overlap.cpp
@@ -7,7 +7,8 @@
 }
 
 Overlap::Overlap(net::asio::io_context& io, const std::string& file, Log& log) : log_(log), timer_(io) {
-    if (file.empty()) return;
+    if (file.empty())
+        return;
     try {
         presence_.emplace(file);
     } catch (const std::exception& e) {
@@ -18,7 +19,8 @@
 
 void Overlap::follow(std::function<void(std::size_t)> changed) {
     changed_ = std::move(changed);
-    if (presence_) look();
+    if (presence_)
+        look();
 }
 
 void Overlap::look() {
@@ -29,7 +31,8 @@
     }
     timer_.expires_after(kLook);
     timer_.async_wait([this](const net::error_code& error) {
-        if (!error) look();
+        if (!error)
+            look();
     });
 }
 
--- a/src/app/overlap.h
+++ b/src/app/overlap.h
@@ -17,7 +17,9 @@
     // be used is logged, and then this process takes itself for the only one.
     Overlap(net::asio::io_context& io, const std::string& file, Log& log);
     // Counted anew, this one among them.
-    std::size_t processes() const { return presence_ ? presence_->processes() : 1; }
+    std::size_t processes() const {
+        return presence_ ? presence_->processes() : 1;
+    }
     // Told whenever the count has changed.
     void follow(std::function<void(std::size_t)> changed);
 
--- a/src/app/part.h
+++ b/src/app/part.h
@@ -12,7 +12,8 @@
 inline std::string figure_lines(const std::string& prefix,
                                 std::initializer_list<std::pair<const char*, std::uint64_t>> figures) {
     std::string out;
-    for (const auto& [name, value] : figures) out += prefix + "." + name + " " + std::to_string(value) + "\n";
+    for (const auto& [name, value] : figures)
+        out += prefix + "." + name + " " + std::to_string(value) + "\n";
     return out;
 }
 
@@ -24,7 +25,9 @@
     virtual void stop() = 0;   // nothing comes in any more; what is open is finished elsewhere
     virtual void end() {}      // everything has been answered
     virtual void dump() {}     // SIGUSR2
-    virtual std::string counters() { return {}; }  // one "name value" a line
+    virtual std::string counters() {
+        return {};
+    }  // one "name value" a line
 };
 
 }  // namespace silverrail::app
--- a/src/app/peers_part.cpp
+++ b/src/app/peers_part.cpp
@@ -49,7 +49,8 @@
 }
 
 void PeersPart::stop() {
-    if (stopped_) return;
+    if (stopped_)
+        return;
     stopped_ = true;
     peer_.send(net::Peer::sends(members_.leave(now())));
     timer_.cancel();
@@ -70,12 +71,14 @@
 }
 
 void PeersPart::tick() {
-    if (stopped_) return;
+    if (stopped_)
+        return;
     peer_.send(net::Peer::sends(members_.tick(now())));
     logged();
     timer_.expires_after(every_);
     timer_.async_wait([this](const net::error_code& error) {
-        if (!error) tick();
+        if (!error)
+            tick();
     });
 }
 
@@ -92,14 +95,16 @@
 std::vector<std::string> PeersPart::alive() const {
     std::vector<std::string> out;
     for (const auto& [name, member] : members_.view())
-        if (member.record.state == cluster::State::alive) out.push_back(member.record.who.address);
+        if (member.record.state == cluster::State::alive)
+            out.push_back(member.record.who.address);
     return out;
 }
 
 std::map<std::string, std::string> PeersPart::alive_zones() const {
     std::map<std::string, std::string> out{{members_.self().who.name, members_.self().who.zone}};
     for (const auto& [name, member] : members_.view())
-        if (member.record.state == cluster::State::alive) out[name] = member.record.who.zone;
+        if (member.record.state == cluster::State::alive)
+            out[name] = member.record.who.zone;
     return out;
 }
 
--- a/src/app/peers_part.h
+++ b/src/app/peers_part.h
@@ -29,10 +29,14 @@
     // What else rides on the peers' transport: the messages of a replicated state, by its channel, and who
     // they can go to.
     using ReplicaHandler = std::function<std::vector<net::Peer::Send>(const cluster::ReplicaMessage&)>;
-    void replicate(std::uint8_t channel, ReplicaHandler handler) { replicas_[channel] = std::move(handler); }
+    void replicate(std::uint8_t channel, ReplicaHandler handler) {
+        replicas_[channel] = std::move(handler);
+    }
     // The members alive, this one among them: name to zone.
     std::map<std::string, std::string> alive_zones() const;
-    void send(std::vector<net::Peer::Send> sends) { peer_.send(std::move(sends)); }
+    void send(std::vector<net::Peer::Send> sends) {
+        peer_.send(std::move(sends));
+    }
     std::vector<std::string> alive() const;
     cluster::Time now() const;  // since the start: the state machines' steady clock
 
--- a/src/app/program.cpp
+++ b/src/app/program.cpp
@@ -70,7 +70,8 @@
 void hold_signals(int how) {
     sigset_t set;
     sigemptyset(&set);
-    for (const int signal : {SIGTERM, SIGINT, SIGHUP, SIGUSR1, SIGUSR2}) sigaddset(&set, signal);
+    for (const int signal : {SIGTERM, SIGINT, SIGHUP, SIGUSR1, SIGUSR2})
+        sigaddset(&set, signal);
     ::pthread_sigmask(how, &set, nullptr);
 }
 
@@ -84,9 +85,11 @@
 net::UpstreamLimits upstream_limits(const config::Config& c, const members::Shares& shares) {
     net::UpstreamLimits limits;
     limits.sockets = shares.boxes;
-    if (c.connect_timeout > winchflow::Span{}) limits.connect_timeout = c.connect_timeout;
+    if (c.connect_timeout > winchflow::Span{})
+        limits.connect_timeout = c.connect_timeout;
     // A connection that both sides may close at the same moment is not worth keeping.
-    if (c.conn_idle > winchflow::Span{}) limits.idle = c.conn_idle * 2 / 3;
+    if (c.conn_idle > winchflow::Span{})
+        limits.idle = c.conn_idle * 2 / 3;
     return limits;
 }
 
@@ -94,7 +97,8 @@
     net::HttpLimits limits;
     limits.connections = shares.clients;
     // A new version takes over beside the old one where operators can ask it whether it serves.
-    if (!c.control.empty()) limits.port = net::Listener::Port::shared;
+    if (!c.control.empty())
+        limits.port = net::Listener::Port::shared;
     return limits;
 }
 
@@ -106,10 +110,10 @@
 // A file that the processes of this router share; empty where no folder is given. Named after the clients'
 // address, which is what makes them one.
 std::string kept_file(const Sources& sources, const config::Config& c, const char* kind) {
-    if (sources.folder.empty()) return {};
+    if (sources.folder.empty())
+        return {};
     std::string name = c.listen;
-    std::replace_if(
-        name.begin(), name.end(), [](unsigned char ch) { return std::isalnum(ch) == 0; }, '-');
+    std::replace_if(name.begin(), name.end(), [](unsigned char ch) { return std::isalnum(ch) == 0; }, '-');
     return sources.folder + "/silverrail-" + name + "." + kind;
 }
 
@@ -135,7 +139,8 @@
           poll_(io_),
           reload_again_(io_) {
         engine_.keep_copies(copy_limits(config_, shares_));
-        if (const auto processes = overlap_.processes(); processes > 1) share_with(processes);
+        if (const auto processes = overlap_.processes(); processes > 1)
+            share_with(processes);
         overlap_.follow([this](std::size_t processes) { share_with(processes); });
         lifecycle_.on_change([this](Lifecycle::Phase phase) { entered(phase); });
         platform_.also_count([this] { return part_counters(); });
@@ -166,13 +171,19 @@
                 parts_.push_back(std::make_unique<HearsayPart>(
                     HearsayPart::World{io_, engine_, *peers, *reports, clock_, log_}, settings_.peers,
                     config_.seed));
-            fleet.members = [peers] { return peers->members(); };
-            fleet.replica = [replica] { return replica->digest(); };
+            fleet.members = [peers] {
+                return peers->members();
+            };
+            fleet.replica = [replica] {
+                return replica->digest();
+            };
             if (!settings_.peers.failover.zones.empty()) {
                 auto failover = std::make_unique<FailoverPart>(
                     FailoverPart::World{io_, engine_, *peers, *replica, *reports, clock_, log_},
                     settings_.peers, config_.seed);
-                fleet.failover = [part = failover.get()] { return part->standings(); };
+                fleet.failover = [part = failover.get()] {
+                    return part->standings();
+                };
                 fleet.pin = [part = failover.get()](const std::string& zone, const std::string& how) {
                     return part->pin(zone, how);
                 };
@@ -198,14 +209,17 @@
 
     // Takes clients from here on. Throws what makes a start impossible, for a moment or for good.
     void start() {
-        for (const auto& part : parts_) part->start();
-        for (const Json::Value& item : config_.known) take(item, core::Span::max());
+        for (const auto& part : parts_)
+            part->start();
+        for (const Json::Value& item : config_.known)
+            take(item, core::Span::max());
         if (!config_.bulletin.empty()) {
             bulletin_.emplace(
                 io_, endpoint_of(config_.bulletin), config_.known_no,
                 [this](std::int64_t, std::string_view data) {
                     const auto json = config::parse_json(data);
-                    if (!json) log_.line("bad-event", "%.*s", static_cast<int>(data.size()), data.data());
+                    if (!json)
+                        log_.line("bad-event", "%.*s", static_cast<int>(data.size()), data.data());
                     return json && take(*json, kNewsLate + bulletin_->unheard_for());
                 },
                 log_, config_.seed);
@@ -224,7 +238,8 @@
         lifecycle_.enter(Lifecycle::Phase::ready);
         io_.run();
         print_counters();
-        for (const auto& part : parts_) part->end();
+        for (const auto& part : parts_)
+            part->end();
         return 0;
     }
 
@@ -247,7 +262,8 @@
     }
     void wait_for_signal() {
         signals_.async_wait([this](const net::error_code& error, int signal) {
-            if (error) return;
+            if (error)
+                return;
             if (signal == SIGUSR1)
                 print_counters();
             else
@@ -257,15 +273,18 @@
     }
     void wait_for_hangup() {
         hangup_.async_wait([this](const net::error_code& error, int) {
-            if (error) return;
+            if (error)
+                return;
             reload();
             wait_for_hangup();
         });
     }
     void wait_for_dump() {
         dump_.async_wait([this](const net::error_code& error, int) {
-            if (error) return;
-            for (const auto& part : parts_) part->dump();
+            if (error)
+                return;
+            for (const auto& part : parts_)
+                part->dump();
             wait_for_dump();
         });
     }
@@ -276,10 +295,12 @@
         try_reload();
     }
     void try_reload() {
-        if (reload_once() || --reloads_left_ == 0) return;
+        if (reload_once() || --reloads_left_ == 0)
+            return;
         reload_again_.expires_after(kBetweenReloads);
         reload_again_.async_wait([this](const net::error_code& error) {
-            if (!error) try_reload();
+            if (!error)
+                try_reload();
         });
     }
     // The new file replaces nothing before it has been read whole and found good. False: it was not.
@@ -288,7 +309,8 @@
             config::Config fresh = config::load_config(sources_.config);
             std::vector<std::string> problems;
             const auto settings = config::load_operator(sources_.settings, sources_.settings_named, problems);
-            if (!problems.empty()) throw config::ConfigError(problems.front());
+            if (!problems.empty())
+                throw config::ConfigError(problems.front());
             for (const char* section : config::changed_sections(settings_, settings))
                 log_.line("reload", "%s has changed: not applied, takes a restart", section);
             for (const auto& name : config::need_restart(config_, fresh))
@@ -312,14 +334,17 @@
         if (phase == Lifecycle::Phase::draining) {
             last_answers_at_ = clock_.now() + kill_after(config_.settings) - kBeforeKilled;
             // Whoever comes from here on is the other process's: it listens at the same address.
-            if (overlap_.processes() > 1) server_.retire();
+            if (overlap_.processes() > 1)
+                server_.retire();
             poll_.expires_after(kDrainFor);
             poll_.async_wait([this](const net::error_code& error) {
-                if (!error) lifecycle_.enter(Lifecycle::Phase::finishing);
+                if (!error)
+                    lifecycle_.enter(Lifecycle::Phase::finishing);
             });
         } else if (phase == Lifecycle::Phase::finishing) {
             server_.stop();
-            for (const auto& part : parts_) part->stop();
+            for (const auto& part : parts_)
+                part->stop();
             finish();
         } else if (phase == Lifecycle::Phase::stopped) {
             io_.stop();
@@ -328,14 +353,16 @@
     // Ends once every call has its answer and every answer is written. Guards what is open when SIGKILL
     // comes: boxes may hang for longer than that.
     void finish() {
-        if (clock_.now() >= last_answers_at_) engine_.fail_all();
+        if (clock_.now() >= last_answers_at_)
+            engine_.fail_all();
         if (engine_.open() == 0 && server_.done()) {
             lifecycle_.enter(Lifecycle::Phase::stopped);
             return;
         }
         poll_.expires_after(10ms);
         poll_.async_wait([this](const net::error_code& error) {
-            if (!error) finish();
+            if (!error)
+                finish();
         });
     }
     void print_counters() {
@@ -346,7 +373,8 @@
 
     std::string part_counters() {
         std::string out;
-        for (const auto& part : parts_) out += part->counters();
+        for (const auto& part : parts_)
+            out += part->counters();
         out += client_counters();
         if (bulletin_) {
             const auto& c = bulletin_->counters();
@@ -412,7 +440,8 @@
     s.folder = variable("TMPDIR");
     s.settings = variable("SILVERRAIL_SETTINGS");
     s.settings_named = !s.settings.empty();
-    if (!s.settings_named) s.settings = "deploy/silverrail.json";
+    if (!s.settings_named)
+        s.settings = "deploy/silverrail.json";
     return s;
 }
 
@@ -421,12 +450,16 @@
 // Reads all settings and makes the program of them, ready to run; null where they are wrong, which is said.
 std::unique_ptr<Program> make_program(const Sources& sources) {
     auto config = config::load_config(sources.config);
-    if (!sources.listen.empty()) config.listen = sources.listen;
-    if (!sources.control.empty()) config.control = sources.control;
+    if (!sources.listen.empty())
+        config.listen = sources.listen;
+    if (!sources.control.empty())
+        config.control = sources.control;
     std::vector<std::string> problems;
     const auto settings = config::load_operator(sources.settings, sources.settings_named, problems);
-    for (const std::string& problem : problems) Log{}.line("fatal", "%s", problem.c_str());
-    if (!problems.empty()) return nullptr;
+    for (const std::string& problem : problems)
+        Log{}.line("fatal", "%s", problem.c_str());
+    if (!problems.empty())
+        return nullptr;
     auto program = std::make_unique<Program>(sources, std::move(config), settings);
     program->start();
     return program;
@@ -448,7 +481,8 @@
             return make_program(sources);
         } catch (const std::exception& error) {
             const bool momentary = store::is_momentary(system_error_of(error));
-            if (!momentary || std::chrono::steady_clock::now() > until) throw;
+            if (!momentary || std::chrono::steady_clock::now() > until)
+                throw;
             Log{}.line("start-again", "%s", error.what());
         }
         std::this_thread::sleep_for(kBetweenStarts);
@@ -471,15 +505,21 @@
 
 int check(const Sources& sources) {
     std::vector<std::string> problems;
-    if (!sources.config.empty()) try {
+    if (!sources.config.empty())
+        try {
             const auto config = config::load_config(sources.config);
             (void)endpoint_of(config.listen);
             const auto& control = sources.control.empty() ? config.control : sources.control;
-            if (!control.empty()) (void)control_endpoint(control);
-        } catch (const std::exception& e) { problems.push_back(sources.config + ": " + e.what()); }
+            if (!control.empty())
+                (void)control_endpoint(control);
+        } catch (const std::exception& e) {
+            problems.push_back(sources.config + ": " + e.what());
+        }
     (void)config::load_operator(sources.settings, sources.settings_named, problems);
-    for (const std::string& problem : problems) std::printf("%s\n", problem.c_str());
-    if (problems.empty()) std::puts("all settings are good");
+    for (const std::string& problem : problems)
+        std::printf("%s\n", problem.c_str());
+    if (problems.empty())
+        std::puts("all settings are good");
     return problems.empty() ? 0 : 2;
 }
 
--- a/src/app/replica_part.cpp
+++ b/src/app/replica_part.cpp
@@ -87,11 +87,13 @@
                replica, seed, cluster::Time{0}),
       fresh_(kept.fresh),
       timer_(world.io) {
-    if (store_) replica_.restore(std::move(kept.entries), std::move(kept.origins));
+    if (store_)
+        replica_.restore(std::move(kept.entries), std::move(kept.origins));
     world_.peers.replicate(replica.channel, [this](const cluster::ReplicaMessage& message) {
         auto out = net::Peer::sends(replica_.receive(message, world_.peers.now(), world_.clock.unix_ms()));
         // What is not kept is not acknowledged either: the others ask again.
-        if (!keep()) out.clear();
+        if (!keep())
+            out.clear();
         return out;
     });
 }
@@ -107,7 +109,8 @@
 bool ReplicaPart::keep() {
     const auto changes = replica_.take_changes();
     bool kept = true;
-    if (store_) try {
+    if (store_)
+        try {
             store_->write(replica_, changes);
         } catch (const std::exception& e) {
             ++failed_writes_;
@@ -117,17 +120,20 @@
         }
     const auto touched = replica_.take_touched();
     if (!touched.empty())
-        for (const auto& tell : touched_) tell(touched);
+        for (const auto& tell : touched_)
+            tell(touched);
     return kept;
 }
 
 void ReplicaPart::tick() {
     auto sends =
         net::Peer::sends(replica_.tick(world_.peers.now(), world_.clock.unix_ms(), world_.peers.alive()));
-    if (keep()) world_.peers.send(std::move(sends));
+    if (keep())
+        world_.peers.send(std::move(sends));
     timer_.expires_after(kTick);
     timer_.async_wait([this](const net::error_code& error) {
-        if (!error) tick();
+        if (!error)
+            tick();
     });
 }
 
@@ -143,13 +149,15 @@
 
 void ReplicaPart::say(const std::string& reporter, const cluster::Voice::Say& say) {
     const auto key = cluster::report_key(say.subject, reporter);
-    if (key.empty()) return;
+    if (key.empty())
+        return;
     (void)(say.value ? set(key, *say.value) : clear(key));
 }
 
 std::string ReplicaPart::digest() const {
     auto numbers = replica_.numbers();
-    for (const auto& [origin, number] : replica_.heard()) numbers.try_emplace(origin, 0);
+    for (const auto& [origin, number] : replica_.heard())
+        numbers.try_emplace(origin, 0);
     std::string out;
     for (const auto& [origin, number] : numbers) {
         const auto heard = replica_.heard().find(origin);
--- a/src/app/replica_part.h
+++ b/src/app/replica_part.h
@@ -31,7 +31,9 @@
     struct Ageing {};
     ReplicaPart(World world, const config::PeersSettings& settings, Ageing ageing, std::uint64_t seed);
     void start() override;
-    void stop() override { timer_.cancel(); }
+    void stop() override {
+        timer_.cancel();
+    }
     std::string counters() override;
 
     // Called with each key whose state may have changed, in force or not, from the start on.
@@ -43,11 +45,19 @@
     bool clear(const std::string& key);
     // A report of this router's, or its end.
     void say(const std::string& reporter, const cluster::Voice::Say& say);
-    bool in_force(const std::string& key) const { return replica_.in_force(key); }
-    const std::map<std::string, cluster::Entry>& entries() const { return replica_.entries(); }
-    std::uint64_t revision() const { return replica_.revision(); }
+    bool in_force(const std::string& key) const {
+        return replica_.in_force(key);
+    }
+    const std::map<std::string, cluster::Entry>& entries() const {
+        return replica_.entries();
+    }
+    std::uint64_t revision() const {
+        return replica_.revision();
+    }
     // True where nothing was restored: what the router holds from elsewhere is still to be said.
-    bool fresh() const { return fresh_; }
+    bool fresh() const {
+        return fresh_;
+    }
     // The answer to REPLICA: a line an origin: origin, number held, highest heard, lag; then "--".
     std::string digest() const;
 
--- a/src/app/trace_part.cpp
+++ b/src/app/trace_part.cpp
@@ -25,7 +25,8 @@
         const std::int64_t before = steady_ns();
         const std::int64_t there = unix_ns();
         const std::int64_t after = steady_ns();
-        if (after - before >= least) continue;
+        if (after - before >= least)
+            continue;
         least = after - before;
         best = there - (before + (after - before) / 2);
     }
@@ -53,7 +54,9 @@
 TracePart::TracePart(World world, const config::TraceSettings& settings)
     : world_(std::move(world)), settings_(settings), timer_(world_.io) {}
 
-TracePart::~TracePart() { world_.engine.watch(nullptr); }
+TracePart::~TracePart() {
+    world_.engine.watch(nullptr);
+}
 
 void TracePart::start() {
     trace::Identity who;
@@ -77,7 +80,8 @@
 void TracePart::tick() {
     timer_.expires_after(1s);
     timer_.async_wait([this](const net::error_code& error) {
-        if (error) return;
+        if (error)
+            return;
         recorder_->compare_clocks(steady_ns() / 1000 * 1000, offset_now());
         say();
         tick();
@@ -85,10 +89,13 @@
 }
 
 void TracePart::say() {
-    for (const std::string& text : recorder_->notices()) world_.log.line("trace", "%s", text.c_str());
+    for (const std::string& text : recorder_->notices())
+        world_.log.line("trace", "%s", text.c_str());
 }
 
-void TracePart::dump() { recorder_->dump(); }
+void TracePart::dump() {
+    recorder_->dump();
+}
 
 void TracePart::end() {
     timer_.cancel();
--- a/src/brain.cpp
+++ b/src/brain.cpp
@@ -95,8 +95,12 @@
 constexpr Span kWindowMargin = 20ms;  // travel time at the end of a keyed window
 constexpr Span kLeastUseful = 20ms;   // less time than this is no chance for a further attempt
 
-double seconds(Span s) { return std::chrono::duration<double>(s).count(); }
-Span span_of(double s) { return std::chrono::duration_cast<Span>(std::chrono::duration<double>(s)); }
+double seconds(Span s) {
+    return std::chrono::duration<double>(s).count();
+}
+Span span_of(double s) {
+    return std::chrono::duration_cast<Span>(std::chrono::duration<double>(s));
+}
 
 // ---- tracker and resizing ----------------------------------------------------------------------
 
@@ -122,17 +126,21 @@
 
     // An update (ours: a purge) takes hotness away.
     void update(ObjectId object) {
-        if (auto found = entries_.find(object); found != entries_.end()) change(found->second, -1);
+        if (auto found = entries_.find(object); found != entries_.end())
+            change(found->second, -1);
     }
 
     // How an object stands, without counting: client retries and further attempts.
     Standing standing(ObjectId object) const {
         auto found = entries_.find(object);
-        if (found == entries_.end()) return Standing::newcomer;
+        if (found == entries_.end())
+            return Standing::newcomer;
         return is_hot(found->second) ? Standing::hot : Standing::tracked;
     }
 
-    bool epoch_full() const { return epoch_requests_ >= tracker_capacity_; }
+    bool epoch_full() const {
+        return epoch_requests_ >= tracker_capacity_;
+    }
 
     // CoT's resizing (the paper's Algorithm 3), with K never below its start.
     void end_epoch(double imbalance) {
@@ -151,19 +159,30 @@
         epoch_requests_ = hot_requests_ = tracked_requests_ = 0;
     }
 
-    std::size_t hot_capacity() const { return hot_capacity_; }
-    std::size_t tracker_capacity() const { return tracker_capacity_; }
-    std::size_t hot_size() const { return hot_.size(); }
-    std::size_t size() const { return entries_.size(); }
+    std::size_t hot_capacity() const {
+        return hot_capacity_;
+    }
+    std::size_t tracker_capacity() const {
+        return tracker_capacity_;
+    }
+    std::size_t hot_size() const {
+        return hot_.size();
+    }
+    std::size_t size() const {
+        return entries_.size();
+    }
 
 private:
     using Key = std::tuple<double, std::uint64_t, ObjectId>;  // hotness, age order, id
 
-    bool is_hot(const Key& key) const { return hot_.contains(key); }
+    bool is_hot(const Key& key) const {
+        return hot_.contains(key);
+    }
 
     void enter(ObjectId object) {
         double inherited = 0;
-        if (entries_.size() >= tracker_capacity_) inherited = std::get<0>(drop_coldest());
+        if (entries_.size() >= tracker_capacity_)
+            inherited = std::get<0>(drop_coldest());
         const Key key{inherited + 1, ++arrivals_, object};
         entries_.emplace(object, key);
         rest_.insert(key);
@@ -184,7 +203,8 @@
     }
     // Restores: `hot_` holds the C hottest.
     void settle() {
-        while (hot_.size() > hot_capacity_) rest_.insert(hot_.extract(hot_.begin()));
+        while (hot_.size() > hot_capacity_)
+            rest_.insert(hot_.extract(hot_.begin()));
         while (hot_.size() < hot_capacity_ && !rest_.empty())
             hot_.insert(rest_.extract(std::prev(rest_.end())));
         while (!hot_.empty() && !rest_.empty() && std::get<0>(*rest_.rbegin()) > std::get<0>(*hot_.begin())) {
@@ -195,7 +215,8 @@
     void resize(std::size_t hot, std::size_t tracked) {
         tracker_capacity_ = std::clamp(tracked, kTrackerStart, kTrackerCap);
         hot_capacity_ = std::clamp<std::size_t>(hot, 1, tracker_capacity_ / 2);
-        while (entries_.size() > tracker_capacity_) drop_coldest();
+        while (entries_.size() > tracker_capacity_)
+            drop_coldest();
         settle();
     }
     void halve_hotness() {
@@ -231,11 +252,14 @@
 }
 std::uint64_t hash_of(std::string_view text) {
     std::uint64_t h = 0xcbf29ce484222325U;  // FNV-1a, then mixed
-    for (unsigned char c : text) h = (h ^ c) * 0x100000001b3U;
+    for (unsigned char c : text)
+        h = (h ^ c) * 0x100000001b3U;
     return mix(h);
 }
 
-double unit(std::uint64_t hash) { return (static_cast<double>(hash >> 11) + 0.5) * 0x1.0p-53; }
+double unit(std::uint64_t hash) {
+    return (static_cast<double>(hash >> 11) + 0.5) * 0x1.0p-53;
+}
 
 enum class Role { cache, parent, origin, foreign };
 
@@ -279,12 +303,14 @@
           work_(set_.classes.size()),
           hits_seen_(work_.size(), kPrior) {
         // Until sizes or hits tell more, a class's sending time is taken as what its aim allows for.
-        for (std::size_t i = 0; i < work_.size(); ++i) work_[i] = seconds(set_.classes[i].aim);
+        for (std::size_t i = 0; i < work_.size(); ++i)
+            work_[i] = seconds(set_.classes[i].aim);
     }
 
     std::vector<Action> on(const Event& event, Time now) {
         now_ = now;
-        if (!epoch_began_) epoch_began_ = now;
+        if (!epoch_began_)
+            epoch_began_ = now;
         forget_purges();
         std::visit([this](const auto& e) { take(e); }, event);
         return std::exchange(out_, {});
@@ -333,21 +359,26 @@
         bool missed = false;  // a look found nothing: the next attempt is a fill for certain
         bool lacked = false;  // the parent holds none: the next one is the origin's work for certain
     };
-    const ClassSettings& class_of(const Open& o) const { return set_.classes[o.request.class_index]; }
+    const ClassSettings& class_of(const Open& o) const {
+        return set_.classes[o.request.class_index];
+    }
 
     // ---- fleet and health, continued ----
 
     void take(const CacheList& list) {
         if (list.complete)
-            for (auto& [id, m] : fleet_) m.listed = false;
-        for (const ListedCache& c : list.caches) follow(c);
+            for (auto& [id, m] : fleet_)
+                m.listed = false;
+        for (const ListedCache& c : list.caches)
+            follow(c);
         // Whoever left and holds nothing of ours is forgotten, so that deploys do not pile up.
         std::erase_if(fleet_, [](const auto& e) {
             return !e.second.listed && e.second.outstanding == 0 && e.second.fills_out == 0;
         });
         by_role_ = {};  // requests find by index: a fleet may grow far beyond what one gateway sends to
         for (auto& [id, m] : fleet_)
-            if (m.listed) by_role_[static_cast<std::size_t>(m.role)].push_back(&m);
+            if (m.listed)
+                by_role_[static_cast<std::size_t>(m.role)].push_back(&m);
     }
     void follow(const ListedCache& c) {
         auto [at, fresh] = fleet_.try_emplace(c.id);
@@ -375,13 +406,19 @@
             m.budget_at = now_;
         }
     }
-    const std::vector<Member*>& listed(Role role) const { return by_role_[static_cast<std::size_t>(role)]; }
+    const std::vector<Member*>& listed(Role role) const {
+        return by_role_[static_cast<std::size_t>(role)];
+    }
     const Member* find(const CacheId& id) const {
         auto at = fleet_.find(id);
         return at == fleet_.end() ? nullptr : &at->second;
     }
-    Member* find(const CacheId& id) { return const_cast<Member*>(std::as_const(*this).find(id)); }
-    bool usable(const Member& m) const { return m.listed && m.ready; }
+    Member* find(const CacheId& id) {
+        return const_cast<Member*>(std::as_const(*this).find(id));
+    }
+    bool usable(const Member& m) const {
+        return m.listed && m.ready;
+    }
     bool out_of_use(const CacheId& id) const {
         const Member* m = find(id);
         return !m || !usable(*m);
@@ -390,15 +427,19 @@
     // Slow against the quickest of its peers: then it gets one attempt at a time, as a trial. Where all are
     // slow - an origin in trouble, a crowded link - none is slow against the others.
     bool outpaced(const Member& m) const {
-        if (m.pace <= 1) return false;  // its answers still come within their aim
+        if (m.pace <= 1)
+            return false;  // its answers still come within their aim
         return std::ranges::any_of(listed(m.role), [&](const Member* p) {
             return usable(*p) && !p->ejected && p->pace > 0 && m.pace > kSlow * p->pace;
         });
     }
     // Ejected and outpaced ones get one trial attempt at a time (half-open).
-    bool on_trial(const Member& m) const { return m.ejected || outpaced(m); }
+    bool on_trial(const Member& m) const {
+        return m.ejected || outpaced(m);
+    }
     bool open_to_use(const Member& m) const {
-        if (m.ejected && now_ < m.ejected_until) return false;
+        if (m.ejected && now_ < m.ejected_until)
+            return false;
         return m.outstanding + m.fills_out == 0 || !on_trial(m);
     }
     // Silence is held against one only if another answered meanwhile: when all are slow, none is to blame.
@@ -412,7 +453,8 @@
     void hold_against(Member& m, bool may_eject, int weight = kNoAnswer) {
         m.failures += weight;
         const bool trial_failed = m.ejected && now_ >= m.ejected_until;
-        if (!may_eject || (m.ejected ? !trial_failed : m.failures < kEjectAfter)) return;
+        if (!may_eject || (m.ejected ? !trial_failed : m.failures < kEjectAfter))
+            return;
         m.ejected = true;
         m.ejected_for = std::clamp(m.ejected_for * 2, kEjectFirst, kEjectLongest);
         // Drawn: all who lost it lost it at once, and would else try it again at once.
@@ -459,20 +501,28 @@
         m.budget_at = now_;
         return m.budget;
     }
-    bool affords(Member& m, double work, bool once) { return !cold(m) || (once && refill(m) >= work); }
+    bool affords(Member& m, double work, bool once) {
+        return !cold(m) || (once && refill(m) >= work);
+    }
     void charge(Member& m, double work) {
-        if (cold(m)) m.budget -= work;
+        if (cold(m))
+            m.budget -= work;
     }
 
     // Repeats: may this request be sent to `to` now?
     bool may_send(const Open& o, const Member& to) const {
-        if (static_cast<int>(o.attempts.size()) >= set_.attempt_limit) return false;
+        if (static_cast<int>(o.attempts.size()) >= set_.attempt_limit)
+            return false;
         const ClassSettings& c = class_of(o);
         for (const Attempt& a : o.attempts) {
-            if (a.out) return false;  // never two at once: one cancelled must have ended first
-            if (!a.may_have_run || c.effect == Effect::pure) continue;
-            if (c.effect == Effect::unsafe) return false;
-            if (!same_scope(c.scope, a.target, to)) return false;
+            if (a.out)
+                return false;  // never two at once: one cancelled must have ended first
+            if (!a.may_have_run || c.effect == Effect::pure)
+                continue;
+            if (c.effect == Effect::unsafe)
+                return false;
+            if (!same_scope(c.scope, a.target, to))
+                return false;
         }
         const auto until = repeat_before(o);
         return !until || now_ < *until;
@@ -480,17 +530,20 @@
     // The end of a keyed request's window, once something of it may have run.
     std::optional<Time> repeat_before(const Open& o) const {
         const auto ran = std::ranges::find_if(o.attempts, &Attempt::may_have_run);
-        if (ran == o.attempts.end() || class_of(o).effect != Effect::keyed) return std::nullopt;
+        if (ran == o.attempts.end() || class_of(o).effect != Effect::keyed)
+            return std::nullopt;
         return ran->sent + class_of(o).window - kWindowMargin;
     }
     bool same_scope(Scope scope, const CacheId& before, const Member& to) const {
-        if (scope == Scope::all || before == to.id) return true;
+        if (scope == Scope::all || before == to.id)
+            return true;
         const Member* m = find(before);
         return m && (scope == Scope::zone ? m->zone == to.zone : m->cell == to.cell);
     }
     bool may_refuse(const Open& o) const {
         const ClassSettings& c = class_of(o);
-        if (c.effect == Effect::pure || (c.effect == Effect::keyed && c.scope == Scope::all)) return true;
+        if (c.effect == Effect::pure || (c.effect == Effect::keyed && c.scope == Scope::all))
+            return true;
         return std::ranges::none_of(o.attempts, [](const Attempt& a) { return a.out || a.may_have_run; });
     }
 
@@ -499,10 +552,12 @@
         const Time at = now_ - p.age;
         auto& known = p.object ? purged_objects_[*p.object] : purged_groups_[p.group];
         known = std::max(known, at);
-        if (p.object) tracker_.update(*p.object);
+        if (p.object)
+            tracker_.update(*p.object);
     }
     void forget_purges() {
-        if (now_ < purges_swept_ + kPurgeMargin) return;
+        if (now_ < purges_swept_ + kPurgeMargin)
+            return;
         purges_swept_ = now_;
         const Time done = now_ - set_.cleared_within - set_.heed_within - kPurgeMargin;
         std::erase_if(purged_objects_, [done](const auto& e) { return e.second < done; });
@@ -513,8 +568,10 @@
         auto tighten = [&](Time at) {
             bound = std::max(Span{1}, std::min(bound.value_or(now_ - at), now_ - at));
         };
-        if (auto at = purged_objects_.find(r.object); at != purged_objects_.end()) tighten(at->second);
-        if (auto at = purged_groups_.find(r.group); at != purged_groups_.end()) tighten(at->second);
+        if (auto at = purged_objects_.find(r.object); at != purged_objects_.end())
+            tighten(at->second);
+        if (auto at = purged_groups_.find(r.group); at != purged_groups_.end())
+            tighten(at->second);
         return bound;
     }
 
@@ -522,7 +579,8 @@
 
     std::vector<std::pair<double, Member*>> in_order(Role role, std::uint64_t key) const {
         std::vector<std::pair<double, Member*>> order;
-        for (Member* m : listed(role)) order.emplace_back(-rendezvous_score(*m, key), m);
+        for (Member* m : listed(role))
+            order.emplace_back(-rendezvous_score(*m, key), m);
         std::sort(order.begin(), order.end(), [](const auto& a, const auto& b) {
             return std::tie(a.first, a.second->id) < std::tie(b.first, b.second->id);
         });
@@ -536,7 +594,8 @@
     double room(const Member& m, double multiple) const {
         const int sharers = m.role == Role::parent ? set_.gateways : set_.gateways_in_zone;
         const double share = multiple * m.weight / std::max(1, sharers);
-        if (m.role != Role::cache) return std::max(kLeastRoom, share);
+        if (m.role != Role::cache)
+            return std::max(kLeastRoom, share);
         return std::max(kCacheLeast, cache_trust_ * (share + kChance * std::sqrt(share)));
     }
     // Fills of this gateway that are likely under way: one that was not looked for first counts by the usual
@@ -544,11 +603,15 @@
     double likely_fills(const Member* from = nullptr) const {
         double sum = 0;
         for (const auto& [id, o] : open_) {
-            if (o.attempts.empty()) continue;
+            if (o.attempts.empty())
+                continue;
             const Attempt& a = o.attempts.back();
-            if (!a.out || (!a.source && !a.direct_read)) continue;
-            if (from && a.source != from->id && a.target != from->id) continue;
-            if (is_hung(o, a)) continue;  // it waits for its client's end, not for bytes
+            if (!a.out || (!a.source && !a.direct_read))
+                continue;
+            if (from && a.source != from->id && a.target != from->id)
+                continue;
+            if (is_hung(o, a))
+                continue;  // it waits for its client's end, not for bytes
             sum += a.direct_read || a.known_miss || seconds(now_ - a.sent) > kOverdue * own_work(o)
                        ? 1
                        : miss_share_;
@@ -572,7 +635,8 @@
         if (set_.zone_link_kb_per_s > 0 && set_.flow_kb_per_s > 0)
             return set_.zone_link_kb_per_s / set_.flow_kb_per_s;
         double fits = 0;
-        for (const Member* m : listed(Role::cache)) fits += m->weight * kFillShareUntold;
+        for (const Member* m : listed(Role::cache))
+            fits += m->weight * kFillShareUntold;
         return fits;
     }
     // How many fills this gateway may have under way: its share of the zone's link, less what is learned.
@@ -590,7 +654,8 @@
     // over a hundred gateways is a hundred. Drawn, so that they do not fall into step.
     void pause_origin(Span took) {
         const double rest = 1 / origin_share() - 1;
-        if (rest <= 0) return;
+        if (rest <= 0)
+            return;
         const double pause = seconds(took) * rest * (0.5 + draw());
         origin_next_ = now_ + std::min(kEjectLongest, span_of(pause));
     }
@@ -604,12 +669,16 @@
         Member* spill = nullptr;
         Member* again = nullptr;
         for (const auto& [score, m] : in_order(Role::cache, key)) {
-            if (!usable(*m) || !open_to_use(*m) || !affords(*m, work, !o.request.referred)) continue;
-            if (m->outstanding >= room(*m, kFull)) continue;
+            if (!usable(*m) || !open_to_use(*m) || !affords(*m, work, !o.request.referred))
+                continue;
+            if (m->outstanding >= room(*m, kFull))
+                continue;
             if (tried(o, *m)) {
-                if (!again) again = m;
+                if (!again)
+                    again = m;
             } else if (m->outstanding >= room(*m, kCrowded)) {
-                if (!spill) spill = m;
+                if (!spill)
+                    spill = m;
             } else {
                 return m;
             }
@@ -632,8 +701,10 @@
                  in_order(Role::parent, static_cast<std::uint64_t>(o.request.object))) {
                 if (usable(*m) && !tried(o, *m) && open_to_use(*m) &&
                     affords(*m, work, !o.request.referred) && likely_fills(m) < room(*m, kFull)) {
-                    if (home || m->pace <= busy) return m;
-                    if (!crowded) crowded = m;
+                    if (home || m->pace <= busy)
+                        return m;
+                    if (!crowded)
+                        crowded = m;
                 }
                 home = home && usable(*m) && !m->ejected;
             }
@@ -651,10 +722,12 @@
     // ---- request life ----
 
     void take(const Request& r) {
-        if (r.class_index >= set_.classes.size() || open_.contains(r.id)) return;
+        if (r.class_index >= set_.classes.size() || open_.contains(r.id))
+            return;
         Open& o = open_[r.id];
         o.request = r;
-        if (!r.referred) retry_budget_ = std::min(kRetryBurst, retry_budget_ + kRetryShare);
+        if (!r.referred)
+            retry_budget_ = std::min(kRetryBurst, retry_budget_ + kRetryShare);
         if (r.size_kb > 0 && set_.flow_kb_per_s > 0)
             learn(work_[r.class_index], r.size_kb / set_.flow_kb_per_s);
         if (!class_of(o).uncached) {
@@ -672,11 +745,16 @@
     bool likely_zones_first(ObjectId object) const {
         return unit(mix(seed_ ^ mix(static_cast<std::uint64_t>(object)))) * (set_.gateways_in_zone - 1) < 1;
     }
-    double draw() { return unit(mix(seed_ ^ mix(++draws_))); }
-    void learn(double& mean, double sample) { mean += kLearn * (sample - mean); }
+    double draw() {
+        return unit(mix(seed_ ^ mix(++draws_)));
+    }
+    void learn(double& mean, double sample) {
+        mean += kLearn * (sample - mean);
+    }
 
     void end_epoch_if_due() {
-        if (!tracker_.epoch_full() && now_ < *epoch_began_ + kEpochBound) return;
+        if (!tracker_.epoch_full() && now_ < *epoch_began_ + kEpochBound)
+            return;
         double most = 0;
         double fewest = std::numeric_limits<double>::max();
         for (Member* m : listed(Role::parent)) {
@@ -700,28 +778,37 @@
 
     // Sends the request on its way, or gives it up at once.
     void attempt(Open& o) {
-        if (o.request.deadline <= now_ + kLeastUseful && !o.attempts.empty()) return give_up(o);
+        if (o.request.deadline <= now_ + kLeastUseful && !o.attempts.empty())
+            return give_up(o);
         const double work = work_[o.request.class_index];
-        if (class_of(o).uncached) return attempt_uncached(o, work);
+        if (class_of(o).uncached)
+            return attempt_uncached(o, work);
         // Two silent caches in a row may be a lost zone: then one past them tells, where that is allowed.
         Member* cache = set_.direct && o.silent_caches >= kSilentZone ? nullptr : pick_cache(o, work);
         Member* source = pick_source(o, work);
         const bool no_room = likely_fills() >= fill_room(own_work(o));
-        if (!cache && (no_room || !set_.direct)) return give_up(o);
+        if (!cache && (no_room || !set_.direct))
+            return give_up(o);
         if (cache) {
-            if (!may_send(o, *cache)) return give_up(o);
+            if (!may_send(o, *cache))
+                return give_up(o);
             // Exception (crowded link): while this gateway's fills take its share of the link, a cache is
             // first asked for what it holds, and a miss that finds no room is refused at once. Hits go on,
             // and the fills that are let in come to their end.
-            if (no_room) source = nullptr;
-            if (!source && o.missed) return give_up(o);
-            if (o.lacked && origin_fetches() >= fill_room(own_work(o)) * origin_trust_) return give_up(o);
+            if (no_room)
+                source = nullptr;
+            if (!source && o.missed)
+                return give_up(o);
+            if (o.lacked && origin_fetches() >= fill_room(own_work(o)) * origin_trust_)
+                return give_up(o);
             return send(o, *cache, fill_for(o, *cache, source), source);
         }
         // No cache of the zone will do - lost, cold, full: straight to the parent (which fetches what it
         // lacks) or the origin.
-        if (!source || !may_send(o, *source)) return give_up(o);
-        if (source->role == Role::origin) return send(o, *source, std::nullopt, nullptr);
+        if (!source || !may_send(o, *source))
+            return give_up(o);
+        if (source->role == Role::origin)
+            return send(o, *source, std::nullopt, nullptr);
         Member* origin = pick_origin();
         Fill fill{.source = origin ? origin->id : source->id, .oldest = oldest(o)};
         send(o, *source, fill, nullptr);
@@ -729,10 +816,13 @@
     // A write runs at the origin: straight, or with the origin as the source behind any cache.
     void attempt_uncached(Open& o, double work) {
         Member* origin = pick_origin();
-        if (!origin) return give_up(o);
-        if (set_.direct && may_send(o, *origin)) return send(o, *origin, std::nullopt, nullptr);
+        if (!origin)
+            return give_up(o);
+        if (set_.direct && may_send(o, *origin))
+            return send(o, *origin, std::nullopt, nullptr);
         Member* cache = pick_cache(o, work);
-        if (!cache || !may_send(o, *cache)) return give_up(o);
+        if (!cache || !may_send(o, *cache))
+            return give_up(o);
         send(o, *cache, Fill{.source = origin->id}, origin);
     }
     Span oldest(const Open& o) const {
@@ -783,7 +873,8 @@
             timeout = span_of(seconds(aim_of(o)) * (o.request.size_kb > 0 ? 1 : kFirstLook));
         out_.push_back(Send{o.request.id, target.id, timeout, std::move(fill), repeat_before(o)});
         o.attempts.push_back(std::move(a));
-        if (set_.may_cancel) look_later(o, kHungLook);
+        if (set_.may_cancel)
+            look_later(o, kHungLook);
     }
     void look_later(const Open& o, double share) {
         out_.push_back(SetTimer{TimerId{static_cast<std::uint64_t>(o.request.id)},
@@ -793,12 +884,15 @@
     // Looks at a request that is still out: has its cache, or the source behind it, gone silent?
     void take(const Timer& t) {
         auto at = open_.find(RequestId{static_cast<std::uint64_t>(t.id)});
-        if (at == open_.end() || at->second.answered || at->second.started) return;
+        if (at == open_.end() || at->second.answered || at->second.started)
+            return;
         Open& o = at->second;
-        if (o.attempts.empty() || !o.attempts.back().out) return;
+        if (o.attempts.empty() || !o.attempts.back().out)
+            return;
         Attempt& a = o.attempts.back();
         const double waited = aims_since(o, a);
-        if (waited < kHungLook * 0.99) return;
+        if (waited < kHungLook * 0.99)
+            return;
         Member* target = find(a.target);
         Member* source = a.source ? find(*a.source) : nullptr;
         const bool looks = waited >= kFirstLook * 0.99;
@@ -809,7 +903,8 @@
             ++o.silent_caches;
             hold_against(*target, others_alive_since(*target, a.sent));
         }
-        if (source_silent) hold_against(*source, others_alive_since(*source, a.sent));
+        if (source_silent)
+            hold_against(*source, others_alive_since(*source, a.sent));
         const bool repeatable =
             class_of(o).effect == Effect::pure && static_cast<int>(o.attempts.size()) < set_.attempt_limit;
         // Retries of what was refused or cut off come first: they are early enough to count.
@@ -827,18 +922,21 @@
     bool is_hung(const Open& o, const Attempt& a) const {
         const Member* target = find(a.target);
         const Member* source = a.source ? find(*a.source) : nullptr;
-        if (!target || target->alive <= a.sent) return false;
+        if (!target || target->alive <= a.sent)
+            return false;
         const double usual = std::max(target->pace, source ? source->pace : 0);
         return aims_since(o, a) > std::max(a.source ? kHungFill : kHungLook, kHungPace * usual);
     }
     bool take_retry() {
-        if (retry_budget_ < 1) return false;
+        if (retry_budget_ < 1)
+            return false;
         retry_budget_ -= 1;
         return true;
     }
 
     void take(const Started& s) {
-        if (auto at = open_.find(s.request); at != open_.end()) at->second.started = true;
+        if (auto at = open_.find(s.request); at != open_.end())
+            at->second.started = true;
     }
     void take(const Abandoned& a) {
         if (auto at = open_.find(a.request); at != open_.end()) {
@@ -848,33 +946,43 @@
     }
     void take(const Outcome& e) {
         auto at = open_.find(e.request);
-        if (at == open_.end() || e.attempt >= at->second.attempts.size()) return;
+        if (at == open_.end() || e.attempt >= at->second.attempts.size())
+            return;
         Open& o = at->second;
         Attempt& a = o.attempts[e.attempt];
-        if (!a.out) return;
+        if (!a.out)
+            return;
         a.out = false;
         a.may_have_run = !(e.ending == Ending::full || e.ending == Ending::no_connection ||
                            e.ending == Ending::not_sent || e.ending == Ending::miss);
         judge(o, a, e);
-        if (e.over) o.answered = true;
-        if (!o.answered && !o.started) carry_on(o, e);
+        if (e.over)
+            o.answered = true;
+        if (!o.answered && !o.started)
+            carry_on(o, e);
         drop_if_done(at);
     }
     void drop_if_done(std::map<RequestId, Open>::iterator at) {
         const Open& o = at->second;
-        if (o.answered && std::ranges::none_of(o.attempts, &Attempt::out)) open_.erase(at);
+        if (o.answered && std::ranges::none_of(o.attempts, &Attempt::out))
+            open_.erase(at);
     }
     // What an ending says of the cache, of the source behind it, and of the origin.
     void judge(Open& o, Attempt& a, const Outcome& e) {
         Member* target = find(a.target);
         Member* source = a.source ? find(*a.source) : nullptr;
         const Member* from = source ? source : target;
-        if (from && from->role == Role::origin && !class_of(o).uncached) pause_origin(e.took);
-        if (target) --target->outstanding;
-        if (source) --source->fills_out;
+        if (from && from->role == Role::origin && !class_of(o).uncached)
+            pause_origin(e.took);
+        if (target)
+            --target->outstanding;
+        if (source)
+            --source->fills_out;
         a.hung = (e.ending == Ending::late || e.ending == Ending::cancelled) && is_hung(o, a);
-        if (e.ending == Ending::unseen) return;  // what was charged stands; nothing else was learned
-        if (target) judge_target(*target, a, e.ending);
+        if (e.ending == Ending::unseen)
+            return;  // what was charged stands; nothing else was learned
+        if (target)
+            judge_target(*target, a, e.ending);
         const bool good = e.ending == Ending::good;
         const bool hit = good && e.note == Note::hit;
         const bool filled = good && (e.note == Note::filled || e.note == Note::filled_by_origin ||
@@ -886,7 +994,8 @@
             !good && !a.hung && !spoilt && e.ending != Ending::miss && e.ending != Ending::cancelled;
         const bool in_time = good && e.took <= aim_of(o);
         const double pace = seconds(e.took) / std::max(1e-3, seconds(aim_of(o)));
-        if (target && hit) learn_pace(*target, pace);
+        if (target && hit)
+            learn_pace(*target, pace);
         if (source && (filled || (!a.hung && (e.ending == Ending::late || e.ending == Ending::cancelled))))
             learn_pace(*source, pace);
         if (source && filled) {
@@ -900,14 +1009,18 @@
             hold_against(*source, refused || others_alive_since(*source, a.sent),
                          refused ? kEjectAfter : kNoAnswer);
         }
-        if (hit || filled) learn(miss_share_, filled ? 1 : 0);
-        if (hit) learn_room(cache_trust_, in_time, kHitRegain);
-        if (filled || (a.source && failed)) learn_room(fill_trust_, in_time);
+        if (hit || filled)
+            learn(miss_share_, filled ? 1 : 0);
+        if (hit)
+            learn_room(cache_trust_, in_time, kHitRegain);
+        if (filled || (a.source && failed))
+            learn_room(fill_trust_, in_time);
         // Answers that do not tell the origin's part: any fill that was not asked of the parent alone.
         const bool told_held = set_.detail == Detail::all && e.note == Note::filled;
         const bool of_origin = e.note == Note::filled_by_origin || e.note == Note::origin_failed ||
                                a.direct_read || (a.source && !a.held_only && !told_held);
-        if (of_origin && (filled || failed || (good && a.direct_read))) learn_room(origin_trust_, in_time);
+        if (of_origin && (filled || failed || (good && a.direct_read)))
+            learn_room(origin_trust_, in_time);
         if (hit && o.request.size_kb <= 0) {
             // Untold sizes: a mean over all hits, as one that follows crowded answers calls them all in time.
             auto& seen = hits_seen_[o.request.class_index];
@@ -928,7 +1041,8 @@
         } else if (ending == Ending::no_connection || ending == Ending::reset || ending == Ending::error) {
             hold_against(m, true, ending == Ending::no_connection ? kNoAnswer : 1);
             // A lost answer resets one too.
-            if (ending == Ending::no_connection && !m.down_since) m.down_since = now_;
+            if (ending == Ending::no_connection && !m.down_since)
+                m.down_since = now_;
         } else if (ending == Ending::late && m.alive < a.sent) {
             hold_against(m, others_alive_since(m, a.sent));
         }
@@ -939,17 +1053,21 @@
         Attempt& a = o.attempts.back();
         bool& known = a.held_only ? o.lacked : o.missed;
         a.found_none = e.ending == Ending::miss && (a.held_only || !a.source) && !std::exchange(known, true);
-        if (a.held_only && a.found_none) o.missed = true;
+        if (a.held_only && a.found_none)
+            o.missed = true;
         // One held back because its cache or source has gone out of use meanwhile never was at any.
         const bool barred =
             e.ending == Ending::not_sent && (out_of_use(a.target) || (a.source && out_of_use(*a.source)));
         const bool budgeted = e.ending == Ending::cancelled || a.found_none || barred;
-        if (!barred && e.ending == Ending::not_sent) return give_up(o);
-        if (!budgeted && !take_retry()) return give_up(o);
+        if (!barred && e.ending == Ending::not_sent)
+            return give_up(o);
+        if (!budgeted && !take_retry())
+            return give_up(o);
         attempt(o);
     }
     void give_up(Open& o) {
-        if (o.answered) return;
+        if (o.answered)
+            return;
         o.answered = true;
         if (may_refuse(o)) {
             const Span wait = set_.retry_after ? std::min(set_.max_retry_after, class_of(o).aim) : Span{};
@@ -957,7 +1075,8 @@
         } else {
             out_.push_back(Fail{o.request.id});
         }
-        if (o.attempts.empty()) drop_if_done(open_.find(o.request.id));
+        if (o.attempts.empty())
+            drop_if_done(open_.find(o.request.id));
     }
 
     Settings set_;
@@ -990,9 +1109,17 @@
 Router::~Router() = default;
 Router::Router(Router&&) noexcept = default;
 Router& Router::operator=(Router&&) noexcept = default;
-std::vector<Action> Router::on(const Event& event, Time now) { return brain_->on(event, now); }
-void Router::share_with(int processes) { brain_->share_with(processes); }
-bool Router::avoids(const CacheId& id) const { return brain_->avoids(id); }
-Router::Sizes Router::sizes() const { return brain_->sizes(); }
+std::vector<Action> Router::on(const Event& event, Time now) {
+    return brain_->on(event, now);
+}
+void Router::share_with(int processes) {
+    brain_->share_with(processes);
+}
+bool Router::avoids(const CacheId& id) const {
+    return brain_->avoids(id);
+}
+Router::Sizes Router::sizes() const {
+    return brain_->sizes();
+}
 
 }  // namespace winchflow
--- a/src/cli/lab.cpp
+++ b/src/cli/lab.cpp
@@ -28,7 +28,8 @@
     auto options = std::make_shared<lab::FleetSimOptions>();
     auto csv = std::make_shared<bool>(false);
     std::map<std::string, lab::Fault> faults;
-    for (const auto f : lab::all_faults()) faults.emplace(lab::name_of(f), f);
+    for (const auto f : lab::all_faults())
+        faults.emplace(lab::name_of(f), f);
     fleet->add_option("--members", options->members, "how many members")->check(CLI::Range(2, 4000));
     fleet->add_option("--seed", options->seed, "the same seed gives the same run");
     fleet->add_option("--faults", options->faults, "which scenarios, by name and comma; all if absent")
@@ -44,7 +45,8 @@
                          "msgs/m/s bytes/m/s");
         const auto rows = lab::simulate_fleet(*options, [csv](const lab::FleetSimRow& r) { print(r, *csv); });
         for (const auto& r : rows)
-            if (r.settled_ms < 0) code = 1;
+            if (r.settled_ms < 0)
+                code = 1;
     });
 }
 
@@ -105,7 +107,8 @@
             static_cast<unsigned long long>(sum.changes), static_cast<unsigned long long>(sum.crashes),
             static_cast<unsigned long long>(sum.full_copies), static_cast<unsigned long long>(sum.forgotten),
             static_cast<long long>(sum.converged_ms));
-        if (wrong > 0) code = 1;
+        if (wrong > 0)
+            code = 1;
     });
 }
 
@@ -131,7 +134,8 @@
                     static_cast<unsigned long long>(f.epochs), static_cast<unsigned long long>(f.written),
                     static_cast<long long>(f.without_ms), static_cast<long long>(f.back_ms), f.changes_per_h,
                     f.flaps_per_h);
-        if (f.region_ms < 0 || f.fleet_ms < 0 || f.without_ms < 0 || f.back_ms < 0) code = 1;
+        if (f.region_ms < 0 || f.fleet_ms < 0 || f.without_ms < 0 || f.back_ms < 0)
+            code = 1;
     });
 }
 
--- a/src/cli/trace.cpp
+++ b/src/cli/trace.cpp
@@ -39,11 +39,19 @@
     explicit Input(const std::string& path) : path_(path), source_(open_source(path)) {
         try {
             reader_ = std::make_unique<Reader>(*source_);
-        } catch (const Unreadable& e) { throw Unreadable(path + ": " + e.what()); }
+        } catch (const Unreadable& e) {
+            throw Unreadable(path + ": " + e.what());
+        }
+    }
+    Reader& reader() {
+        return *reader_;
+    }
+    const std::string& path() const {
+        return path_;
+    }
+    std::uint64_t bytes() const {
+        return source_->size();
     }
-    Reader& reader() { return *reader_; }
-    const std::string& path() const { return path_; }
-    std::uint64_t bytes() const { return source_->size(); }
     // 0 or 3.
     int tell() const {
         for (const Damage& d : reader_->damage())
@@ -67,10 +75,12 @@
 public:
     Bar() : shown_(::isatty(STDERR_FILENO) != 0) {}
     ~Bar() {
-        if (any_) std::fputs("\r          \r", stderr);
+        if (any_)
+            std::fputs("\r          \r", stderr);
     }
     Progress progress() {
-        if (!shown_) return {};
+        if (!shown_)
+            return {};
         return [this](double share) {
             any_ = true;
             std::fprintf(stderr, "\r%3.0f %%", std::min(1.0, share) * 100);
@@ -84,7 +94,8 @@
 
 std::int64_t first_time(const Reader& reader) {
     std::int64_t first = std::numeric_limits<std::int64_t>::max();
-    for (const auto& c : reader.chunks()) first = std::min(first, c.summary.first_unix_ns);
+    for (const auto& c : reader.chunks())
+        first = std::min(first, c.summary.first_unix_ns);
     return reader.chunks().empty() ? 0 : first;
 }
 
@@ -100,15 +111,18 @@
                                    {"s", 1e9},
                                    {"m", 60e9},
                                    {"h", 3600e9}})
-        if (unit == word) by = ns;
+        if (unit == word)
+            by = ns;
     if (error != std::errc{} || by == 0 || !(std::abs(value * by) < 9e18))
         throw Usage("not a span of time (as 10s, 250ms, 1.5h): " + text);
     return static_cast<std::int64_t>(value * by);
 }
 
 std::int64_t parse_when(const std::string& text, const Reader& reader) {
-    if (text.starts_with('+')) return first_time(reader) + parse_span(text.substr(1));
-    if (const auto t = parse_time(text)) return *t;
+    if (text.starts_with('+'))
+        return first_time(reader) + parse_span(text.substr(1));
+    if (const auto t = parse_time(text))
+        return *t;
     throw Usage("not a time (as 2026-06-30T10:00:00Z, or +10s from the begin): " + text);
 }
 
@@ -130,9 +144,12 @@
     }
     state::Selection selection(const Reader& reader) const {
         state::Selection s;
-        if (!from.empty()) s.from_unix_ns = parse_when(from, reader);
-        if (!to.empty()) s.to_unix_ns = parse_when(to, reader);
-        if (s.from_unix_ns >= s.to_unix_ns) throw Usage("--from is not before --to");
+        if (!from.empty())
+            s.from_unix_ns = parse_when(from, reader);
+        if (!to.empty())
+            s.to_unix_ns = parse_when(to, reader);
+        if (s.from_unix_ns >= s.to_unix_ns)
+            throw Usage("--from is not before --to");
         s.classes = classes;
         s.outcomes = outcomes;
         s.boxes = boxes;
@@ -144,12 +161,15 @@
                 throw Usage("not an object (16 hex digits): " + o);
             s.objects.push_back(id);
         }
-        if (const auto* word = s.unknown_outcome()) throw Usage("not an outcome: " + *word);
+        if (const auto* word = s.unknown_outcome())
+            throw Usage("not an outcome: " + *word);
         return s;
     }
 };
 
-void print(const Json::Value& json) { std::cout << config::json_line(json) << '\n'; }
+void print(const Json::Value& json) {
+    std::cout << config::json_line(json) << '\n';
+}
 
 // ---- info, verify ------------------------------------------------------------------------------
 
@@ -173,11 +193,14 @@
     std::map<std::string, std::uint64_t> all;
     for (std::size_t i = 0; i < reader.chunks().size(); ++i)
         if (const auto head = reader.head(i))
-            for (const auto& [name, bytes] : head->column_bytes()) all[name] += bytes;
+            for (const auto& [name, bytes] : head->column_bytes())
+                all[name] += bytes;
     std::vector<std::pair<std::uint64_t, std::string>> largest;
-    for (const auto& [name, bytes] : all) largest.emplace_back(bytes, name);
+    for (const auto& [name, bytes] : all)
+        largest.emplace_back(bytes, name);
     std::sort(largest.rbegin(), largest.rend());
-    for (const auto& [bytes, name] : largest) std::printf("%12llu  %s\n", ull{bytes}, name.c_str());
+    for (const auto& [bytes, name] : largest)
+        std::printf("%12llu  %s\n", ull{bytes}, name.c_str());
 }
 
 int info(const std::vector<std::string>& files, bool as_json, bool columns) {
@@ -229,7 +252,8 @@
                 std::printf("    router %s, started %s\n", r.name.c_str(),
                             time_text(r.incarnation_unix_ns).c_str());
         }
-        if (columns) print_columns(reader);
+        if (columns)
+            print_columns(reader);
         code = std::max(code, in.tell());
     }
     return code;
@@ -278,7 +302,8 @@
         j["events"] = Json::Value{Json::UInt64{replay.events()}};
         j["decisions"] = Json::Value{Json::UInt64{replay.decisions()}};
         j["differences"] = Json::Value{Json::UInt64{replay.differences()}};
-        if (replay.stopped()) j["stopped"] = *replay.stopped();
+        if (replay.stopped())
+            j["stopped"] = *replay.stopped();
         j["by_class"] = Json::Value{Json::objectValue};
         for (const auto& [key, n] : replay.sums())
             j["by_class"][key.first][Replay::name_of(key.second)] = Json::Value{Json::UInt64{n}};
@@ -310,8 +335,10 @@
             });
         }
     }
-    if (replay.stopped()) std::fprintf(stderr, "compared up to there: %s\n", replay.stopped()->c_str());
-    if (first) return kDiffers;
+    if (replay.stopped())
+        std::fprintf(stderr, "compared up to there: %s\n", replay.stopped()->c_str());
+    if (first)
+        return kDiffers;
     return replay.stopped() ? std::max(code, kDamaged) : code;
 }
 
@@ -320,10 +347,14 @@
 const char* from_word(const MergedSource& s) {
     using From = state::SkewEstimate::From;
     switch (s.estimate.from) {
-        case From::reference: return "reference";
-        case From::purges: return "purges";
-        case From::copies: return "copies";
-        case From::given: return "given";
+        case From::reference:
+            return "reference";
+        case From::purges:
+            return "purges";
+        case From::copies:
+            return "copies";
+        case From::given:
+            return "given";
     }
     return "";
 }
@@ -334,7 +365,8 @@
     for (const std::string& o : offsets) {
         const auto at = o.rfind('=');
         double ms = 0;
-        if (at == std::string::npos || at == 0) throw Usage("--offset takes NAME=MS: " + o);
+        if (at == std::string::npos || at == 0)
+            throw Usage("--offset takes NAME=MS: " + o);
         const auto [end, error] = std::from_chars(o.data() + at + 1, o.data() + o.size(), ms);
         if (error != std::errc{} || end != o.data() + o.size() || !(std::abs(ms) < 1e12))
             throw Usage("not a number of ms: " + o);
@@ -366,11 +398,15 @@
         one["from"] = s.reference ? "reference" : from_word(s);
         one["shared"] = Json::Value{Json::UInt64{e.shared}};
         one["trimmed"] = Json::Value{Json::UInt64{e.trimmed}};
-        if (e.order_gap_ns) one["order_gap_ms"] = *e.order_gap_ns / 1e6;
-        if (!s.borrowed.empty()) one["borrowed_from_start"] = s.borrowed;
-        for (const auto& f : s.files) one["files"].append(f);
+        if (e.order_gap_ns)
+            one["order_gap_ms"] = *e.order_gap_ns / 1e6;
+        if (!s.borrowed.empty())
+            one["borrowed_from_start"] = s.borrowed;
+        for (const auto& f : s.files)
+            one["files"].append(f);
         j["routers"].append(one);
-        if (as_json) continue;
+        if (as_json)
+            continue;
         std::fprintf(to, "%s (started %s): %+.3f ms", s.router.c_str(),
                      time_text(s.incarnation_unix_ns).c_str(), e.offset_ns / 1e6);
         if (s.reference) {
@@ -391,7 +427,8 @@
     else
         std::fprintf(to, "%llu records\n", ull{result.records});
     int code = 0;
-    for (const auto& in : inputs) code = std::max(code, in->tell());
+    for (const auto& in : inputs)
+        code = std::max(code, in->tell());
     return code;
 }
 
@@ -404,9 +441,11 @@
         return key;
     }
     std::ifstream in{file, std::ios::binary};
-    if (!in) throw IoError(file + ": can't be read");
+    if (!in)
+        throw IoError(file + ": can't be read");
     key.assign(std::istreambuf_iterator<char>{in}, {});
-    if (key.size() < 16) throw ToolError(file + ": a key of under 16 bytes");
+    if (key.size() < 16)
+        throw ToolError(file + ": a key of under 16 bytes");
     return key;
 }
 
@@ -415,13 +454,15 @@
     const auto slash = path.rfind('/');
     const bool has = dot != std::string::npos && (slash == std::string::npos || dot > slash);
     std::string name = (has ? path.substr(0, dot) : path) + "-" + router;
-    if (incarnation > 1) name += "-" + std::to_string(incarnation);
+    if (incarnation > 1)
+        name += "-" + std::to_string(incarnation);
     return name + (has ? path.substr(dot) : "");
 }
 
 int make_synth(const SynthPlan& plan, const std::string& out, const std::string& truth_file) {
     std::vector<std::unique_ptr<FileSink>> sinks;
-    if (plan.routers > 1 && out == "-") throw Usage("several routers make several files: -o takes a name");
+    if (plan.routers > 1 && out == "-")
+        throw Usage("several routers make several files: -o takes a name");
     std::vector<SynthTruth> truth;
     {
         Bar bar;
@@ -539,7 +580,8 @@
         Bar bar;
         const auto result = cut(in.reader(), selection, sink, bar.progress());
         std::fprintf(stderr, "%llu records", ull{result.records});
-        if (!selection.all_calls()) std::fprintf(stderr, " of %llu calls", ull{result.calls});
+        if (!selection.all_calls())
+            std::fprintf(stderr, " of %llu calls", ull{result.calls});
         std::fputc('\n', stderr);
         return in.tell();
     });
@@ -564,7 +606,8 @@
         StripOptions options;
         options.key = key_for(all->key_file);
         options.objects = all->objects;
-        if (!all->shift.empty()) options.shift_ns = parse_span(all->shift);
+        if (!all->shift.empty())
+            options.shift_ns = parse_span(all->shift);
         FileSink sink{all->out};
         Bar bar;
         const auto result = strip(in.reader(), options, sink, bar.progress());
--- a/src/cluster/failover.cpp
+++ b/src/cluster/failover.cpp
@@ -33,7 +33,8 @@
 std::vector<std::string> in_order(std::vector<std::pair<std::uint64_t, std::string>> hashed) {
     std::sort(hashed.begin(), hashed.end());
     std::vector<std::string> out;
-    for (auto& [hash, member] : hashed) out.push_back(std::move(member));
+    for (auto& [hash, member] : hashed)
+        out.push_back(std::move(member));
     return out;
 }
 
@@ -53,7 +54,8 @@
 
 std::string text_of(const Decision& d) {
     std::string out = std::to_string(d.epoch);
-    for (const auto& [zone, part] : d.targets) out += " " + zone + "=" + std::to_string(part);
+    for (const auto& [zone, part] : d.targets)
+        out += " " + zone + "=" + std::to_string(part);
     return out;
 }
 
@@ -61,27 +63,34 @@
     std::istringstream words{text};
     Decision d;
     std::string word;
-    if (!(words >> word)) return std::nullopt;
+    if (!(words >> word))
+        return std::nullopt;
     const auto [end, error] = std::from_chars(word.data(), word.data() + word.size(), d.epoch);
-    if (error != std::errc{} || end != word.data() + word.size() || d.epoch == 0) return std::nullopt;
+    if (error != std::errc{} || end != word.data() + word.size() || d.epoch == 0)
+        return std::nullopt;
     while (words >> word) {
         const auto at = word.rfind('=');
         if (at == std::string::npos || at == 0 || d.targets.size() >= FailoverSettings::kMostTargets)
             return std::nullopt;
         const int part = number_of(std::string_view{word}.substr(at + 1), 100);
-        if (part <= 0 || !d.targets.emplace(word.substr(0, at), part).second) return std::nullopt;
+        if (part <= 0 || !d.targets.emplace(word.substr(0, at), part).second)
+            return std::nullopt;
     }
-    if (d.out() > 100) return std::nullopt;
+    if (d.out() > 100)
+        return std::nullopt;
     return d;
 }
 
 Decision in_force(const Entry* entry) {
     Decision out;
-    if (!entry) return out;
+    if (!entry)
+        return out;
     for (const auto& [origin, mark] : entry->marks) {
-        if (!mark.live()) continue;
+        if (!mark.live())
+            continue;
         auto d = decision_of(mark.value);
-        if (!d || d->epoch < out.epoch || (d->epoch == out.epoch && mark.stamp >= out.stamp)) continue;
+        if (!d || d->epoch < out.epoch || (d->epoch == out.epoch && mark.stamp >= out.stamp))
+            continue;
         out = std::move(*d);
         out.stamp = mark.stamp;
         out.by = origin;
@@ -89,28 +98,41 @@
     return out;
 }
 
-std::string zone_subject(const std::string& zone) { return "zone/" + zone; }
-std::string decision_key(const std::string& zone) { return "failover/" + zone; }
-std::string pin_key(const std::string& zone) { return "pin/" + zone; }
+std::string zone_subject(const std::string& zone) {
+    return "zone/" + zone;
+}
+std::string decision_key(const std::string& zone) {
+    return "failover/" + zone;
+}
+std::string pin_key(const std::string& zone) {
+    return "pin/" + zone;
+}
 
 Health health_of(const std::vector<ZoneBox>& boxes, bool steered) {
     double all = 0, up = 0, warm = 0;
     for (const auto& box : boxes) {
         all += box.weight;
-        if (box.banned || box.probed == false) continue;
-        if (steered ? box.probed != true : box.avoided) continue;
+        if (box.banned || box.probed == false)
+            continue;
+        if (steered ? box.probed != true : box.avoided)
+            continue;
         up += box.weight;
         warm += box.weight * box.warm;
     }
-    const auto fives = [all](double part) { return static_cast<int>(part / all * 20 + 1e-9) * 5; };
+    const auto fives = [all](double part) {
+        return static_cast<int>(part / all * 20 + 1e-9) * 5;
+    };
     return all > 0 ? Health{fives(up), fives(warm)} : Health{};
 }
 
-std::string text_of(Health health) { return std::to_string(health.up) + " " + std::to_string(health.warm); }
+std::string text_of(Health health) {
+    return std::to_string(health.up) + " " + std::to_string(health.warm);
+}
 
 std::optional<Health> health_of_report(const std::string& text) {
     const auto space = text.find(' ');
-    if (space == std::string::npos) return std::nullopt;
+    if (space == std::string::npos)
+        return std::nullopt;
     const Health h{number_of(std::string_view{text}.substr(0, space), 100),
                    number_of(std::string_view{text}.substr(space + 1), 100)};
     return h.up < 0 || h.warm < 0 ? std::nullopt : std::optional{h};
@@ -118,7 +140,8 @@
 
 Failover::Failover(std::string name, std::string zone, FailoverSettings settings)
     : name_(std::move(name)), zone_(std::move(zone)), settings_(std::move(settings)) {
-    for (const auto& z : settings_.zones) zones_[z.name];
+    for (const auto& z : settings_.zones)
+        zones_[z.name];
 }
 
 const std::string& Failover::region_of(const std::string& zone) const {
@@ -131,12 +154,14 @@
 // A zone's witnesses are the same few on every router that has the same view. False: they are as they were.
 bool Failover::group(const Input& in) {
     const bool told = in.view_revision != 0;
-    if (looked_ && (told ? in.view_revision == view_revision_ : *in.alive == alive_)) return false;
+    if (looked_ && (told ? in.view_revision == view_revision_ : *in.alive == alive_))
+        return false;
     view_revision_ = in.view_revision;
     alive_ = told ? std::map<std::string, std::string>{} : *in.alive;
     std::map<std::string, std::vector<std::pair<std::uint64_t, std::string>>> by_zone;
     for (const auto& [member, zone] : *in.alive)
-        if (zones_.contains(zone)) by_zone[zone].emplace_back(fnv(fnv(kFnvBasis, zone), member), member);
+        if (zones_.contains(zone))
+            by_zone[zone].emplace_back(fnv(fnv(kFnvBasis, zone), member), member);
     witnesses_.clear();
     for (auto& [name, z] : zones_) {
         z.alive = by_zone[name].size();
@@ -161,7 +186,8 @@
                     warm.push_back(h->warm);
                 }
         z.health.reset();
-        if (seen.empty() || 2 * seen.size() <= counted.size()) continue;
+        if (seen.empty() || 2 * seen.size() <= counted.size())
+            continue;
         // Of two the better one: one router's word moves nobody.
         std::sort(seen.begin(), seen.end());
         std::sort(warm.begin(), warm.end());
@@ -175,12 +201,14 @@
     std::size_t configured = 0, alive = 0;
     const bool regrouped = group(in);
     for (const auto& z : settings_.zones) {
-        if (z.region != region_of(zone_)) continue;
+        if (z.region != region_of(zone_))
+            continue;
         configured += z.routers;
         alive += std::min(z.routers, zones_[z.name].alive);
     }
     quorum_ = 2 * alive > configured;
-    if (regrouped || in.reports_revision == 0 || in.reports_revision != reports_revision_) read_reports(in);
+    if (regrouped || in.reports_revision == 0 || in.reports_revision != reports_revision_)
+        read_reports(in);
     reports_revision_ = in.reports_revision;
     for (auto& [name, z] : zones_) {
         if (z.health) {
@@ -217,7 +245,8 @@
 std::map<std::string, int> Failover::spread(const std::string& zone, int out) const {
     std::vector<std::string> regions{region_of(zone)};
     for (const auto& z : settings_.zones)
-        if (std::find(regions.begin(), regions.end(), z.region) == regions.end()) regions.push_back(z.region);
+        if (std::find(regions.begin(), regions.end(), z.region) == regions.end())
+            regions.push_back(z.region);
     std::map<std::string, int> parts;
     int rest = out;
     for (const auto& region : regions) {
@@ -229,7 +258,8 @@
                          [](const auto& a, const auto& b) { return a.first > b.first; });
         room.resize(std::min(room.size(), FailoverSettings::kMostTargets - parts.size()));
         int all = 0;
-        for (const auto& r : room) all += r.first;
+        for (const auto& r : room)
+            all += r.first;
         int level = std::min(rest, all);
         rest -= level;
         for (const auto& [s, name] : room) {
@@ -238,14 +268,16 @@
             const int given = std::min(part, level);
             level -= given;
             all -= s;
-            if (given > 0) parts[name] = given;
+            if (given > 0)
+                parts[name] = given;
         }
     }
     // Nothing is left at home: rather too much for the others than nobody's.
     if (out == 100 && rest > 0 && !parts.empty()) {
         const int sum = 100 - rest;
         int given = 0;
-        for (auto& [name, part] : parts) given += part = part * 100 / sum;
+        for (auto& [name, part] : parts)
+            given += part = part * 100 / sum;
         parts.begin()->second += 100 - given;
     }
     return parts;
@@ -257,7 +289,8 @@
     const int now = z.decision.out();
     Decision d = z.decision;
     const bool by_hand = z.pin != Pin::none;
-    if (!by_hand && !z.health) return d;
+    if (!by_hand && !z.health)
+        return d;
     const bool lost = !by_hand && *z.health == 0;
     int want = z.pin == Pin::out ? 100 : 0;
     if (!by_hand)
@@ -297,7 +330,8 @@
 std::map<std::string, double> Failover::factors(const Input& in) const {
     std::map<std::string, double> out;
     const auto own = zones_.find(zone_);
-    if (own == zones_.end()) return out;
+    if (own == zones_.end())
+        return out;
     const auto share_of_guests = [&](const std::string& host) {
         double sum = 0;
         for (const auto& [name, z] : zones_)
@@ -311,20 +345,24 @@
     for (const auto& [name, part] : own->second.decision.targets) {
         // None of it is listed here. Before there is any list, what was decided holds all the same.
         const auto weight = in.weights.find(name);
-        if (!in.weights.empty() && (weight == in.weights.end() || weight->second <= 0)) continue;
+        if (!in.weights.empty() && (weight == in.weights.end() || weight->second <= 0))
+            continue;
         away += out[name] = part / 100.0;
         together = std::min(together, 1 / (1 + share_of_guests(name)));
     }
     // As listed; or nowhere to go: near, rather than nowhere.
-    if (out.empty() && (home <= 0 || (home >= 1 && together >= 1))) return {};
-    for (auto& [name, part] : out) part *= (1 - home) / away * ratio(in.weights, zone_, name) * together;
+    if (out.empty() && (home <= 0 || (home >= 1 && together >= 1)))
+        return {};
+    for (auto& [name, part] : out)
+        part *= (1 - home) / away * ratio(in.weights, zone_, name) * together;
     out[zone_] = home * together;
     return out;
 }
 
 // Each report is told to every router: what comes and goes within a second or two is not.
 Health Failover::worth_saying(Health health, Time now) {
-    if (said_ == health) differs_since_.reset();
+    if (said_ == health)
+        differs_since_.reset();
     if (!said_ || (said_ != health && (health.up == 0 || std::abs(health.up - said_->up) >= kWorthSaying ||
                                        (differs_since_ && now - *differs_since_ >= kLasting)))) {
         said_ = health;
@@ -348,7 +386,8 @@
     for (auto& [name, z] : zones_) {
         const auto at = in.shared->find(decision_key(name));
         const auto d = in_force(at == in.shared->end() ? nullptr : &at->second);
-        if (d.epoch == z.decision.epoch && d.same(z.decision)) continue;
+        if (d.epoch == z.decision.epoch && d.same(z.decision))
+            continue;
         if (looked_) {
             const int turned = d.out() > z.decision.out() ? 1 : d.out() < z.decision.out() ? -1 : 0;
             int& before = direction_[name];
@@ -357,7 +396,8 @@
                 z.damp = before < 0 && in.now - z.since < 2 * z.damp * settings_.hold
                              ? std::min(2 * z.damp, kMostDamp)
                              : 1;
-            if (turned != 0) before = turned;
+            if (turned != 0)
+                before = turned;
             ++z.changes;
             z.flaps += flap ? 1 : 0;
             step.changes.push_back({name, z.decision, d, flap});
@@ -368,24 +408,30 @@
     }
     looked_ = true;
     for (const auto& [name, z] : zones_) {
-        if (region_of(name) != region_of(zone_)) continue;
+        if (region_of(name) != region_of(zone_))
+            continue;
         auto wish = quorum_ && in.now >= awake_ ? wished(name) : z.decision;
         if (wish.same(z.decision)) {
             wishes_.erase(name);
             continue;
         }
         const auto [at, fresh] = wishes_.try_emplace(name, Wish{wish, in.now});
-        const auto way = [&z](const Decision& d) { return d.out() > z.decision.out() ? 1 : -1; };
-        if (!fresh && way(at->second.decision) != way(wish)) at->second.since = in.now;
+        const auto way = [&z](const Decision& d) {
+            return d.out() > z.decision.out() ? 1 : -1;
+        };
+        if (!fresh && way(at->second.decision) != way(wish))
+            at->second.since = in.now;
         at->second.decision = wish;
         Time due = at->second.since + settings_.confirm;
         const bool back = wish.out() < z.decision.out() && z.pin == Pin::none;
-        if (z.decision.epoch > 0) due = std::max(due, z.since + settings_.hold * (back ? z.damp : 1));
+        if (z.decision.epoch > 0)
+            due = std::max(due, z.since + settings_.hold * (back ? z.damp : 1));
         ++wish.epoch;
         const auto order = turns(name, wish.epoch, *in.alive);
         const auto rank =
             static_cast<std::size_t>(std::find(order.begin(), order.end(), name_) - order.begin());
-        if (in.now < due + settings_.slot * static_cast<Time::rep>(std::min(rank, kLastTurn))) continue;
+        if (in.now < due + settings_.slot * static_cast<Time::rep>(std::min(rank, kLastTurn)))
+            continue;
         step.writes.push_back({name, wish});
     }
     step.factors = factors(in);
--- a/src/cluster/failover.h
+++ b/src/cluster/failover.h
@@ -63,7 +63,9 @@
     Stamp stamp = 0;
     std::string by;  // its origin
     int out() const;
-    bool same(const Decision& other) const { return targets == other.targets; }
+    bool same(const Decision& other) const {
+        return targets == other.targets;
+    }
 };
 // As a value of the replicated state: "EPOCH ZONE=PERCENT ...".
 std::string text_of(const Decision& decision);
@@ -145,9 +147,15 @@
         int damp = 1;
         Time since{};  // when its decision was seen here
     };
-    const std::map<std::string, Standing>& standings() const { return zones_; }
-    const FailoverSettings& settings() const { return settings_; }
-    bool quorum() const { return quorum_; }
+    const std::map<std::string, Standing>& standings() const {
+        return zones_;
+    }
+    const FailoverSettings& settings() const {
+        return settings_;
+    }
+    bool quorum() const {
+        return quorum_;
+    }
     const std::string& region_of(const std::string& zone) const;
     // Whose turn it is to write that epoch of the zone, of the members alive; the first one first.
     std::vector<std::string> turns(const std::string& zone, std::uint64_t epoch,
--- a/src/cluster/hash.h
+++ b/src/cluster/hash.h
@@ -10,11 +10,13 @@
 inline constexpr std::uint64_t kFnvBasis = 14695981039346656037ULL;
 
 inline std::uint64_t fnv(std::uint64_t h, std::string_view bytes) {
-    for (const unsigned char c : bytes) h = (h ^ c) * 1099511628211ULL;
+    for (const unsigned char c : bytes)
+        h = (h ^ c) * 1099511628211ULL;
     return h;
 }
 inline std::uint64_t fnv(std::uint64_t h, std::uint64_t number) {
-    for (int i = 0; i < 8; ++i) h = (h ^ ((number >> (8 * i)) & 0xff)) * 1099511628211ULL;
+    for (int i = 0; i < 8; ++i)
+        h = (h ^ ((number >> (8 * i)) & 0xff)) * 1099511628211ULL;
     return h;
 }
 
--- a/src/cluster/hearsay.cpp
+++ b/src/cluster/hearsay.cpp
@@ -8,10 +8,14 @@
 constexpr Time kSpreadPerMember{20};
 constexpr Time kLongestSpread{5000};
 
-std::string drain_of(const SeenBox& box) { return "drain " + std::to_string(box.started_ms); }
+std::string drain_of(const SeenBox& box) {
+    return "drain " + std::to_string(box.started_ms);
+}
 }  // namespace
 
-std::string box_subject(const std::string& id) { return "box/" + id; }
+std::string box_subject(const std::string& id) {
+    return "box/" + id;
+}
 
 Hearsay::Hearsay(std::string name, HearsaySettings settings, std::uint64_t seed)
     : name_(std::move(name)),
@@ -27,7 +31,8 @@
         [&](const std::string& reporter) { return reporter != name_ && alive.contains(reporter); });
     const auto sayers = [&reports](const std::string& subject, const std::string& value) {
         const auto at = reports.find(subject);
-        if (at == reports.end()) return std::size_t{0};
+        if (at == reports.end())
+            return std::size_t{0};
         return static_cast<std::size_t>(
             std::count_if(at->second.begin(), at->second.end(),
                           [&value](const auto& report) { return report.second.value == value; }));
@@ -35,25 +40,30 @@
 
     std::map<std::string, std::string> wanted;
     for (const auto& box : boxes) {
-        if ((!box.avoided && !box.leaving) || wanted.size() >= settings_.most_subjects) continue;
-        if (report_key(box_subject(box.id), name_).empty()) continue;
+        if ((!box.avoided && !box.leaving) || wanted.size() >= settings_.most_subjects)
+            continue;
+        if (report_key(box_subject(box.id), name_).empty())
+            continue;
         wanted.emplace(box_subject(box.id), box.leaving ? drain_of(box) : "out");
     }
     voice_.spread(std::min(kLongestSpread, kSpreadPerMember * static_cast<Time::rep>(std::min<std::size_t>(
                                                                   alive.size(), 1'000))));
     step.say = voice_.tick(now, wanted,
                            [&](const std::string& subject) { return sayers(subject, wanted.at(subject)); });
-    for (const auto& say : step.say) ++(say.value ? counts_.said : counts_.taken_back);
+    for (const auto& say : step.say)
+        ++(say.value ? counts_.said : counts_.taken_back);
 
     std::map<std::string, std::pair<std::size_t, std::size_t>>
         by_zone;  // of usable ones: all, out by hearsay
     std::vector<const SeenBox*> heard;
     for (const auto& box : boxes) {
-        if (box.leaving) continue;
+        if (box.leaving)
+            continue;
         auto& [all, out] = by_zone[box.zone];
         ++all;
         // Who keeps away from it by itself, or would say so in a moment, judges by itself.
-        if (box.avoided) continue;
+        if (box.avoided)
+            continue;
         const auto subject = box_subject(box.id);
         if (sayers(subject, "out") < settings_.quorum && sayers(subject, drain_of(box)) < settings_.quorum)
             continue;
@@ -64,12 +74,16 @@
     for (const auto& [zone, count] : by_zone)
         if (static_cast<double>(count.second) > settings_.most_share * static_cast<double>(count.first))
             panicked.insert(zone);
-    for (const auto& zone : panicked) counts_.panics += panicked_.contains(zone) ? 0 : 1;
+    for (const auto& zone : panicked)
+        counts_.panics += panicked_.contains(zone) ? 0 : 1;
     panicked_ = std::move(panicked);
     for (const auto* box : heard)
-        if (!panicked_.contains(box->zone)) step.out.insert(box->id);
-    for (const auto& id : step.out) counts_.held_out += out_.contains(id) ? 0 : 1;
-    for (const auto& id : out_) counts_.let_in += step.out.contains(id) ? 0 : 1;
+        if (!panicked_.contains(box->zone))
+            step.out.insert(box->id);
+    for (const auto& id : step.out)
+        counts_.held_out += out_.contains(id) ? 0 : 1;
+    for (const auto& id : out_)
+        counts_.let_in += step.out.contains(id) ? 0 : 1;
     step.changed = out_ != step.out;
     out_ = step.out;
     return step;
--- a/src/cluster/hearsay.h
+++ b/src/cluster/hearsay.h
@@ -51,8 +51,12 @@
     struct Counts {
         std::uint64_t said = 0, taken_back = 0, held_out = 0, let_in = 0, panics = 0;
     };
-    const Counts& counts() const { return counts_; }
-    std::size_t out() const { return out_.size(); }
+    const Counts& counts() const {
+        return counts_;
+    }
+    std::size_t out() const {
+        return out_.size();
+    }
 
 private:
     std::string name_;
--- a/src/cluster/members.cpp
+++ b/src/cluster/members.cpp
@@ -10,37 +10,56 @@
 
 const char* name_of(State state) {
     switch (state) {
-        case State::alive: return "alive";
-        case State::suspect: return "suspect";
-        case State::dead: return "dead";
-        case State::left: return "left";
+        case State::alive:
+            return "alive";
+        case State::suspect:
+            return "suspect";
+        case State::dead:
+            return "dead";
+        case State::left:
+            return "left";
     }
     return "?";
 }
 
 const char* name_of(Message::Kind kind) {
     switch (kind) {
-        case Message::Kind::ping: return "ping";
-        case Message::Kind::ack: return "ack";
-        case Message::Kind::ping_req: return "ping_req";
-        case Message::Kind::nack: return "nack";
-        case Message::Kind::push: return "push";
-        case Message::Kind::pull: return "pull";
-        case Message::Kind::gossip: return "gossip";
+        case Message::Kind::ping:
+            return "ping";
+        case Message::Kind::ack:
+            return "ack";
+        case Message::Kind::ping_req:
+            return "ping_req";
+        case Message::Kind::nack:
+            return "nack";
+        case Message::Kind::push:
+            return "push";
+        case Message::Kind::pull:
+            return "pull";
+        case Message::Kind::gossip:
+            return "gossip";
     }
     return "?";
 }
 
 const char* name_of(Event::Kind kind) {
     switch (kind) {
-        case Event::Kind::join: return "join";
-        case Event::Kind::suspect: return "suspect";
-        case Event::Kind::refute: return "refute";
-        case Event::Kind::dead: return "dead";
-        case Event::Kind::left: return "left";
-        case Event::Kind::rejoin: return "rejoin";
-        case Event::Kind::alive_again: return "alive_again";
-        case Event::Kind::forgotten: return "forgotten";
+        case Event::Kind::join:
+            return "join";
+        case Event::Kind::suspect:
+            return "suspect";
+        case Event::Kind::refute:
+            return "refute";
+        case Event::Kind::dead:
+            return "dead";
+        case Event::Kind::left:
+            return "left";
+        case Event::Kind::rejoin:
+            return "rejoin";
+        case Event::Kind::alive_again:
+            return "alive_again";
+        case Event::Kind::forgotten:
+            return "forgotten";
     }
     return "?";
 }
@@ -73,11 +92,14 @@
 // not.
 bool far_apart(const Digest& a, const Digest& b) {
     std::size_t differ = 0;
-    for (std::size_t i = 0; i < kBuckets; ++i) differ += a.buckets[i] != b.buckets[i];
+    for (std::size_t i = 0; i < kBuckets; ++i)
+        differ += a.buckets[i] != b.buckets[i];
     return a.roster != b.roster || differ > kBuckets / 2;
 }
 
-std::size_t bucket_of(const std::string& name) { return fnv(kFnvBasis, name) % kBuckets; }
+std::size_t bucket_of(const std::string& name) {
+    return fnv(kFnvBasis, name) % kBuckets;
+}
 
 }  // namespace
 
@@ -95,18 +117,23 @@
     std::vector<Record> out;
     const auto add = [&](const Record& r) {
         const auto b = bucket_of(r.who.name);
-        if (digest_.buckets[b] != other.buckets[b]) out.push_back(r);
+        if (digest_.buckets[b] != other.buckets[b])
+            out.push_back(r);
     };
     add(self_);
-    for (const auto& [name, member] : members_) add(member.record);
+    for (const auto& [name, member] : members_)
+        add(member.record);
     return out;
 }
 
-std::vector<Event> Members::take_events() { return std::exchange(events_, {}); }
+std::vector<Event> Members::take_events() {
+    return std::exchange(events_, {});
+}
 
 std::vector<Record> Members::records() const {
     std::vector<Record> out{self_};
-    for (const auto& [name, member] : members_) out.push_back(member.record);
+    for (const auto& [name, member] : members_)
+        out.push_back(member.record);
     return out;
 }
 
@@ -143,12 +170,14 @@
 }
 
 void Members::event(Event::Kind kind, const Record& record) {
-    if (events_.size() < 1024) events_.push_back({kind, record.who.name, record.incarnation, record.by});
+    if (events_.size() < 1024)
+        events_.push_back({kind, record.who.name, record.incarnation, record.by});
 }
 
 void Members::spread(const Record& record) {
     const auto [at, fresh] = ranks_.try_emplace(record.who.name);
-    if (!fresh) rumours_.erase(at->second);
+    if (!fresh)
+        rumours_.erase(at->second);
     at->second = {0, --later_};
     rumours_.emplace(at->second, record);
 }
@@ -189,7 +218,8 @@
 }
 
 void Members::set(Member& member, const Record& record, Time now) {
-    if (!member.record.who.name.empty()) tally(member.record, false);
+    if (!member.record.who.name.empty())
+        tally(member.record, false);
     member.record = record;
     tally(record, true);
     member.since = now;
@@ -204,7 +234,8 @@
     } else if (record.state == State::dead || record.state == State::left) {
         member.deadline = now + settings_.dead_keep;
     }
-    if (record.state != State::alive) earliest_ = std::min(earliest_, member.deadline);
+    if (record.state != State::alive)
+        earliest_ = std::min(earliest_, member.deadline);
 }
 
 void Members::about_self(const Record& record) {
@@ -213,7 +244,8 @@
         spread(self_);
         return;
     }
-    if (record.state == State::alive || self_.state == State::left) return;
+    if (record.state == State::alive || self_.state == State::left)
+        return;
     if (record.incarnation < self_.incarnation) {
         // Refuted already, but whoever sent this has not heard it.
         spread(self_);
@@ -230,13 +262,16 @@
 }
 
 void Members::apply(Record record, Time now, bool from_push) {
-    if (record.who.name == self_.who.name) return about_self(record);
+    if (record.who.name == self_.who.name)
+        return about_self(record);
     // A whole view carries old opinions: a death it tells of is taken for a suspicion, which the member can
     // still refute (memberlist does the same).
-    if (from_push && record.state == State::dead) record.state = State::suspect;
+    if (from_push && record.state == State::dead)
+        record.state = State::suspect;
     const auto found = members_.find(record.who.name);
     if (found == members_.end()) {
-        if (record.state != State::alive) return;  // nobody joins by being suspected
+        if (record.state != State::alive)
+            return;  // nobody joins by being suspected
         if (members_.size() >= settings_.most_members) {
             ++counts_.refused;
             return;
@@ -250,7 +285,8 @@
     }
     auto& member = found->second;
     const Record& now_held = member.record;
-    if (record.start < now_held.start) return;
+    if (record.start < now_held.start)
+        return;
     if (record.start > now_held.start) {
         // The same name, a later run: a new member, whatever the old one's incarnation was.
         set(member, record, now);
@@ -264,7 +300,8 @@
     switch (record.state) {
         case State::alive: {
             if (!ahead) {
-                if (level && now_held.state == State::alive) member.record.who = record.who;
+                if (level && now_held.state == State::alive)
+                    member.record.who = record.who;
                 return;
             }
             const auto was = now_held.state;
@@ -309,9 +346,11 @@
         case State::dead:
         case State::left: {
             const bool open = now_held.state == State::alive || now_held.state == State::suspect;
-            if (!open || !(ahead || level)) return;
+            if (!open || !(ahead || level))
+                return;
             set(member, record, now);
-            if (record.state == State::dead) ++counts_.deaths;
+            if (record.state == State::dead)
+                ++counts_.deaths;
             event(record.state == State::dead ? Event::Kind::dead : Event::Kind::left, record);
             spread(record);
             return;
@@ -331,12 +370,15 @@
     // Drawn from the round of probes, as a rule; looked for one by one only where that finds too few.
     for (std::size_t tries = 0; tries < 4 * n && !round_.empty() && out.size() < n; ++tries)
         take(round_[dice_() % round_.size()]);
-    if (out.size() >= n) return out;
+    if (out.size() >= n)
+        return out;
     std::vector<const std::string*> names;
     for (const auto& [name, member] : members_)
-        if (member.record.state == State::alive) names.push_back(&name);
+        if (member.record.state == State::alive)
+            names.push_back(&name);
     std::shuffle(names.begin(), names.end(), dice_);
-    for (std::size_t i = 0; i < names.size() && out.size() < n; ++i) take(*names[i]);
+    for (std::size_t i = 0; i < names.size() && out.size() < n; ++i)
+        take(*names[i]);
     return out;
 }
 
@@ -346,7 +388,8 @@
         return;
     }
     // Lifeguard: helpers that did not even send a nack point at our own slowness, not the target's.
-    if (probe_->nacks < probe_->nacks_expected) raise_health();
+    if (probe_->nacks < probe_->nacks_expected)
+        raise_health();
     raise_health();
     const auto found = members_.find(probe_->target);
     // A suspect that fails our probe too is an independent confirmation (Lifeguard), so it is said again by
@@ -367,21 +410,25 @@
         return found != members_.end() &&
                (found->second.record.state == State::alive || found->second.record.state == State::suspect);
     };
-    while (next_ < round_.size() && !probeable(round_[next_])) ++next_;
+    while (next_ < round_.size() && !probeable(round_[next_]))
+        ++next_;
     if (next_ >= round_.size()) {
         // SWIM's round: every member once, in an order drawn anew each time.
         round_.clear();
         for (const auto& [name, member] : members_)
-            if (probeable(name)) round_.push_back(name);
+            if (probeable(name))
+                round_.push_back(name);
         std::shuffle(round_.begin(), round_.end(), dice_);
         next_ = 0;
     }
-    if (round_.empty()) return;
+    if (round_.empty())
+        return;
     const auto& target = members_.at(round_[next_++]);
     auto ping = message(Message::Kind::ping, ++seq_);
     ping.target = target.record.who.name;
     // Lifeguard's buddy: a suspect learns of it from the probe itself, and can refute at once.
-    if (target.record.state == State::suspect) ping.records.push_back(target.record);
+    if (target.record.state == State::suspect)
+        ping.records.push_back(target.record);
     piggyback(ping);
     probe_ = Probe{target.record.who.name, seq_, now, false, 0, 0, false};
     ++counts_.probes;
@@ -396,7 +443,8 @@
     for (const auto& name : waiting_)
         if (const auto& record = members_.at(name).record; record.state == State::suspect)
             suspects.push_back(&record);
-    if (suspects.empty()) return;
+    if (suspects.empty())
+        return;
     const Record& one = *suspects[dice_() % suspects.size()];
     auto ping = message(Message::Kind::ping, ++seq_);
     ping.target = one.who.name;
@@ -415,9 +463,11 @@
     for (const auto& name : waiting_)
         if (const auto& record = members_.at(name).record; record.state == State::dead)
             dead.push_back(&record.who.address);
-    if (!dead.empty()) to.push_back(*dead[dice_() % dead.size()]);
+    if (!dead.empty())
+        to.push_back(*dead[dice_() % dead.size()]);
     for (const auto& address : to) {
-        if (address == self_.who.address) continue;
+        if (address == self_.who.address)
+            continue;
         auto push = message(Message::Kind::push, ++seq_);
         push.digest = digest_;
         ++counts_.pushes;
@@ -427,7 +477,8 @@
 
 std::vector<Send> Members::tick(Time now) {
     std::vector<Send> out;
-    if (self_.state == State::left) return out;
+    if (self_.state == State::left)
+        return out;
     if (now - last_call_ > 2 * settings_.probe_interval) {
         // We were not running: what went unanswered meanwhile says nothing of the others.
         const auto gap = now - last_call_;
@@ -451,7 +502,8 @@
         it = relays_.erase(it);
     }
     const bool due = earliest_ <= now;
-    if (due) earliest_ = Time::max();
+    if (due)
+        earliest_ = Time::max();
     for (auto it = waiting_.begin(); due && it != waiting_.end();) {
         auto& member = members_.at(*it);
         if (member.deadline > now) {
@@ -498,7 +550,8 @@
     }
     if (now >= next_probe_) {
         end_probe(now, out);
-        if (pending_suspicion_) apply(*std::exchange(pending_suspicion_, std::nullopt), now, false);
+        if (pending_suspicion_)
+            apply(*std::exchange(pending_suspicion_, std::nullopt), now, false);
         start_probe(now, out);
         next_probe_ = now + stretched(settings_.probe_interval);
     }
@@ -512,7 +565,8 @@
             for (const auto* member : some(settings_.gossip_fanout, "")) {
                 auto news = message(Message::Kind::gossip, 0);
                 piggyback(news);
-                if (!news.records.empty()) out.push_back({member->record.who.address, std::move(news)});
+                if (!news.records.empty())
+                    out.push_back({member->record.who.address, std::move(news)});
             }
         next_gossip_ = now + settings_.probe_interval / 5;
     }
@@ -528,7 +582,8 @@
 
 std::vector<Send> Members::receive(const Message& in, Time now) {
     std::vector<Send> out;
-    if (self_.state == State::left) return out;
+    if (self_.state == State::left)
+        return out;
     if (in.from.empty() || in.from.size() > kLongestName || in.from_address.size() > kLongestAddress ||
         in.target.size() > kLongestName || in.target_address.size() > kLongestAddress ||
         in.records.size() > Message::kMostRecords || in.from == self_.who.name ||
@@ -537,10 +592,12 @@
         return out;
     }
     const bool whole = in.kind == Message::Kind::push || in.kind == Message::Kind::pull;
-    for (const auto& record : in.records) apply(record, now, whole);
+    for (const auto& record : in.records)
+        apply(record, now, whole);
     switch (in.kind) {
         case Message::Kind::ping: {
-            if (in.target != self_.who.name) return out;
+            if (in.target != self_.who.name)
+                return out;
             auto ack = message(Message::Kind::ack, in.seq);
             // Who asks is there: if we hold it suspect or dead, it learns so at once and can refute.
             const auto asker = members_.find(in.from);
@@ -565,7 +622,8 @@
             return out;
         }
         case Message::Kind::ping_req: {
-            if (relays_.size() >= 256 || in.target_address.empty()) return out;
+            if (relays_.size() >= 256 || in.target_address.empty())
+                return out;
             relays_[++seq_] = {in.from_address, in.seq, now + stretched(settings_.probe_timeout)};
             auto ping = message(Message::Kind::ping, seq_);
             ping.target = in.target;
@@ -579,10 +637,13 @@
                 ++counts_.nacks;
             }
             return out;
-        case Message::Kind::gossip: return out;
+        case Message::Kind::gossip:
+            return out;
         case Message::Kind::push: {
-            if (!in.digest) return out;
-            if (far_apart(digest_, *in.digest)) soon(now);
+            if (!in.digest)
+                return out;
+            if (far_apart(digest_, *in.digest))
+                soon(now);
             auto pull = message(Message::Kind::pull, in.seq);
             pull.digest = digest_;
             pull.records = differing(*in.digest);
@@ -590,13 +651,17 @@
             return out;
         }
         case Message::Kind::pull: {
-            if (!in.digest) return out;
-            if (far_apart(digest_, *in.digest)) soon(now);
+            if (!in.digest)
+                return out;
+            if (far_apart(digest_, *in.digest))
+                soon(now);
             // What still differs after theirs was applied is what they lack.
-            if (digest_ == *in.digest) return out;
+            if (digest_ == *in.digest)
+                return out;
             auto push = message(Message::Kind::push, ++seq_);
             push.records = differing(*in.digest);
-            if (!push.records.empty()) out.push_back({in.from_address, std::move(push)});
+            if (!push.records.empty())
+                out.push_back({in.from_address, std::move(push)});
             return out;
         }
     }
@@ -605,7 +670,8 @@
 
 std::vector<Send> Members::leave(Time now) {
     std::vector<Send> out;
-    if (self_.state == State::left) return out;
+    if (self_.state == State::left)
+        return out;
     tally(self_, false);
     self_.state = State::left;
     tally(self_, true);
--- a/src/cluster/members.h
+++ b/src/cluster/members.h
@@ -116,7 +116,9 @@
 struct Send {
     std::string address;
     Message message;
-    bool stream() const { return message.kind == Message::Kind::push || message.kind == Message::Kind::pull; }
+    bool stream() const {
+        return message.kind == Message::Kind::push || message.kind == Message::Kind::pull;
+    }
 };
 
 struct Event {
@@ -173,13 +175,27 @@
     // A planned leave: told to a few, so that nobody takes it for a failure.
     std::vector<Send> leave(Time now);
 
-    const std::map<std::string, Member>& view() const { return members_; }
-    const Record& self() const { return self_; }
-    std::size_t health() const { return health_; }
-    const Counts& counts() const { return counts_; }
-    std::size_t count(State state) const { return by_state_[static_cast<std::size_t>(state)]; }
-    const Digest& digest() const { return digest_; }
-    std::size_t rumours() const { return rumours_.size(); }  // still being told
+    const std::map<std::string, Member>& view() const {
+        return members_;
+    }
+    const Record& self() const {
+        return self_;
+    }
+    std::size_t health() const {
+        return health_;
+    }
+    const Counts& counts() const {
+        return counts_;
+    }
+    std::size_t count(State state) const {
+        return by_state_[static_cast<std::size_t>(state)];
+    }
+    const Digest& digest() const {
+        return digest_;
+    }
+    std::size_t rumours() const {
+        return rumours_.size();
+    }  // still being told
     // Events since the last call, oldest first; at most 1024 are kept between calls.
     std::vector<Event> take_events();
     // The whole view as records, self included.
@@ -223,9 +239,15 @@
     void recheck(std::vector<Send>& out);
     void push_pull(std::vector<Send>& out);
     void soon(Time now);
-    void raise_health() { health_ = std::min(health_ + 1, settings_.most_health); }
-    void lower_health() { health_ = health_ > 0 ? health_ - 1 : 0; }
-    Time stretched(Time span) const { return span * static_cast<Time::rep>(health_ + 1); }
+    void raise_health() {
+        health_ = std::min(health_ + 1, settings_.most_health);
+    }
+    void lower_health() {
+        health_ = health_ > 0 ? health_ - 1 : 0;
+    }
+    Time stretched(Time span) const {
+        return span * static_cast<Time::rep>(health_ + 1);
+    }
     bool fits(const Record& record) const;
     std::vector<const Member*> some(std::size_t n, const std::string& except);
 
--- a/src/cluster/replica.cpp
+++ b/src/cluster/replica.cpp
@@ -14,7 +14,9 @@
 // Of one origin's updates in a message; well below what a frame holds.
 constexpr std::size_t kMostBytes = 512 << 10;
 
-std::size_t bucket_of(const std::string& origin) { return fnv(kFnvBasis, origin) % kBuckets; }
+std::size_t bucket_of(const std::string& origin) {
+    return fnv(kFnvBasis, origin) % kBuckets;
+}
 
 std::uint64_t mark(const std::string& origin, std::uint64_t number) {
     return number == 0 ? 0 : fnv(fnv(kFnvBasis, origin), number);
@@ -33,7 +35,8 @@
 
 std::size_t bytes_of(const Update& u) {
     std::size_t bytes = u.key.size() + u.origin.size() + 24;
-    for (const auto& [origin, mark] : u.entry.marks) bytes += origin.size() + mark.value.size() + 24;
+    for (const auto& [origin, mark] : u.entry.marks)
+        bytes += origin.size() + mark.value.size() + 24;
     return bytes;
 }
 
@@ -41,13 +44,20 @@
 
 const char* name_of(ReplicaMessage::Kind kind) {
     switch (kind) {
-        case ReplicaMessage::Kind::sum: return "sum";
-        case ReplicaMessage::Kind::numbers: return "numbers";
-        case ReplicaMessage::Kind::give: return "give";
-        case ReplicaMessage::Kind::take: return "take";
-        case ReplicaMessage::Kind::news: return "news";
-        case ReplicaMessage::Kind::want: return "want";
-        case ReplicaMessage::Kind::page: return "page";
+        case ReplicaMessage::Kind::sum:
+            return "sum";
+        case ReplicaMessage::Kind::numbers:
+            return "numbers";
+        case ReplicaMessage::Kind::give:
+            return "give";
+        case ReplicaMessage::Kind::take:
+            return "take";
+        case ReplicaMessage::Kind::news:
+            return "news";
+        case ReplicaMessage::Kind::want:
+            return "want";
+        case ReplicaMessage::Kind::page:
+            return "page";
     }
     return "?";
 }
@@ -55,12 +65,15 @@
 const Mark* Entry::winner() const {
     const Mark* out = nullptr;
     for (const auto& [origin, mark] : marks)
-        if (mark.live() && (!out || mark.stamp >= out->stamp)) out = &mark;
+        if (mark.live() && (!out || mark.stamp >= out->stamp))
+            out = &mark;
     return out;
 }
 
 // What is undone says nothing more but up to where.
-static void undo(Mark& mark) { mark = {mark.set, std::max(mark.set, mark.cleared), 0, {}}; }
+static void undo(Mark& mark) {
+    mark = {mark.set, std::max(mark.set, mark.cleared), 0, {}};
+}
 
 Entry join(const Entry& a, const Entry& b) {
     Entry out = a;
@@ -68,9 +81,11 @@
     for (const auto& [origin, theirs] : b.marks) {
         auto& mark = out.marks[origin];
         const auto cleared = std::max(mark.cleared, theirs.cleared);
-        if (theirs.set > mark.set) mark = theirs;
+        if (theirs.set > mark.set)
+            mark = theirs;
         mark.cleared = cleared;
-        if (!mark.live()) undo(mark);
+        if (!mark.live())
+            undo(mark);
     }
     return out;
 }
@@ -99,7 +114,8 @@
 
 void Replica::summarise() {
     summary_ = {};
-    for (const auto& [name, origin] : origins_) summary_[bucket_of(name)] ^= counted(name, origin);
+    for (const auto& [name, origin] : origins_)
+        summary_[bucket_of(name)] ^= counted(name, origin);
 }
 
 // What an origin adds to the summary.
@@ -107,7 +123,9 @@
     return settings_.value_keep > 0 && origin.log.empty() ? 0 : mark(name, origin.number);
 }
 
-bool Replica::in_force(const std::string& key) const { return value(key) != nullptr; }
+bool Replica::in_force(const std::string& key) const {
+    return value(key) != nullptr;
+}
 
 const std::string* Replica::value(const std::string& key) const {
     const auto found = entries_.find(key);
@@ -115,17 +133,24 @@
     return mark ? &mark->value : nullptr;
 }
 
-Numbers Replica::numbers() const { return numbers_in(~std::uint64_t{0}); }
+Numbers Replica::numbers() const {
+    return numbers_in(~std::uint64_t{0});
+}
 
 Numbers Replica::numbers_in(std::uint64_t mask) const {
     Numbers out;
     for (const auto& [name, origin] : origins_)
-        if (origin.number > 0 && (mask >> bucket_of(name) & 1)) out.emplace(name, origin.number);
+        if (origin.number > 0 && (mask >> bucket_of(name) & 1))
+            out.emplace(name, origin.number);
     return out;
 }
 
-Replica::Changes Replica::take_changes() { return std::exchange(changes_, {}); }
-std::set<std::string> Replica::take_touched() { return std::exchange(touched_, {}); }
+Replica::Changes Replica::take_changes() {
+    return std::exchange(changes_, {});
+}
+std::set<std::string> Replica::take_touched() {
+    return std::exchange(touched_, {});
+}
 
 ReplicaMessage Replica::message(ReplicaMessage::Kind kind) const {
     ReplicaMessage out;
@@ -157,14 +182,16 @@
                       return known(item.first, std::max(item.second.set, item.second.cleared)) &&
                              (found == entries_.end() || !found->second.marks.contains(item.first));
                   }) > 0;
-    if (entry.marks.empty()) return out;
+    if (entry.marks.empty())
+        return out;
     Entry joined = found == entries_.end() ? entry : join(found->second, entry);
     if (joined.marks.size() > kMostMarks ||
         (found == entries_.end() && entries_.size() >= settings_.most_entries)) {
         out.held = false;
         return out;
     }
-    if (found != entries_.end() && joined == found->second) return out;
+    if (found != entries_.end() && joined == found->second)
+        return out;
     entries_[key] = std::move(joined);
     changes_.keys.insert(key);
     touch(key);
@@ -174,7 +201,8 @@
 }
 
 void Replica::advance(const std::string& name, Origin& origin, std::uint64_t number) {
-    if (number <= origin.number) return;
+    if (number <= origin.number)
+        return;
     origin.number = number;
     origin.advanced = unix_of(last_);
     changes_.origins.insert(name);
@@ -195,10 +223,12 @@
         origin.forgotten = std::max(origin.forgotten, number);
         changes_.origins.insert(name);
     }
-    if (gone) return advance(name, origin, number);
+    if (gone)
+        return advance(name, origin, number);
     const auto [at, fresh] = origin.where.try_emplace(key, number);
     if (!fresh) {
-        if (at->second >= number) return;
+        if (at->second >= number)
+            return;
         origin.log.erase(at->second);  // a later change of the same key by the same origin stands for it
         at->second = number;
     }
@@ -208,7 +238,8 @@
 }
 
 bool Replica::change(const std::string& key, const Entry& entry) {
-    if (!cluster::fits(key, entry) || !merge(key, entry).held) return false;
+    if (!cluster::fits(key, entry) || !merge(key, entry).held)
+        return false;
     const auto next = origins_[origin_].number + 1;
     number(origin_, next, key, false);
     news_.push_back({origin_, next, key, entries_.at(key)});
@@ -217,8 +248,10 @@
 
 bool Replica::set(const std::string& key, const std::string& value, UnixMs unix_now) {
     Entry entry;
-    if (const auto found = entries_.find(key); found != entries_.end()) entry = found->second;
-    for (auto& [origin, mark] : entry.marks) undo(mark);
+    if (const auto found = entries_.find(key); found != entries_.end())
+        entry = found->second;
+    for (auto& [origin, mark] : entry.marks)
+        undo(mark);
     entry.changed = stamp(unix_now);
     auto& own = entry.marks[origin_];
     own = {origins_[origin_].number + 1, own.cleared, entry.changed, value};
@@ -227,10 +260,12 @@
 
 bool Replica::clear(const std::string& key, UnixMs unix_now) {
     const auto found = entries_.find(key);
-    if (found == entries_.end() || !found->second.in_force()) return true;  // nothing to undo
+    if (found == entries_.end() || !found->second.in_force())
+        return true;  // nothing to undo
     Entry entry = found->second;
     entry.changed = stamp(unix_now);
-    for (auto& [origin, mark] : entry.marks) undo(mark);
+    for (auto& [origin, mark] : entry.marks)
+        undo(mark);
     return change(key, entry);
 }
 
@@ -253,7 +288,8 @@
             ++counts_.duplicates;
             continue;
         }
-        if (stopped.contains(u.origin)) continue;
+        if (stopped.contains(u.origin))
+            continue;
         if (too_far_ahead(u.entry, unix_now)) {
             // Not held, so it comes again, when our clock may have caught up.
             ++counts_.ahead;
@@ -268,7 +304,8 @@
         }
         ++counts_.applied;
         if (in.kind == ReplicaMessage::Kind::news) {
-            if (merged.changed && news_.size() < 256) news_.push_back(u);  // told on, once
+            if (merged.changed && news_.size() < 256)
+                news_.push_back(u);  // told on, once
             continue;
         }
         const auto base = in.after.find(u.origin);
@@ -280,7 +317,8 @@
         counted.emplace_back(&u, merged.partial);
     }
     // Only now: until all of an origin's changes are in, its numbers vouch for none of them.
-    for (const auto& [u, partial] : counted) number(u->origin, u->number, u->key, partial);
+    for (const auto& [u, partial] : counted)
+        number(u->origin, u->number, u->key, partial);
 }
 
 // What the other lacks, of the origins in the mask: of each in the order of its numbers, so that the highest
@@ -290,17 +328,21 @@
     std::vector<std::pair<Stamp, const std::pair<const std::string, Origin>*>> order;
     for (const auto& item : origins_) {
         const auto& [name, origin] = item;
-        if (!(in.mask >> bucket_of(name) & 1)) continue;
+        if (!(in.mask >> bucket_of(name) & 1))
+            continue;
         const auto theirs = in.numbers.find(name);
         const auto have = theirs == in.numbers.end() ? 0 : theirs->second;
-        if (have >= origin.number) continue;
+        if (have >= origin.number)
+            continue;
         // Of what ages nothing is left of it here, and the other's copies end by the clock.
-        if (settings_.value_keep > 0 && origin.log.empty()) continue;
+        if (settings_.value_keep > 0 && origin.log.empty())
+            continue;
         if (have < origin.forgotten) {
             out.too_old = true;
             continue;
         }
-        if (!origin.log.empty()) order.emplace_back(entries_.at(origin.log.rbegin()->second).changed, &item);
+        if (!origin.log.empty())
+            order.emplace_back(entries_.at(origin.log.rbegin()->second).changed, &item);
     }
     std::sort(order.begin(), order.end(), [](const auto& a, const auto& b) {
         return a.first != b.first ? a.first > b.first : a.second->first < b.second->first;
@@ -358,9 +400,11 @@
         }
         const bool gone = entry.marks.empty();
         for (auto& [name, origin] : origins_) {
-            if (!gone && !undone) break;
+            if (!gone && !undone)
+                break;
             const auto at = origin.where.find(it->first);
-            if (at == origin.where.end()) continue;
+            if (at == origin.where.end())
+                continue;
             origin.forgotten = std::max(origin.forgotten, at->second);
             if (gone) {
                 changes_.log.emplace(name, it->first);
@@ -376,7 +420,8 @@
         ++counts_.forgotten;
         it = entries_.erase(it);
     }
-    if (settings_.value_keep == 0) return;
+    if (settings_.value_keep == 0)
+        return;
     // Guards the bound on origins: of runs that ended nothing else would ever go.
     std::erase_if(origins_, [&](const auto& item) {
         const auto& [name, origin] = item;
@@ -398,18 +443,21 @@
         next_round_ = std::min(next_round_, now + within(dice_, settings_.quick));
     }
     const auto news = std::exchange(news_, {});
-    if (peers.empty()) return out;
+    if (peers.empty())
+        return out;
     for (const auto& update : news) {
         // Each to a few, drawn anew; who is missed is reached by the rounds.
         std::set<std::size_t> to;
-        for (std::size_t i = 0; i < settings_.news_fanout; ++i) to.insert(dice_() % peers.size());
+        for (std::size_t i = 0; i < settings_.news_fanout; ++i)
+            to.insert(dice_() % peers.size());
         for (const auto i : to) {
             auto m = message(ReplicaMessage::Kind::news);
             m.updates.push_back(update);
             out.push_back({peers[i], std::move(m)});
         }
     }
-    if (copy_ && now - copy_->since > 10 * settings_.interval) copy_.reset();  // its giver is gone
+    if (copy_ && now - copy_->since > 10 * settings_.interval)
+        copy_.reset();  // its giver is gone
     if (now >= next_round_) {
         next_round_ =
             now + (now < quick_until_ ? std::min(settings_.quick, settings_.interval) : settings_.interval);
@@ -443,7 +491,8 @@
         return out;
     }
     for (const auto& [origin, number] : in.numbers) {
-        if (heard_.size() >= settings_.most_origins && !heard_.contains(origin)) continue;
+        if (heard_.size() >= settings_.most_origins && !heard_.contains(origin))
+            continue;
         auto& highest = heard_[origin];
         highest = std::max(highest, number);
     }
@@ -452,7 +501,8 @@
         out.push_back({in.from_address, std::move(m)});
     };
     const auto fetch_if_too_old = [&] {
-        if (!in.too_old || copy_) return;
+        if (!in.too_old || copy_)
+            return;
         copy_ = Copy{in.from, {}, {}, {}, {}, now};
         answer(message(ReplicaMessage::Kind::want));
     };
@@ -460,8 +510,10 @@
         case ReplicaMessage::Kind::sum: {
             auto m = message(ReplicaMessage::Kind::numbers);
             for (std::size_t i = 0; i < kBuckets; ++i)
-                if (in.summary[i] != summary_[i]) m.mask |= std::uint64_t{1} << i;
-            if (m.mask == 0) return out;
+                if (in.summary[i] != summary_[i])
+                    m.mask |= std::uint64_t{1} << i;
+            if (m.mask == 0)
+                return out;
             m.numbers = numbers_in(m.mask);
             answer(std::move(m));
             return out;
@@ -471,7 +523,8 @@
             give(in, m);
             m.mask = in.mask;
             m.numbers = numbers_in(in.mask);
-            if (!m.last) next_round_ = now;
+            if (!m.last)
+                next_round_ = now;
             answer(std::move(m));
             return out;
         }
@@ -480,17 +533,23 @@
             auto m = message(ReplicaMessage::Kind::take);
             give(in, m);
             // The other's too_old is for us to act on, ours for it.
-            if (!m.updates.empty() || m.too_old) answer(std::move(m));
+            if (!m.updates.empty() || m.too_old)
+                answer(std::move(m));
             fetch_if_too_old();
             return out;
         }
         case ReplicaMessage::Kind::take:
             take(in, unix_now);
-            if (!in.last) next_round_ = now;
+            if (!in.last)
+                next_round_ = now;
             fetch_if_too_old();
             return out;
-        case ReplicaMessage::Kind::news: take(in, unix_now); return out;
-        case ReplicaMessage::Kind::want: answer(page(in.cursor)); return out;
+        case ReplicaMessage::Kind::news:
+            take(in, unix_now);
+            return out;
+        case ReplicaMessage::Kind::want:
+            answer(page(in.cursor));
+            return out;
         case ReplicaMessage::Kind::page:
             if (copy_ && in.from == copy_->from && in.cursor == copy_->cursor) {
                 copy_->since = now;
@@ -505,24 +564,29 @@
 ReplicaMessage Replica::page(const std::string& cursor) const {
     auto m = message(ReplicaMessage::Kind::page);
     m.cursor = cursor;
-    if (cursor.empty()) m.numbers = numbers();
+    if (cursor.empty())
+        m.numbers = numbers();
     // With each page: who takes them begins anew if it changed meanwhile.
     for (const auto& [name, origin] : origins_)
-        if (origin.forgotten > 0) m.after.emplace(name, origin.forgotten);
+        if (origin.forgotten > 0)
+            m.after.emplace(name, origin.forgotten);
     std::size_t bytes = 0;
     for (auto it = entries_.upper_bound(cursor); it != entries_.end(); ++it) {
         std::vector<Update> of_key;
         for (const auto& [name, origin] : origins_)
             if (const auto at = origin.where.find(it->first); at != origin.where.end())
                 of_key.push_back({name, at->second, it->first, it->second});
-        if (of_key.empty()) of_key.push_back({{}, 0, it->first, it->second});
-        for (const auto& u : of_key) bytes += bytes_of(u);
+        if (of_key.empty())
+            of_key.push_back({{}, 0, it->first, it->second});
+        for (const auto& u : of_key)
+            bytes += bytes_of(u);
         if (!m.updates.empty() && (bytes > settings_.round_bytes ||
                                    m.updates.size() + of_key.size() > ReplicaMessage::kMostUpdates)) {
             m.last = false;
             break;
         }
-        for (auto& u : of_key) m.updates.push_back(std::move(u));
+        for (auto& u : of_key)
+            m.updates.push_back(std::move(u));
     }
     return m;
 }
@@ -578,9 +642,11 @@
         it = it->second.marks.empty() ? entries_.erase(it) : std::next(it);
     }
     for (const auto& [name, number] : copy.numbers) {
-        if (origins_.size() >= settings_.most_origins && !origins_.contains(name)) continue;
+        if (origins_.size() >= settings_.most_origins && !origins_.contains(name))
+            continue;
         auto& origin = origins_[name];
-        if (number > origin.number) origin.advanced = unix_of(last_);
+        if (number > origin.number)
+            origin.advanced = unix_of(last_);
         origin.number = std::max(origin.number, number);
     }
     for (const auto& u : copy.updates) {
@@ -593,7 +659,8 @@
         if (const auto f = copy.forgotten.find(name); f != copy.forgotten.end())
             origin.forgotten = std::max(origin.forgotten, f->second);
         for (const auto& [number, key] : origin.log)
-            if (!entries_.contains(key)) origin.forgotten = std::max(origin.forgotten, number);
+            if (!entries_.contains(key))
+                origin.forgotten = std::max(origin.forgotten, number);
         std::erase_if(origin.log, [this](const auto& item) { return !entries_.contains(item.second); });
         std::erase_if(origin.where, [this](const auto& item) { return !entries_.contains(item.first); });
     }
--- a/src/cluster/replica.h
+++ b/src/cluster/replica.h
@@ -39,7 +39,9 @@
 
 // A hybrid logical clock's stamp: Unix ms in the upper 48 bits, a counter in the lower 16.
 using Stamp = std::uint64_t;
-constexpr UnixMs unix_of(Stamp stamp) { return static_cast<UnixMs>(stamp >> 16); }
+constexpr UnixMs unix_of(Stamp stamp) {
+    return static_cast<UnixMs>(stamp >> 16);
+}
 
 // What one origin last said of a key.
 struct Mark {
@@ -47,14 +49,18 @@
     std::uint64_t cleared = 0;  // its sets up to here are undone
     Stamp stamp = 0;            // of the set
     std::string value;
-    bool live() const { return set > cleared; }
+    bool live() const {
+        return set > cleared;
+    }
     bool operator==(const Mark&) const = default;
 };
 
 struct Entry {
     std::map<std::string, Mark> marks;  // by origin
     Stamp changed = 0;                  // the last change of any kind
-    bool in_force() const { return winner() != nullptr; }
+    bool in_force() const {
+        return winner() != nullptr;
+    }
     const Mark* winner() const;  // of the live marks the one with the highest stamp, then origin; null: none
     bool operator==(const Entry&) const = default;
 };
@@ -111,7 +117,9 @@
 struct ReplicaSend {
     std::string address;
     ReplicaMessage message;
-    bool stream() const { return message.kind != ReplicaMessage::Kind::news; }
+    bool stream() const {
+        return message.kind != ReplicaMessage::Kind::news;
+    }
 };
 
 struct ReplicaSettings {
@@ -151,18 +159,30 @@
     std::vector<ReplicaSend> tick(Time now, UnixMs unix_now, const std::vector<std::string>& peers);
     std::vector<ReplicaSend> receive(const ReplicaMessage& message, Time now, UnixMs unix_now);
 
-    const std::map<std::string, Entry>& entries() const { return entries_; }
+    const std::map<std::string, Entry>& entries() const {
+        return entries_;
+    }
     // Another number whenever what is in force may have changed; never 0.
-    std::uint64_t revision() const { return revision_; }
+    std::uint64_t revision() const {
+        return revision_;
+    }
     bool in_force(const std::string& key) const;
     // The value in force; null: none.
     const std::string* value(const std::string& key) const;
-    const Summary& summary() const { return summary_; }
+    const Summary& summary() const {
+        return summary_;
+    }
     Numbers numbers() const;
-    const std::string& origin() const { return origin_; }
-    const ReplicaCounts& counts() const { return counts_; }
+    const std::string& origin() const {
+        return origin_;
+    }
+    const ReplicaCounts& counts() const {
+        return counts_;
+    }
     // The highest number heard of each origin, held or not: what is behind it is the lag.
-    const Numbers& heard() const { return heard_; }
+    const Numbers& heard() const {
+        return heard_;
+    }
 
     // What has to be written down: keys (gone if not held any more) and origins, since the last call.
     struct Changes {
@@ -183,7 +203,9 @@
         std::map<std::string, std::uint64_t> where;  // and back
         UnixMs advanced = 0;                         // about when its number last rose here; not stored
     };
-    const std::map<std::string, Origin>& origins() const { return origins_; }
+    const std::map<std::string, Origin>& origins() const {
+        return origins_;
+    }
     // Takes up what was stored, before anything else is called.
     void restore(std::map<std::string, Entry> entries, std::map<std::string, Origin> origins);
 
--- a/src/cluster/voice.cpp
+++ b/src/cluster/voice.cpp
@@ -15,8 +15,10 @@
     for (auto it = entries.lower_bound(prefix); it != entries.end() && it->first.starts_with(prefix); ++it) {
         const auto tab = it->first.find('\t');
         const auto* mark = it->second.winner();
-        if (!mark || tab == std::string::npos) continue;
-        if (age > 0 && unix_now - unix_of(mark->stamp) > age) continue;
+        if (!mark || tab == std::string::npos)
+            continue;
+        if (age > 0 && unix_now - unix_of(mark->stamp) > age)
+            continue;
         auto reporter = it->first.substr(tab + 1);
         if (counts(reporter))
             out[it->first.substr(0, tab)].emplace(std::move(reporter),
@@ -29,8 +31,10 @@
                                     const std::function<std::size_t(const std::string&)>& others) {
     std::vector<Say> out;
     std::erase_if(said_, [&](const auto& item) {
-        if (wanted.contains(item.first)) return false;
-        if (item.second.told) out.push_back({item.first, std::nullopt});
+        if (wanted.contains(item.first))
+            return false;
+        if (item.second.told)
+            out.push_back({item.first, std::nullopt});
         return true;
     });
     for (const auto& [subject, value] : wanted) {
@@ -40,10 +44,12 @@
             said.value = value;
             said.due = now + (settings_.spread > Time{0} ? within(dice_, settings_.spread) : Time{0});
         }
-        if (now < said.due) continue;
+        if (now < said.due)
+            continue;
         said.due = now + settings_.refresh;
         // Whoever has spoken goes on: else two who fall silent for each other would both be missing.
-        if (!said.told && settings_.enough > 0 && others(subject) >= settings_.enough) continue;
+        if (!said.told && settings_.enough > 0 && others(subject) >= settings_.enough)
+            continue;
         said.told = true;
         out.push_back({subject, value});
     }
--- a/src/cluster/voice.h
+++ b/src/cluster/voice.h
@@ -50,7 +50,9 @@
     };
     Voice(Settings settings, std::uint64_t seed) : settings_(settings), dice_(seed) {}
 
-    void spread(Time spread) { settings_.spread = spread; }
+    void spread(Time spread) {
+        settings_.spread = spread;
+    }
     // `wanted`: subject to what is to be said of it now; what was said and is not wanted is taken back.
     // `others`: how many other routers say the same of the subject.
     std::vector<Say> tick(Time now, const std::map<std::string, std::string>& wanted,
--- a/src/cluster/wire.cpp
+++ b/src/cluster/wire.cpp
@@ -24,18 +24,22 @@
 };
 
 const msgpack::object& at(const msgpack::object& array, std::uint32_t i) {
-    if (array.type != msgpack::type::ARRAY || i >= array.via.array.size) throw Bad{Trouble::undecodable};
+    if (array.type != msgpack::type::ARRAY || i >= array.via.array.size)
+        throw Bad{Trouble::undecodable};
     return array.via.array.ptr[i];
 }
 
 std::string text(const msgpack::object& o, std::size_t most) {
-    if (o.type != msgpack::type::STR) throw Bad{Trouble::undecodable};
-    if (o.via.str.size > most) throw Bad{Trouble::out_of_bounds};
+    if (o.type != msgpack::type::STR)
+        throw Bad{Trouble::undecodable};
+    if (o.via.str.size > most)
+        throw Bad{Trouble::out_of_bounds};
     return {o.via.str.ptr, o.via.str.size};
 }
 
 std::uint64_t whole(const msgpack::object& o) {
-    if (o.type != msgpack::type::POSITIVE_INTEGER) throw Bad{Trouble::undecodable};
+    if (o.type != msgpack::type::POSITIVE_INTEGER)
+        throw Bad{Trouble::undecodable};
     return o.via.u64;
 }
 
@@ -52,7 +56,8 @@
 }
 
 Record record_of(const msgpack::object& o) {
-    if (o.type != msgpack::type::ARRAY || o.via.array.size != 8) throw Bad{Trouble::undecodable};
+    if (o.type != msgpack::type::ARRAY || o.via.array.size != 8)
+        throw Bad{Trouble::undecodable};
     Record r;
     r.who.name = text(at(o, 0), kLongestName);
     r.who.address = text(at(o, 1), kLongestAddress);
@@ -61,7 +66,8 @@
     r.start = whole(at(o, 4));
     r.incarnation = whole(at(o, 5));
     const auto state = whole(at(o, 6));
-    if (state > static_cast<std::uint64_t>(State::left)) throw Bad{Trouble::undecodable};
+    if (state > static_cast<std::uint64_t>(State::left))
+        throw Bad{Trouble::undecodable};
     r.state = static_cast<State>(state);
     r.by = text(at(o, 7), kLongestName);
     return r;
@@ -71,14 +77,16 @@
 void pack_words(msgpack::packer<msgpack::sbuffer>& p, const std::uint64_t* words, std::size_t n) {
     std::string bytes;
     for (std::size_t w = 0; w < n; ++w)
-        for (int i = 0; i < 8; ++i) bytes += static_cast<char>(words[w] >> (8 * i));
+        for (int i = 0; i < 8; ++i)
+            bytes += static_cast<char>(words[w] >> (8 * i));
     p.pack_bin(static_cast<std::uint32_t>(bytes.size()));
     p.pack_bin_body(bytes.data(), static_cast<std::uint32_t>(bytes.size()));
 }
 
 template <std::size_t N>
 std::array<std::uint64_t, N> words_of(const msgpack::object& o) {
-    if (o.type != msgpack::type::BIN || o.via.bin.size != N * 8) throw Bad{Trouble::undecodable};
+    if (o.type != msgpack::type::BIN || o.via.bin.size != N * 8)
+        throw Bad{Trouble::undecodable};
     std::array<std::uint64_t, N> out{};
     for (std::size_t i = 0; i < N * 8; ++i)
         out[i / 8] |= std::uint64_t{static_cast<unsigned char>(o.via.bin.ptr[i])} << (8 * (i % 8));
@@ -86,7 +94,8 @@
 }
 
 std::optional<Digest> digest_of(const msgpack::object& o) {
-    if (o.type == msgpack::type::NIL) return std::nullopt;
+    if (o.type == msgpack::type::NIL)
+        return std::nullopt;
     const auto words = words_of<kBuckets + 1>(o);
     Digest out;
     out.roster = words[0];
@@ -97,16 +106,20 @@
 constexpr std::uint8_t kReplicaKinds = 32;
 
 bool yes(const msgpack::object& o) {
-    if (o.type != msgpack::type::BOOLEAN) throw Bad{Trouble::undecodable};
+    if (o.type != msgpack::type::BOOLEAN)
+        throw Bad{Trouble::undecodable};
     return o.via.boolean;
 }
 
 // The items of an array, at most `most`.
 template <class Take>
 void each(const msgpack::object& o, std::size_t most, Take take) {
-    if (o.type != msgpack::type::ARRAY) throw Bad{Trouble::undecodable};
-    if (o.via.array.size > most) throw Bad{Trouble::out_of_bounds};
-    for (std::uint32_t i = 0; i < o.via.array.size; ++i) take(o.via.array.ptr[i]);
+    if (o.type != msgpack::type::ARRAY)
+        throw Bad{Trouble::undecodable};
+    if (o.via.array.size > most)
+        throw Bad{Trouble::out_of_bounds};
+    for (std::uint32_t i = 0; i < o.via.array.size; ++i)
+        take(o.via.array.ptr[i]);
 }
 
 void pack_numbers(msgpack::packer<msgpack::sbuffer>& p, const Numbers& numbers) {
@@ -121,7 +134,8 @@
 Numbers numbers_of(const msgpack::object& o) {
     Numbers out;
     each(o, ReplicaMessage::kMostNumbers, [&out](const msgpack::object& item) {
-        if (item.type != msgpack::type::ARRAY || item.via.array.size != 2) throw Bad{Trouble::undecodable};
+        if (item.type != msgpack::type::ARRAY || item.via.array.size != 2)
+            throw Bad{Trouble::undecodable};
         out.emplace(text(at(item, 0), kLongestOrigin), whole(at(item, 1)));
     });
     return out;
@@ -145,7 +159,8 @@
     Entry entry;
     entry.changed = whole(changed);
     each(marks, kMostMarks, [&entry](const msgpack::object& item) {
-        if (item.type != msgpack::type::ARRAY || item.via.array.size != 5) throw Bad{Trouble::undecodable};
+        if (item.type != msgpack::type::ARRAY || item.via.array.size != 5)
+            throw Bad{Trouble::undecodable};
         entry.marks.emplace(text(at(item, 0), kLongestOrigin),
                             Mark{whole(at(item, 1)), whole(at(item, 2)), whole(at(item, 3)),
                                  text(at(item, 4), kLongestValue)});
@@ -162,7 +177,8 @@
 }
 
 Update update_of(const msgpack::object& o) {
-    if (o.type != msgpack::type::ARRAY || o.via.array.size != 5) throw Bad{Trouble::undecodable};
+    if (o.type != msgpack::type::ARRAY || o.via.array.size != 5)
+        throw Bad{Trouble::undecodable};
     Update u;
     u.origin = text(at(o, 0), kLongestOrigin);
     u.number = whole(at(o, 1));
@@ -172,17 +188,21 @@
 }
 
 ReplicaMessage replica_of(const msgpack::object& o, bool stream) {
-    if (o.via.array.size != 13) throw Bad{Trouble::undecodable};
+    if (o.via.array.size != 13)
+        throw Bad{Trouble::undecodable};
     ReplicaMessage m;
     const auto kind = whole(at(o, 1)) - kReplicaKinds;
-    if (kind > static_cast<std::uint64_t>(ReplicaMessage::Kind::page)) throw Bad{Trouble::undecodable};
+    if (kind > static_cast<std::uint64_t>(ReplicaMessage::Kind::page))
+        throw Bad{Trouble::undecodable};
     m.kind = static_cast<ReplicaMessage::Kind>(kind);
     const auto channel = whole(at(o, 2));
-    if (channel > 255) throw Bad{Trouble::out_of_bounds};
+    if (channel > 255)
+        throw Bad{Trouble::out_of_bounds};
     m.channel = static_cast<std::uint8_t>(channel);
     m.from = text(at(o, 3), kLongestName);
     m.from_address = text(at(o, 4), kLongestAddress);
-    if (at(o, 5).type != msgpack::type::NIL) m.summary = words_of<kBuckets>(at(o, 5));
+    if (at(o, 5).type != msgpack::type::NIL)
+        m.summary = words_of<kBuckets>(at(o, 5));
     m.mask = whole(at(o, 6));
     m.numbers = numbers_of(at(o, 7));
     each(at(o, 8), stream ? ReplicaMessage::kMostUpdates : kMostDatagramRecords,
@@ -198,10 +218,14 @@
 
 const char* name_of(Trouble trouble) {
     switch (trouble) {
-        case Trouble::undecodable: return "undecodable";
-        case Trouble::oversize: return "oversize";
-        case Trouble::other_version: return "other_version";
-        case Trouble::out_of_bounds: return "out_of_bounds";
+        case Trouble::undecodable:
+            return "undecodable";
+        case Trouble::oversize:
+            return "oversize";
+        case Trouble::other_version:
+            return "other_version";
+        case Trouble::out_of_bounds:
+            return "out_of_bounds";
     }
     return "?";
 }
@@ -219,7 +243,8 @@
     p.pack(m.target);
     p.pack(m.target_address);
     p.pack_array(static_cast<std::uint32_t>(m.records.size()));
-    for (const auto& r : m.records) pack_record(p, r);
+    for (const auto& r : m.records)
+        pack_record(p, r);
     if (m.digest) {
         std::array<std::uint64_t, kBuckets + 1> words{m.digest->roster};
         std::copy(m.digest->buckets.begin(), m.digest->buckets.end(), words.begin() + 1);
@@ -246,7 +271,8 @@
     p.pack(m.mask);
     pack_numbers(p, m.numbers);
     p.pack_array(static_cast<std::uint32_t>(m.updates.size()));
-    for (const auto& u : m.updates) pack_update(p, u);
+    for (const auto& u : m.updates)
+        pack_update(p, u);
     pack_numbers(p, m.after);
     p.pack(m.cursor);
     p.pack(m.too_old);
@@ -255,26 +281,34 @@
 }
 
 std::variant<Message, ReplicaMessage, Trouble> decode(std::string_view bytes, bool stream) {
-    if (bytes.size() > (stream ? kMostFrame : kMostDatagram)) return Trouble::oversize;
+    if (bytes.size() > (stream ? kMostFrame : kMostDatagram))
+        return Trouble::oversize;
     try {
         std::size_t offset = 0;
         const auto handle =
             msgpack::unpack(bytes.data(), bytes.size(), offset, nullptr, nullptr, limits(stream));
-        if (offset != bytes.size()) return Trouble::undecodable;  // something after the message
+        if (offset != bytes.size())
+            return Trouble::undecodable;  // something after the message
         const msgpack::object& o = handle.get();
-        if (o.type != msgpack::type::ARRAY || o.via.array.size < 1) return Trouble::undecodable;
-        if (whole(at(o, 0)) != kVersion) return Trouble::other_version;
+        if (o.type != msgpack::type::ARRAY || o.via.array.size < 1)
+            return Trouble::undecodable;
+        if (whole(at(o, 0)) != kVersion)
+            return Trouble::other_version;
         const auto kind = whole(at(o, 1));
-        if (kind >= kReplicaKinds) return replica_of(o, stream);
-        if (o.via.array.size != 10) return Trouble::undecodable;
+        if (kind >= kReplicaKinds)
+            return replica_of(o, stream);
+        if (o.via.array.size != 10)
+            return Trouble::undecodable;
         Message m;
-        if (kind > static_cast<std::uint64_t>(Message::Kind::gossip)) return Trouble::undecodable;
+        if (kind > static_cast<std::uint64_t>(Message::Kind::gossip))
+            return Trouble::undecodable;
         m.kind = static_cast<Message::Kind>(kind);
         m.from = text(at(o, 2), kLongestName);
         m.from_start = whole(at(o, 3));
         m.from_address = text(at(o, 4), kLongestAddress);
         const auto seq = whole(at(o, 5));
-        if (seq > UINT32_MAX) return Trouble::out_of_bounds;
+        if (seq > UINT32_MAX)
+            return Trouble::out_of_bounds;
         m.seq = static_cast<std::uint32_t>(seq);
         m.target = text(at(o, 6), kLongestName);
         m.target_address = text(at(o, 7), kLongestAddress);
@@ -282,9 +316,13 @@
              [&m](const msgpack::object& item) { m.records.push_back(record_of(item)); });
         m.digest = digest_of(at(o, 9));
         return m;
-    } catch (const Bad& bad) { return bad.trouble; } catch (const msgpack::size_overflow&) {
+    } catch (const Bad& bad) {
+        return bad.trouble;
+    } catch (const msgpack::size_overflow&) {
         return Trouble::out_of_bounds;
-    } catch (const std::exception&) { return Trouble::undecodable; }
+    } catch (const std::exception&) {
+        return Trouble::undecodable;
+    }
 }
 
 std::string encode(const Entry& entry) {
@@ -304,7 +342,9 @@
         if (offset != bytes.size() || o.type != msgpack::type::ARRAY || o.via.array.size != 2)
             return std::nullopt;
         return entry_of(at(o, 0), at(o, 1));
-    } catch (const Bad&) { return std::nullopt; } catch (const std::exception&) {
+    } catch (const Bad&) {
+        return std::nullopt;
+    } catch (const std::exception&) {
         return std::nullopt;
     }
 }
