--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -20,64 +20,85 @@
 class Node {
 public:
     Node(const Json::Value& json, std::string path) : json_(json), path_(std::move(path)) {
-        if (!json_.isObject()) throw ConfigError(path_ + ": expected an object");
+        if (!json_.isObject())
+            throw ConfigError(path_ + ": expected an object");
+    }
+    Node child(const char* key) const {
+        return {json_[key], at(key)};
+    }
+    bool has(const char* key) const {
+        return !json_[key].isNull();
     }
-    Node child(const char* key) const { return {json_[key], at(key)}; }
-    bool has(const char* key) const { return !json_[key].isNull(); }
     const Json::Value& list(const char* key) const {
         const Json::Value& v = json_[key];
-        if (!v.isArray()) throw ConfigError(at(key) + ": expected a list");
+        if (!v.isArray())
+            throw ConfigError(at(key) + ": expected a list");
         return v;
     }
-    std::string text(const char* key) const { return checked_text(json_[key], at(key)); }
+    std::string text(const char* key) const {
+        return checked_text(json_[key], at(key));
+    }
     std::string text_or(const char* key, const char* fallback) const {
         return has(key) ? text(key) : std::string{fallback};
     }
     double number_or(const char* key, double fallback) const {
         return has(key) ? checked_number(json_[key], at(key)) : fallback;
     }
-    Span span(const char* key) const { return Span{static_cast<Span::rep>(number_or(key, 0))}; }
+    Span span(const char* key) const {
+        return Span{static_cast<Span::rep>(number_or(key, 0))};
+    }
     Span needed_span(const char* key) const {
-        if (!has(key)) throw ConfigError(at(key) + ": absent");
+        if (!has(key))
+            throw ConfigError(at(key) + ": absent");
         return span(key);
     }
     bool flag(const char* key) const {
         const Json::Value& v = json_[key];
-        if (v.isNull()) return false;
-        if (!v.isBool()) throw ConfigError(at(key) + ": expected true or false");
+        if (v.isNull())
+            return false;
+        if (!v.isBool())
+            throw ConfigError(at(key) + ": expected true or false");
         return v.asBool();
     }
     // Item `index` of a list of numbers or flags; 0 where the list is absent or shorter.
     double item(const char* key, std::size_t index) const {
         const Json::Value& v = json_[key];
-        if (!v.isArray() || index >= v.size()) return 0;
+        if (!v.isArray() || index >= v.size())
+            return 0;
         const Json::Value& item = v[static_cast<Json::ArrayIndex>(index)];
         return item.isBool() ? (item.asBool() ? 1 : 0) : checked_number(item, at(key));
     }
     // A place in another list; absent where it is negative or not told.
     std::optional<Json::ArrayIndex> place(const char* key) const {
         const Json::Value& v = json_[key];
-        if (!v.isIntegral() || v.asInt64() < 0) return std::nullopt;
+        if (!v.isIntegral() || v.asInt64() < 0)
+            return std::nullopt;
         return static_cast<Json::ArrayIndex>(v.asInt64());
     }
     template <class Value>
     Value one_of(const char* key, const std::string& word,
                  std::initializer_list<std::pair<const char*, Value>> known) const {
         for (const auto& [name, value] : known)
-            if (word == name) return value;
+            if (word == name)
+                return value;
         throw ConfigError(at(key) + ": unknown word " + word);
     }
 
 private:
-    std::string at(const char* key) const { return path_.empty() ? key : path_ + "." + key; }
+    std::string at(const char* key) const {
+        return path_.empty() ? key : path_ + "." + key;
+    }
     static std::string checked_text(const Json::Value& v, const std::string& path) {
-        if (!v.isString()) throw ConfigError(path + ": expected a text");
+        if (!v.isString())
+            throw ConfigError(path + ": expected a text");
         return v.asString();
     }
     static double checked_number(const Json::Value& v, const std::string& path) {
-        if (!v.isNumeric()) throw ConfigError(path + ": expected a number");
+        if (!v.isNumeric())
+            throw ConfigError(path + ": expected a number");
         const double value = v.asDouble();
-        if (!(value >= 0 && value < 9e18)) throw ConfigError(path + ": out of range");
+        if (!(value >= 0 && value < 9e18))
+            throw ConfigError(path + ": out of range");
         return value;
     }
     const Json::Value& json_;
@@ -124,14 +145,16 @@
     const Node rules = at.child("invariants");
     winchflow::Settings s;
     const auto& classes = at.list("classes");
-    if (classes.empty() || classes.size() > 1000) throw ConfigError("settings.classes: expected 1 to 1000");
+    if (classes.empty() || classes.size() > 1000)
+        throw ConfigError("settings.classes: expected 1 to 1000");
     for (Json::ArrayIndex i = 0; i < classes.size(); ++i)
         s.classes.push_back(parse_class(Node{classes[i], "settings.classes." + std::to_string(i)}, info, i));
     s.zone = at.text("zone");
     const auto& zones = at.list("dcs");
     std::size_t zone = zones.size();
     for (Json::ArrayIndex i = 0; i < zones.size(); ++i)
-        if (zones[i] == s.zone) zone = i;
+        if (zones[i] == s.zone)
+            zone = i;
     s.gateways = std::max(1, static_cast<int>(at.number_or("balancers", 1)));
     const int here = static_cast<int>(info.item("zone-balancers", zone));
     s.gateways_in_zone = here > 0 ? here : s.gateways;
@@ -173,8 +196,11 @@
     const std::unique_ptr<Json::CharReader> reader{builder.newCharReader()};
     Json::Value root;
     try {
-        if (!reader->parse(text.data(), text.data() + text.size(), &root, nullptr)) return std::nullopt;
-    } catch (const Json::Exception&) { return std::nullopt; }
+        if (!reader->parse(text.data(), text.data() + text.size(), &root, nullptr))
+            return std::nullopt;
+    } catch (const Json::Exception&) {
+        return std::nullopt;
+    }
     return root;
 }
 
@@ -186,13 +212,16 @@
 
 std::optional<Endpoint> parse_endpoint(std::string_view text) {
     const auto colon = text.rfind(':');
-    if (colon == std::string_view::npos || colon == 0) return std::nullopt;
+    if (colon == std::string_view::npos || colon == 0)
+        return std::nullopt;
     Endpoint e;
     const std::string_view port = text.substr(colon + 1);
     const auto [end, error] = std::from_chars(port.data(), port.data() + port.size(), e.port);
-    if (error != std::errc{} || end != port.data() + port.size()) return std::nullopt;
+    if (error != std::errc{} || end != port.data() + port.size())
+        return std::nullopt;
     std::string_view host = text.substr(0, colon);
-    if (host.size() > 2 && host.front() == '[' && host.back() == ']') host = host.substr(1, host.size() - 2);
+    if (host.size() > 2 && host.front() == '[' && host.back() == ']')
+        host = host.substr(1, host.size() - 2);
     e.host = host;
     return e;
 }
@@ -205,7 +234,8 @@
     c.control = root.text_or("control", "");
     c.bulletin = root.text_or("bulletin", "");
     const auto seed = parse_hex(root.text_or("seed", "1"));
-    if (!seed) throw ConfigError("seed: expected up to 16 hex digits");
+    if (!seed)
+        throw ConfigError("seed: expected up to 16 hex digits");
     c.seed = *seed;
     if (root.has("limits")) {
         c.sockets = static_cast<std::size_t>(root.child("limits").number_or("sockets", 1024));
@@ -220,7 +250,8 @@
     if (root.has("known")) {
         const Node known = root.child("known");
         c.known_no = static_cast<std::int64_t>(known.number_or("no", 0));
-        for (const Json::Value& item : known.list("items")) c.known.push_back(item);
+        for (const Json::Value& item : known.list("items"))
+            c.known.push_back(item);
     }
     c.root = json;
     c.root.removeMember("known");
@@ -232,9 +263,11 @@
     const auto differ = [&names](const Json::Value& a, const Json::Value& b, const std::string& path) {
         std::set<std::string> keys;
         for (const Json::Value* side : {&a, &b})
-            for (const auto& key : side->getMemberNames()) keys.insert(key);
+            for (const auto& key : side->getMemberNames())
+                keys.insert(key);
         for (const auto& key : keys)
-            if (a[key] != b[key]) names.push_back(path + key);
+            if (a[key] != b[key])
+                names.push_back(path + key);
     };
     differ(running.root, fresh.root, "");
     std::erase(names, "bulletin");
@@ -246,7 +279,8 @@
 
 Config load_config(const std::string& path) {
     const auto json = parse_json(store::read_file(path, kLongestFile));
-    if (!json) throw ConfigError(path + ": not JSON");
+    if (!json)
+        throw ConfigError(path + ": not JSON");
     return parse_config(*json);
 }
 
--- a/src/config/operator.cpp
+++ b/src/config/operator.cpp
@@ -19,7 +19,8 @@
 
 std::string endpoint(Section& s, const char* key) {
     const std::string at = s.text(key);
-    if (!at.empty() && !parse_endpoint(at)) s.wrong(key, "not an address and a port: " + at);
+    if (!at.empty() && !parse_endpoint(at))
+        s.wrong(key, "not an address and a port: " + at);
     return at;
 }
 
@@ -34,8 +35,10 @@
     d.mailbox = s.text("mailbox");
     d.ttl_s = static_cast<std::uint32_t>(s.whole("ttl_s", 1, 0, kLongestTtl));
     d.deadline = std::chrono::milliseconds{s.whole("deadline_ms", 1000, 0, 60'000)};
-    if (d.on() && d.zone.empty()) s.wrong("zone", "needed where the front listens");
-    if (d.on() && d.server.empty()) s.wrong("server", "needed where the front listens");
+    if (d.on() && d.zone.empty())
+        s.wrong("zone", "needed where the front listens");
+    if (d.on() && d.server.empty())
+        s.wrong("server", "needed where the front listens");
     return d;
 }
 
@@ -45,7 +48,8 @@
     a.contact = s.text("contact");
     a.folder = s.text("folder");
     a.trust = s.text("trust");
-    if (a.on() && !dns_on) s.wrong("directory", "its proofs need the DNS front");
+    if (a.on() && !dns_on)
+        s.wrong("directory", "its proofs need the DNS front");
     return a;
 }
 
@@ -72,7 +76,8 @@
     }
     if (t.file_mb * 2 > t.most_mb && t.flight_mb == 0 && t.most_mb > 1)
         s.wrong("file_mb", "more than half of most_mb: no older file could be kept");
-    if (t.flight_mb > 0 && t.folder.empty()) s.wrong("folder", "needed: where a flight recorder's dumps go");
+    if (t.flight_mb > 0 && t.folder.empty())
+        s.wrong("folder", "needed: where a flight recorder's dumps go");
     if (t.dump_at_failed_share > 0 && t.flight_mb == 0)
         s.wrong("dump.at_failed_share", "works with flight_mb only");
     return t;
@@ -81,7 +86,8 @@
 // The zones and what a decision is made by. Names stand in decisions, so they hold none of its signs.
 cluster::FailoverSettings parse_failover(Section s, const std::string& own) {
     cluster::FailoverSettings f;
-    if (!s.present()) return f;
+    if (!s.present())
+        return f;
     const auto fits = [](const std::string& name) {
         return !name.empty() && name.size() <= cluster::kLongestPlace &&
                std::all_of(name.begin(), name.end(),
@@ -90,11 +96,15 @@
     s.each("zones", cluster::FailoverSettings::kMostZones, [&](Section& z) {
         cluster::FailoverZone zone{z.text("name"), z.text("region"),
                                    static_cast<std::size_t>(z.whole("routers", 0, 1, 10'000))};
-        if (!fits(zone.name)) z.wrong("name", "needed, of 1 to 32 plain letters without '='");
-        if (!fits(zone.region)) z.wrong("region", "needed, of 1 to 32 plain letters without '='");
-        if (zone.routers == 0) z.wrong("routers", "needed: how many the zone has");
+        if (!fits(zone.name))
+            z.wrong("name", "needed, of 1 to 32 plain letters without '='");
+        if (!fits(zone.region))
+            z.wrong("region", "needed, of 1 to 32 plain letters without '='");
+        if (zone.routers == 0)
+            z.wrong("routers", "needed: how many the zone has");
         for (const auto& other : f.zones)
-            if (other.name == zone.name) z.wrong("name", "given twice: " + zone.name);
+            if (other.name == zone.name)
+                z.wrong("name", "given twice: " + zone.name);
         f.zones.push_back(std::move(zone));
     });
     const auto ms = [&s](const char* key, cluster::Time fallback, std::int64_t least, std::int64_t most) {
@@ -112,13 +122,15 @@
         static_cast<std::size_t>(s.whole("witnesses", static_cast<std::int64_t>(f.witnesses), 1, 64));
     const bool named = std::any_of(f.zones.begin(), f.zones.end(),
                                    [&own](const cluster::FailoverZone& z) { return z.name == own; });
-    if (!named) s.wrong("zones", "this router's own zone is not among them: " + own);
+    if (!named)
+        s.wrong("zones", "this router's own zone is not among them: " + own);
     return f;
 }
 
 PeersSettings parse_peers(Section s) {
     PeersSettings p;
-    if (!s.present()) return p;
+    if (!s.present())
+        return p;
     p.name = s.text("name");
     p.zone = s.text("zone");
     p.region = s.text("region");
@@ -126,7 +138,8 @@
     p.advertise = endpoint(s, "advertise");
     p.seeds = s.texts("seeds", 64);
     for (const auto& seed : p.seeds)
-        if (!parse_endpoint(seed)) s.wrong("seeds", "not an address and a port: " + seed);
+        if (!parse_endpoint(seed))
+            s.wrong("seeds", "not an address and a port: " + seed);
     p.probe_ms = s.whole("probe_ms", p.probe_ms, 10, 60'000);
     p.probe_timeout_ms = s.whole("probe_timeout_ms", p.probe_timeout_ms, 1, 60'000);
     p.push_pull_ms = s.whole("push_pull_ms", p.push_pull_ms, 100, 3'600'000);
@@ -137,13 +150,19 @@
     p.replica_ms = s.whole("replica_ms", p.replica_ms, 50, 60'000);
     p.tombstone_keep_ms = s.whole("tombstone_keep_ms", p.tombstone_keep_ms, 10'000, 30 * 86'400'000LL);
     p.hearsay_ms = s.whole("hearsay_ms", p.hearsay_ms, 0, 30'000);
-    if (p.hearsay_ms > 0 && p.hearsay_ms < 1'000) s.wrong("hearsay_ms", "0, or 1000 to 30000");
+    if (p.hearsay_ms > 0 && p.hearsay_ms < 1'000)
+        s.wrong("hearsay_ms", "0, or 1000 to 30000");
     p.failover = parse_failover(s.child("failover"), p.zone);
-    if (p.bind.empty()) s.wrong("bind", "needed: where the peers' port is");
-    if (p.name.empty() || p.name.size() > 64) s.wrong("name", "needed, of 1 to 64 bytes");
-    if (p.zone.size() > 32) s.wrong("zone", "at most 32 bytes");
-    if (p.region.size() > 32) s.wrong("region", "at most 32 bytes");
-    if (p.probe_timeout_ms >= p.probe_ms) s.wrong("probe_timeout_ms", "must be shorter than probe_ms");
+    if (p.bind.empty())
+        s.wrong("bind", "needed: where the peers' port is");
+    if (p.name.empty() || p.name.size() > 64)
+        s.wrong("name", "needed, of 1 to 64 bytes");
+    if (p.zone.size() > 32)
+        s.wrong("zone", "at most 32 bytes");
+    if (p.region.size() > 32)
+        s.wrong("region", "at most 32 bytes");
+    if (p.probe_timeout_ms >= p.probe_ms)
+        s.wrong("probe_timeout_ms", "must be shorter than probe_ms");
     return p;
 }
 
@@ -151,10 +170,14 @@
 
 std::vector<const char*> changed_sections(const OperatorSettings& a, const OperatorSettings& b) {
     std::vector<const char*> names;
-    if (a.peers != b.peers) names.push_back("peers");
-    if (a.dns != b.dns) names.push_back("dns");
-    if (a.acme != b.acme) names.push_back("acme");
-    if (a.trace != b.trace) names.push_back("trace");
+    if (a.peers != b.peers)
+        names.push_back("peers");
+    if (a.dns != b.dns)
+        names.push_back("dns");
+    if (a.acme != b.acme)
+        names.push_back("acme");
+    if (a.trace != b.trace)
+        names.push_back("trace");
     return names;
 }
 
@@ -175,8 +198,10 @@
     } catch (const std::system_error& e) {
         // Not there is one thing; there and not readable in this moment would turn every part off unseen.
         const bool absent = e.code() == std::errc::no_such_file_or_directory;
-        if (!absent && store::is_momentary(e.code().value())) throw;
-        if (must_exist || !absent) problems.push_back(path + ": can't be read");
+        if (!absent && store::is_momentary(e.code().value()))
+            throw;
+        if (must_exist || !absent)
+            problems.push_back(path + ": can't be read");
         return {};
     }
     Json::CharReaderBuilder builder;
@@ -189,7 +214,8 @@
     std::string errors;
     try {
         if (!reader->parse(text.data(), text.data() + text.size(), &root, &errors)) {
-            while (!errors.empty() && errors.back() == '\n') errors.pop_back();
+            while (!errors.empty() && errors.back() == '\n')
+                errors.pop_back();
             problems.push_back(path + ": not JSON: " + errors);
             return {};
         }
@@ -199,7 +225,8 @@
     }
     std::vector<std::string> found;
     OperatorSettings o = parse_operator(root, found);
-    for (const std::string& problem : found) problems.push_back(path + ": " + problem);
+    for (const std::string& problem : found)
+        problems.push_back(path + ": " + problem);
     return o;
 }
 
--- a/src/config/operator.h
+++ b/src/config/operator.h
@@ -18,7 +18,9 @@
     std::string mailbox;
     std::uint32_t ttl_s = 1;
     winchflow::Span deadline = std::chrono::seconds{1};
-    bool on() const { return !udp.empty() || !tcp.empty() || !tls.empty(); }
+    bool on() const {
+        return !udp.empty() || !tcp.empty() || !tls.empty();
+    }
     bool operator==(const DnsSettings&) const = default;
 };
 
@@ -28,7 +30,9 @@
     std::string folder;     // where keys and certificate are kept; empty: nowhere, they end with the program
     std::string
         trust;  // file of the certificates that the authority's own may be signed by; empty: the system's
-    bool on() const { return !directory.empty(); }
+    bool on() const {
+        return !directory.empty();
+    }
     bool operator==(const AcmeSettings&) const = default;
 };
 
@@ -47,7 +51,9 @@
     std::int64_t dump_hold_off_s = 600;
     bool leave_out_clients = false;
     bool leave_out_tags = false;
-    bool on() const { return !folder.empty(); }
+    bool on() const {
+        return !folder.empty();
+    }
     bool operator==(const TraceSettings&) const = default;
 };
 
@@ -71,7 +77,9 @@
     std::int64_t hearsay_ms =
         10'000;  // what others learned of boxes counts for so long; 0: nothing is shared
     cluster::FailoverSettings failover;  // no zones: off
-    bool on() const { return !bind.empty(); }
+    bool on() const {
+        return !bind.empty();
+    }
     bool operator==(const PeersSettings&) const = default;
 };
 
--- a/src/config/section.h
+++ b/src/config/section.h
@@ -20,8 +20,12 @@
     Section(const Section&) = delete;
     Section& operator=(const Section&) = delete;
 
-    bool present() const { return json_.isObject(); }
-    bool has(const char* key) const { return present() && !json_[key].isNull(); }
+    bool present() const {
+        return json_.isObject();
+    }
+    bool has(const char* key) const {
+        return present() && !json_[key].isNull();
+    }
     Section child(const char* key);
     std::string text(const char* key, const std::string& fallback = {});
     bool flag(const char* key, bool fallback);
@@ -35,7 +39,9 @@
     // A list of at most `most` objects, each read as a section of its own: `peers.zones.2.name`.
     void each(const char* key, std::size_t most, const std::function<void(Section&)>& read);
     void wrong(const char* key, const std::string& what);  // e.g. two keys that do not go together
-    std::string at(const char* key) const { return path_.empty() ? key : path_ + "." + key; }
+    std::string at(const char* key) const {
+        return path_.empty() ? key : path_ + "." + key;
+    }
 
 private:
     const Json::Value& value(const char* key);
--- a/src/copies/copies.cpp
+++ b/src/copies/copies.cpp
@@ -12,14 +12,18 @@
 // To tell a client that its own copy holds takes a twentieth of the bytes.
 constexpr double kUnchangedShare = 0.05;
 
-std::int64_t ms(Span span) { return span / 1ms; }
+std::int64_t ms(Span span) {
+    return span / 1ms;
+}
 }  // namespace
 
 void Copies::keep(const Wanted& call, std::string_view body, std::string_view tag, std::int64_t made_ms,
                   std::int64_t purged_ms) {
-    if (!on_ || !call.group_known || classes_[call.key.class_index].uncached) return;
+    if (!on_ || !call.group_known || classes_[call.key.class_index].uncached)
+        return;
     // Without its age nothing says how long it will do; one made before a purge was under way while it came.
-    if (made_ms <= 0 || made_ms <= purged_ms || tag.empty()) return;
+    if (made_ms <= 0 || made_ms <= purged_ms || tag.empty())
+        return;
     store_.put(call.key,
                Copy{std::make_shared<const std::string>(body), std::string{tag}, call.group, made_ms});
 }
@@ -40,22 +44,28 @@
 
 std::optional<Served> Copies::answer(const Wanted& call, Time now, std::int64_t unix_ms) {
     const Copy* copy = find(call);
-    if (!copy) return std::nullopt;
+    if (!copy)
+        return std::nullopt;
     const auto& of = classes_[call.key.class_index];
-    if (of.max_age > Span{} && unix_ms + kAgeMarginMs >= copy->made_ms + ms(of.max_age)) return std::nullopt;
+    if (of.max_age > Span{} && unix_ms + kAgeMarginMs >= copy->made_ms + ms(of.max_age))
+        return std::nullopt;
     const double bytes = bytes_to_send(call, *copy);
     const auto aim = of.aim + std::chrono::duration_cast<Span>(of.aim_stretch * link_.alone(bytes));
-    if (link_.finish(bytes, now) > kOfAim * aim) return std::nullopt;
+    if (link_.finish(bytes, now) > kOfAim * aim)
+        return std::nullopt;
     return serve(call, *copy, now, false);
 }
 
 std::optional<Served> Copies::last_resort(const Wanted& call, Time now, std::int64_t unix_ms, Time deadline) {
     const Copy* copy = find(call);
-    if (!copy) return std::nullopt;
+    if (!copy)
+        return std::nullopt;
     const auto& of = classes_[call.key.class_index];
     const std::int64_t age = unix_ms + kAgeMarginMs - copy->made_ms;
-    if (of.max_age > Span{} && age >= ms(of.max_age + of.grace)) return std::nullopt;
-    if (now + link_.finish(bytes_to_send(call, *copy), now) + kDeadlineMargin > deadline) return std::nullopt;
+    if (of.max_age > Span{} && age >= ms(of.max_age + of.grace))
+        return std::nullopt;
+    if (now + link_.finish(bytes_to_send(call, *copy), now) + kDeadlineMargin > deadline)
+        return std::nullopt;
     return serve(call, *copy, now, of.max_age > Span{} && age >= ms(of.max_age));
 }
 
--- a/src/copies/copies.h
+++ b/src/copies/copies.h
@@ -13,7 +13,9 @@
 struct Limits {
     std::size_t bytes = 0;
     LinkRates link;
-    bool on() const { return bytes > 0 && link.told(); }
+    bool on() const {
+        return bytes > 0 && link.told();
+    }
 };
 
 // What of a call matters here.
@@ -38,7 +40,9 @@
 
     // Guards rule 5 (no purged copy): caches drop what was purged by themselves, this store only what it is
     // told. While it can't be sure to be told, nothing is served from it.
-    void told_of_purges(bool surely) { sure_ = surely; }
+    void told_of_purges(bool surely) {
+        sure_ = surely;
+    }
 
     // Keeps what came from a box. `purged_ms`: when its object or group was last purged, 0 for never.
     void keep(const Wanted& call, std::string_view body, std::string_view tag, std::int64_t made_ms,
@@ -49,11 +53,18 @@
     std::optional<Served> last_resort(const Wanted& call, Time now, std::int64_t unix_ms, Time deadline);
 
     void limit(std::size_t bytes) {
-        if (on_) store_.limit(bytes);
+        if (on_)
+            store_.limit(bytes);
+    }
+    void purge_object(ObjectId object, std::int64_t issued_ms) {
+        store_.purge_object(object, issued_ms);
+    }
+    void purge_group(GroupId group, std::int64_t issued_ms) {
+        store_.purge_group(group, issued_ms);
+    }
+    std::size_t bytes() const {
+        return store_.bytes();
     }
-    void purge_object(ObjectId object, std::int64_t issued_ms) { store_.purge_object(object, issued_ms); }
-    void purge_group(GroupId group, std::int64_t issued_ms) { store_.purge_group(group, issued_ms); }
-    std::size_t bytes() const { return store_.bytes(); }
 
 private:
     const Copy* find(const Wanted& call);
--- a/src/copies/own_link.h
+++ b/src/copies/own_link.h
@@ -12,7 +12,9 @@
 struct LinkRates {
     double flow_bytes_per_s = 0;  // one transfer, at most
     double link_bytes_per_s = 0;  // all together
-    bool told() const { return flow_bytes_per_s > 0 && link_bytes_per_s > 0; }
+    bool told() const {
+        return flow_bytes_per_s > 0 && link_bytes_per_s > 0;
+    }
 };
 
 class OwnLink {
--- a/src/copies/store.h
+++ b/src/copies/store.h
@@ -41,8 +41,12 @@
     // Drops what was made up to `issued_ms`: of the object, or of the whole group.
     void purge_object(ObjectId object, std::int64_t issued_ms);
     void purge_group(GroupId group, std::int64_t issued_ms);
-    std::size_t bytes() const { return bytes_; }
-    std::size_t size() const { return entries_.size(); }
+    std::size_t bytes() const {
+        return bytes_;
+    }
+    std::size_t size() const {
+        return entries_.size();
+    }
 
 private:
     struct Entry {
--- a/src/core/admit.cpp
+++ b/src/core/admit.cpp
@@ -2,6 +2,8 @@
 
 namespace silverrail::core {
 
-bool Admit::admits(std::size_t open) const { return open < most_open_; }
+bool Admit::admits(std::size_t open) const {
+    return open < most_open_;
+}
 
 }  // namespace silverrail::core
--- a/src/core/book.cpp
+++ b/src/core/book.cpp
@@ -7,7 +7,8 @@
 winchflow::Outcome Book::outcome(const AttemptKey& key, const AttemptEnd& end, const OpenAttempt& attempt,
                                  bool over, Time now) {
     const auto at = static_cast<std::size_t>(end.ending);
-    if (at < counters_.endings.size()) ++counters_.endings[at];
+    if (at < counters_.endings.size())
+        ++counters_.endings[at];
     winchflow::Outcome o;
     o.request = key.request;
     o.attempt = key.attempt;
--- a/src/core/counters.cpp
+++ b/src/core/counters.cpp
@@ -9,7 +9,9 @@
                                     "reset", "cancelled", "not_sent", "miss", "unseen"};
 }
 
-const char* Counters::name_of(Ending ending) { return kEndings[static_cast<std::size_t>(ending)]; }
+const char* Counters::name_of(Ending ending) {
+    return kEndings[static_cast<std::size_t>(ending)];
+}
 
 std::uint64_t Counters::all_violations() const {
     return std::accumulate(violations.begin(), violations.end(), std::uint64_t{0});
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -46,7 +46,8 @@
       relay_(counters_),
       book_(counters_),
       guard_(settings_) {
-    for (const auto& c : settings_.classes) counters_.classes.push_back({.name = c.name});
+    for (const auto& c : settings_.classes)
+        counters_.classes.push_back({.name = c.name});
 }
 
 bool Engine::knows_class(const std::string& name) const {
@@ -71,7 +72,8 @@
 const Counters& Engine::counters() {
     counters_.open = open_.size();
     counters_.clock_steps = unix_time_.steps();
-    for (std::size_t i = 0; i < kHeldReasons; ++i) counters_.held[i] = guard_.held(static_cast<Held>(i));
+    for (std::size_t i = 0; i < kHeldReasons; ++i)
+        counters_.held[i] = guard_.held(static_cast<Held>(i));
     for (std::size_t i = 0; i < kViolations; ++i)
         counters_.violations[i] = guard_.violations(static_cast<Violation>(i));
     counters_.inflight = static_cast<std::uint64_t>(
@@ -125,7 +127,8 @@
 void Engine::turn_away(OpenCall& open, const Call& call, std::optional<std::size_t> class_index,
                        Answer answer) {
     open.class_index = class_index.value_or(OpenCall::kNoClass);
-    if (observer_) observer_->turned_away(call, class_index.value_or(settings_.classes.size()), clock_.now());
+    if (observer_)
+        observer_->turned_away(call, class_index.value_or(settings_.classes.size()), clock_.now());
     relay_.answer(open, std::move(answer));
 }
 
@@ -141,7 +144,8 @@
 
 void Engine::abandon(RequestId id) {
     auto at = open_.find(id);
-    if (at == open_.end() || at->second.answered()) return;
+    if (at == open_.end() || at->second.answered())
+        return;
     ++counters_.abandoned;
     at->second.sink = nullptr;
     guard_.left(id);
@@ -159,7 +163,8 @@
 void Engine::withdraw(RequestId id) {
     for (std::uint32_t i = 0;; ++i) {
         const auto at = open_.find(id);
-        if (at == open_.end() || i >= at->second.attempts.size()) return;
+        if (at == open_.end() || i >= at->second.attempts.size())
+            return;
         act(winchflow::Cancel{id, i});
     }
 }
@@ -173,8 +178,10 @@
     ++counters_.lists;
     const Time now = clock_.now();
     for (Box& box : change.boxes)
-        if (box.started_ms > 0) box.entry.up_since = started(box, now, oldest);
-    for (const CacheId& id : fleet_.apply(change, now)) sender_.forget(id);
+        if (box.started_ms > 0)
+            box.entry.up_since = started(box, now, oldest);
+    for (const CacheId& id : fleet_.apply(change, now))
+        sender_.forget(id);
     tell_list(change);
 }
 
@@ -182,10 +189,12 @@
 // telling where its age can't be right.
 Time Engine::started(const Box& box, Time now, Span oldest) {
     const Box* known = fleet_.find(box.entry.id);
-    if (known && known->started_ms == box.started_ms && known->entry.up_since) return *known->entry.up_since;
+    if (known && known->started_ms == box.started_ms && known->entry.up_since)
+        return *known->entry.up_since;
     const Span age = unix_time(now).least_age(now, box.started_ms);
     const bool plausible = oldest >= Span::max() - kLongestStart || age <= oldest + kLongestStart;
-    if (!plausible) ++counters_.clock_doubts;
+    if (!plausible)
+        ++counters_.clock_doubts;
     return plausible ? now - age : now;
 }
 
@@ -209,7 +218,8 @@
 // Tells the module of every box that it is to see otherwise than before, whatever the list says of it.
 void Engine::restate(const std::function<void()>& change) {
     std::map<CacheId, winchflow::ListedCache> before;
-    for (const auto& [id, box] : fleet_.boxes()) before.emplace(id, fleet_.entry(box));
+    for (const auto& [id, box] : fleet_.boxes())
+        before.emplace(id, fleet_.entry(box));
     change();
     BoxChange told;
     for (const auto& [id, box] : fleet_.boxes()) {
@@ -217,22 +227,28 @@
         const auto is = fleet_.entry(box);
         const bool out = is.condition != was.condition && is.condition != Condition::ready;
         const bool back = is.condition != was.condition && is.condition == Condition::ready;
-        if (!out && !back && is.zone == was.zone && is.weight == was.weight) continue;
-        if (out) sender_.forget(id);
+        if (!out && !back && is.zone == was.zone && is.weight == was.weight)
+            continue;
+        if (out)
+            sender_.forget(id);
         told.boxes.push_back(box);
         // Guards rule 4: out, it may have been restarted, whatever the list says of its start.
-        if (back) told.boxes.back().entry.up_since = clock_.now();
+        if (back)
+            told.boxes.back().entry.up_since = clock_.now();
     }
-    if (!told.boxes.empty()) tell_list(told);
+    if (!told.boxes.empty())
+        tell_list(told);
 }
 
 void Engine::each_box(const std::function<void(const Box&, bool avoided)>& see) const {
-    for (const auto& [id, box] : fleet_.boxes()) see(box, route_.avoids(id));
+    for (const auto& [id, box] : fleet_.boxes())
+        see(box, route_.avoids(id));
 }
 
 void Engine::tell_list(const BoxChange& change) {
     winchflow::CacheList list{change.complete, {}};
-    for (const Box& box : change.boxes) list.caches.push_back(fleet_.entry(box));
+    for (const Box& box : change.boxes)
+        list.caches.push_back(fleet_.entry(box));
     origin_.change = &change;
     tell(std::move(list));
     origin_ = {};
@@ -247,8 +263,10 @@
     // the start most is long past, by this clock; the check at the first byte goes by what is proven there,
     // too.
     Span age = unix_time_.least_age(now, purge.issued_ms);
-    if (age > oldest) ++counters_.clock_doubts;
-    if (oldest < Span::max()) age = unix_time_.proven_age(now, purge.issued_ms);
+    if (age > oldest)
+        ++counters_.clock_doubts;
+    if (oldest < Span::max())
+        age = unix_time_.proven_age(now, purge.issued_ms);
     purges_.add(purge, now);
     hold_.purge(purge);
     origin_.purge = &purge;
@@ -259,14 +277,18 @@
 // Events that arise while the module is being told of one wait for their turn.
 void Engine::tell(winchflow::Event event) {
     events_.push_back(std::move(event));
-    if (std::exchange(telling_, true)) return;
+    if (std::exchange(telling_, true))
+        return;
     while (!events_.empty()) {
         const winchflow::Event next = std::move(events_.front());
         events_.pop_front();
         const auto actions = route_.tell(next, clock_.now());
-        if (observer_) observe(next, actions);
-        for (const auto& action : actions) std::visit([this](const auto& a) { act(a); }, action);
-        if (const auto* outcome = std::get_if<winchflow::Outcome>(&next)) drop_if_done(outcome->request);
+        if (observer_)
+            observe(next, actions);
+        for (const auto& action : actions)
+            std::visit([this](const auto& a) { act(a); }, action);
+        if (const auto* outcome = std::get_if<winchflow::Outcome>(&next))
+            drop_if_done(outcome->request);
     }
     telling_ = false;
 }
@@ -279,7 +301,8 @@
 
 void Engine::act(const winchflow::Send& send) {
     auto at = open_.find(send.request);
-    if (at == open_.end()) return;
+    if (at == open_.end())
+        return;
     OpenCall& open = at->second;
     const Time now = clock_.now();
     const auto attempt = static_cast<std::uint32_t>(open.attempts.size());
@@ -296,8 +319,10 @@
         ended(key, {.ending = Ending::not_sent});
         return;
     }
-    if (attempt > 0) tell_why("retry", open);
-    if (open.call->referred) return refer(open, *order);
+    if (attempt > 0)
+        tell_why("retry", open);
+    if (open.call->referred)
+        return refer(open, *order);
     ++counters_.sent;
     const Box* target = fleet_.find(order->target);
     if (target && fleet_.is_cache(*target) && target->entry.zone != fleet_.zone() &&
@@ -312,15 +337,18 @@
 void Engine::refer(OpenCall& open, const Order& order) {
     const auto address = send_.referral(order, settings_.parent_kind, clock_.now());
     const AttemptKey key = order.key;
-    if (!address) ++counters_.not_carried;
+    if (!address)
+        ++counters_.not_carried;
     answer(open, address ? Relay::referred(*address) : Relay::refused(kNotCarriedHoldOff, false));
     ended(key, {.ending = Ending::unseen});
 }
 
 void Engine::act(const winchflow::Cancel& cancel) {
     auto at = open_.find(cancel.request);
-    if (at == open_.end() || cancel.attempt >= at->second.attempts.size()) return;
-    if (!at->second.attempts[cancel.attempt].out) return;
+    if (at == open_.end() || cancel.attempt >= at->second.attempts.size())
+        return;
+    if (!at->second.attempts[cancel.attempt].out)
+        return;
     ++counters_.cancelled;
     const AttemptKey key{cancel.request, cancel.attempt};
     sender_.cancel(key);
@@ -329,7 +357,8 @@
 
 void Engine::act(const winchflow::Refuse& refuse) {
     auto at = open_.find(refuse.request);
-    if (at == open_.end()) return;
+    if (at == open_.end())
+        return;
     const OpenCall& open = at->second;
     const Time now = clock_.now();
     if (!open.answered())
@@ -340,7 +369,8 @@
 
 void Engine::act(const winchflow::Fail& fail) {
     auto at = open_.find(fail.request);
-    if (at == open_.end()) return;
+    if (at == open_.end())
+        return;
     finish(fail.request, Relay::failed(clock_.now() >= at->second.call->deadline));
 }
 
@@ -350,21 +380,26 @@
 
 std::optional<Span> Engine::before_first_byte(const AttemptKey& key) {
     auto at = open_.find(key.request);
-    if (at == open_.end() || key.attempt >= at->second.attempts.size()) return std::nullopt;
+    if (at == open_.end() || key.attempt >= at->second.attempts.size())
+        return std::nullopt;
     const OpenAttempt& attempt = at->second.attempts[key.attempt];
-    if (!attempt.out || !attempt.order || at->second.answered()) return std::nullopt;
+    if (!attempt.out || !attempt.order || at->second.answered())
+        return std::nullopt;
     const Time now = clock_.now();
     const auto held = guard_.send(key, facts_at_first_byte(at->second, attempt, now));
     bool tightened = false;
     std::optional<Span> oldest;
-    if (!held) oldest = send_.oldest(*attempt.order, now, tightened);
+    if (!held)
+        oldest = send_.oldest(*attempt.order, now, tightened);
     if (held) {
         ++counters_.held_at_first_byte;
         log_.line("held", "%s attempt %u to %s: %s", at->second.call->trace.c_str(), key.attempt,
                   attempt.order->target.address.c_str(), std::string{name_of(*held)}.c_str());
     }
-    if (tightened) ++counters_.tightened;
-    if (observer_) observer_->first_byte(key, oldest, tightened, now);
+    if (tightened)
+        ++counters_.tightened;
+    if (observer_)
+        observer_->first_byte(key, oldest, tightened, now);
     return oldest;
 }
 
@@ -384,10 +419,13 @@
 }
 
 void Engine::answer(OpenCall& open, Answer answer) {
-    if (relay_.answer(open, std::move(answer))) guard_.answered(open.id);
+    if (relay_.answer(open, std::move(answer)))
+        guard_.answered(open.id);
 }
 
-void Engine::tell_of_violation() { log_.line("violation", "%s", guard_.last_violation().c_str()); }
+void Engine::tell_of_violation() {
+    log_.line("violation", "%s", guard_.last_violation().c_str());
+}
 
 // One line: the call, how its last attempt ended and how many there were.
 void Engine::tell_why(const char* event, const OpenCall& open) const {
@@ -400,30 +438,37 @@
 
 void Engine::ended(const AttemptKey& key, AttemptEnd end) {
     auto at = open_.find(key.request);
-    if (at == open_.end() || key.attempt >= at->second.attempts.size()) return;
+    if (at == open_.end() || key.attempt >= at->second.attempts.size())
+        return;
     OpenCall& open = at->second;
     OpenAttempt& attempt = open.attempts[key.attempt];
-    if (!attempt.out) return;
+    if (!attempt.out)
+        return;
     attempt.out = false;
     attempt.order.reset();
     open.last_ending = end.ending;
     guard_.ended(key, end.ending);
-    if (attempt.timer) timers_.cancel(std::exchange(attempt.timer, 0));
+    if (attempt.timer)
+        timers_.cancel(std::exchange(attempt.timer, 0));
     const bool good = end.ending == Ending::good;
     const Time now = clock_.now();
     (void)unix_time(now);
-    if (end.made_ms > 0) unix_time_.passed(now, end.made_ms, UnixTime::Source::any);
+    if (end.made_ms > 0)
+        unix_time_.passed(now, end.made_ms, UnixTime::Source::any);
     hold_.keep(open, end, now, unix_time_.latest_ms(now));
     const auto outcome = book_.outcome(key, end, attempt, good || open.answered(), now);
-    if (good) answer(open, Relay::served(std::move(end)));
+    if (good)
+        answer(open, Relay::served(std::move(end)));
     tell(outcome);
 }
 
 void Engine::timed_out(const AttemptKey& key) {
     auto at = open_.find(key.request);
-    if (at == open_.end() || key.attempt >= at->second.attempts.size()) return;
+    if (at == open_.end() || key.attempt >= at->second.attempts.size())
+        return;
     at->second.attempts[key.attempt].timer = 0;
-    if (!at->second.attempts[key.attempt].out) return;
+    if (!at->second.attempts[key.attempt].out)
+        return;
     sender_.cancel(key);
     ended(key, {.ending = Ending::late});
 }
@@ -431,9 +476,11 @@
 // Guards rule 1 (every request answered): a call that the module still holds at its deadline.
 void Engine::deadline(RequestId id) {
     auto at = open_.find(id);
-    if (at == open_.end()) return;
+    if (at == open_.end())
+        return;
     at->second.guard = 0;
-    if (at->second.answered()) return;
+    if (at->second.answered())
+        return;
     ++counters_.past_deadline;
     log_.line("past-deadline", "a %s call was still open", at->second.call->class_name.c_str());
     fail_now(id, true);
@@ -442,15 +489,19 @@
 void Engine::fail_all() {
     std::vector<RequestId> open;
     for (const auto& [id, call] : open_)
-        if (!call.answered()) open.push_back(id);
-    if (!open.empty()) log_.line("cut-short", "%zu open calls failed: the process ends", open.size());
-    for (const RequestId id : open) fail_now(id, false);
+        if (!call.answered())
+            open.push_back(id);
+    if (!open.empty())
+        log_.line("cut-short", "%zu open calls failed: the process ends", open.size());
+    for (const RequestId id : open)
+        fail_now(id, false);
 }
 
 // Without asking the module.
 void Engine::fail_now(RequestId id, bool timed_out) {
     const auto at = open_.find(id);
-    if (at == open_.end() || at->second.answered()) return;
+    if (at == open_.end() || at->second.answered())
+        return;
     tell_why("failed", at->second);
     answer(at->second, Relay::failed(timed_out));
     let_go(id);
@@ -458,17 +509,22 @@
 
 void Engine::finish(RequestId id, Answer reply) {
     auto at = open_.find(id);
-    if (at == open_.end()) return;
-    if (!at->second.answered() && reply.kind == Answer::Kind::refused) tell_why("refused", at->second);
-    if (!at->second.answered() && reply.kind == Answer::Kind::failed) tell_why("failed", at->second);
+    if (at == open_.end())
+        return;
+    if (!at->second.answered() && reply.kind == Answer::Kind::refused)
+        tell_why("refused", at->second);
+    if (!at->second.answered() && reply.kind == Answer::Kind::failed)
+        tell_why("failed", at->second);
     answer(at->second, std::move(reply));
     drop_if_done(id);
 }
 
 void Engine::drop_if_done(RequestId id) {
     auto at = open_.find(id);
-    if (at == open_.end() || !at->second.answered() || !at->second.idle()) return;
-    if (at->second.guard) timers_.cancel(at->second.guard);
+    if (at == open_.end() || !at->second.answered() || !at->second.idle())
+        return;
+    if (at->second.guard)
+        timers_.cancel(at->second.guard);
     take_in_.release(at->second.call->trace);
     guard_.closed(id);
     open_.erase(at);
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -26,9 +26,13 @@
            Timers& timers, AttemptSender& sender, Log& log);
 
     // From here on copies of its own answer calls, where the limits are on. Not before told_of_purges(true).
-    void keep_copies(copies::Limits limits) { hold_.set(limits); }
+    void keep_copies(copies::Limits limits) {
+        hold_.set(limits);
+    }
     // Is it sure that every purge is heard of in time?
-    void told_of_purges(bool surely) { hold_.told_of_purges(surely); }
+    void told_of_purges(bool surely) {
+        hold_.told_of_purges(surely);
+    }
 
     // So many processes count as this one router from here on; copies of its own get so many bytes in this
     // one.
@@ -51,32 +55,48 @@
 
     // Takes out by hand what `bans` names and was not out, and back what it names no more.
     void set_bans(const members::Bans& bans);
-    const members::Bans& bans() const { return fleet_.bans(); }
+    const members::Bans& bans() const {
+        return fleet_.bans();
+    }
     // Keeps away from these on the word of other routers, and from no others that it kept away from so.
     void hold_out(std::set<CacheId> ids);
     // From here on requests go to the zones that are named, in these parts.
     void steer(const Steering& steering);
     // Every box that is known, with: is it avoided by this router itself?
     void each_box(const std::function<void(const Box&, bool avoided)>& see) const;
-    bool is_cache(const Box& box) const { return fleet_.is_cache(box); }
-    const std::string& zone() const { return fleet_.zone(); }
-    const winchflow::Settings& settings() const { return settings_; }
+    bool is_cache(const Box& box) const {
+        return fleet_.is_cache(box);
+    }
+    const std::string& zone() const {
+        return fleet_.zone();
+    }
+    const winchflow::Settings& settings() const {
+        return settings_;
+    }
     // Attempts ordered to caches of other zones, by zone.
-    const std::map<std::string, std::uint64_t>& sent_away() const { return sent_away_; }
+    const std::map<std::string, std::uint64_t>& sent_away() const {
+        return sent_away_;
+    }
     bool lists(const CacheId& box) const;
 
-    std::size_t open() const { return open_.size(); }
+    std::size_t open() const {
+        return open_.size();
+    }
     bool knows_class(const std::string& name) const;
     // Never to run twice: nothing that repeats by itself may carry it.
     bool unsafe_class(const std::string& name) const;
     // Is any box of this zone listed with an address of that family?
     bool lists_address(bool v6) const;
     const Counters& counters();
-    winchflow::Router::Sizes sizes() const { return route_.sizes(); }
+    winchflow::Router::Sizes sizes() const {
+        return route_.sizes();
+    }
 
 private:
     std::optional<Span> before_first_byte(const AttemptKey& key) override;
-    void written() override { ++counters_.backend_calls; }
+    void written() override {
+        ++counters_.backend_calls;
+    }
     void ended(const AttemptKey& key, AttemptEnd end) override;
 
     // Both clocks are read now.
--- a/src/core/fleet.cpp
+++ b/src/core/fleet.cpp
@@ -8,11 +8,13 @@
     std::map<CacheId, Box> before;
     if (change.complete) {
         before = boxes_;
-        for (auto& [id, box] : boxes_) box.entry.condition = Condition::gone;
+        for (auto& [id, box] : boxes_)
+            box.entry.condition = Condition::gone;
     }
     for (const Box& told : change.boxes) {
         auto [at, fresh] = boxes_.try_emplace(told.entry.id, told);
-        if (fresh) continue;
+        if (fresh)
+            continue;
         before.try_emplace(at->first, at->second);
         const auto barred = at->second.barred;
         at->second = told;
@@ -29,7 +31,8 @@
     for (const auto& [id, old] : before) {
         const Box& box = boxes_.at(id);
         const bool left = box.entry.condition == Condition::gone && old.entry.condition != Condition::gone;
-        if (left || box.started_ms != old.started_ms || box.address != old.address) dropped.push_back(id);
+        if (left || box.started_ms != old.started_ms || box.address != old.address)
+            dropped.push_back(id);
     }
     if (boxes_.size() > kGoneKept)
         std::erase_if(boxes_, [](const auto& e) { return e.second.entry.condition == Condition::gone; });
@@ -41,15 +44,18 @@
 }
 
 bool Fleet::kept_out(const Box& box) const {
-    if (bans_.contains(box.entry.id) || held_out_.contains(box.entry.id)) return true;
-    if (steering_.empty() || box.entry.zone != zone_ || !is_cache(box)) return false;
+    if (bans_.contains(box.entry.id) || held_out_.contains(box.entry.id))
+        return true;
+    if (steering_.empty() || box.entry.zone != zone_ || !is_cache(box))
+        return false;
     const auto factor = steering_.find(zone_);
     return factor == steering_.end() || factor->second <= 0;
 }
 
 winchflow::ListedCache Fleet::entry(const Box& box) const {
     winchflow::ListedCache entry = box.entry;
-    if (!weighted_) entry.weight = 1;
+    if (!weighted_)
+        entry.weight = 1;
     if (kept_out(box) && entry.condition == winchflow::Condition::ready)
         entry.condition = winchflow::Condition::draining;
     if (const auto factor = steering_.find(entry.zone);
--- a/src/core/fleet.h
+++ b/src/core/fleet.h
@@ -41,16 +41,28 @@
     // The ids of the boxes whose open connections are void: gone, restarted or moved.
     std::vector<CacheId> apply(const BoxChange& change, Time now);
     // Out by hand, whatever the list says of them, also of ids that it does not name.
-    void set_bans(members::Bans bans) { bans_ = std::move(bans); }
-    const members::Bans& bans() const { return bans_; }
+    void set_bans(members::Bans bans) {
+        bans_ = std::move(bans);
+    }
+    const members::Bans& bans() const {
+        return bans_;
+    }
     // Out on the word of other routers, until they say otherwise.
-    void hold_out(std::set<CacheId> ids) { held_out_ = std::move(ids); }
-    void steer(Steering steering) { steering_ = std::move(steering); }
+    void hold_out(std::set<CacheId> ids) {
+        held_out_ = std::move(ids);
+    }
+    void steer(Steering steering) {
+        steering_ = std::move(steering);
+    }
     // Out by hand, by hearsay or with its zone, whatever the list says.
     bool kept_out(const Box& box) const;
     bool is_cache(const Box& box) const;  // neither hub cache nor store
-    const std::string& zone() const { return zone_; }
-    const std::map<CacheId, Box>& boxes() const { return boxes_; }
+    const std::string& zone() const {
+        return zone_;
+    }
+    const std::map<CacheId, Box>& boxes() const {
+        return boxes_;
+    }
     // As the module is to see it: one that is out gets nothing new. The weight is the one that counts.
     winchflow::ListedCache entry(const Box& box) const;
     const Box* find(const CacheId& id) const;
@@ -61,7 +73,8 @@
     template <class Test>
     bool any(Test test) const {
         for (const auto& [id, box] : boxes_)
-            if (!box.barred && test(box)) return true;
+            if (!box.barred && test(box))
+                return true;
         return false;
     }
     // Of those that the list has not given up.
@@ -69,10 +82,13 @@
     std::size_t count_listed(Test test) const {
         std::size_t count = 0;
         for (const auto& [id, box] : boxes_)
-            if (box.entry.condition != winchflow::Condition::gone && test(box)) ++count;
+            if (box.entry.condition != winchflow::Condition::gone && test(box))
+                ++count;
         return count;
     }
-    std::size_t size() const { return boxes_.size(); }
+    std::size_t size() const {
+        return boxes_.size();
+    }
 
 private:
     static constexpr std::size_t kGoneKept = 256;
--- a/src/core/guard.cpp
+++ b/src/core/guard.cpp
@@ -30,9 +30,15 @@
 
 }  // namespace
 
-std::string_view name_of(CallState state) { return kStateNames[static_cast<std::size_t>(state)]; }
-std::string_view name_of(Held reason) { return kHeldNames[static_cast<std::size_t>(reason)]; }
-std::string_view name_of(Violation violation) { return kViolationNames[static_cast<std::size_t>(violation)]; }
+std::string_view name_of(CallState state) {
+    return kStateNames[static_cast<std::size_t>(state)];
+}
+std::string_view name_of(Held reason) {
+    return kHeldNames[static_cast<std::size_t>(reason)];
+}
+std::string_view name_of(Violation violation) {
+    return kViolationNames[static_cast<std::size_t>(violation)];
+}
 
 bool may_follow(CallState from, CallState to) {
     return kMayFollow[static_cast<std::size_t>(from)][static_cast<std::size_t>(to)];
@@ -58,19 +64,24 @@
 
 // Has another attempt of it run, or may it have, where that is not to happen again?
 bool Guard::could_run_twice(const Call& call, std::uint32_t attempt) const {
-    if (settings_.classes[call.class_index].effect != winchflow::Effect::unsafe) return false;
+    if (settings_.classes[call.class_index].effect != winchflow::Effect::unsafe)
+        return false;
     return std::ranges::any_of(call.attempts, [attempt](const auto& entry) {
         return entry.first != attempt && entry.second.may_have_run;
     });
 }
 
 std::optional<Violation> Guard::against_start(const Call& call) const {
-    if (over(call)) return Violation::start_after_end;
+    if (over(call))
+        return Violation::start_after_end;
     const bool beside =
         std::ranges::any_of(call.attempts, [](const auto& entry) { return entry.second.out; });
-    if (beside) return Violation::start_beside;
-    if (static_cast<int>(call.attempts.size()) >= settings_.attempt_limit) return Violation::start_past_limit;
-    if (could_run_twice(call, ~std::uint32_t{0})) return Violation::repeat;
+    if (beside)
+        return Violation::start_beside;
+    if (static_cast<int>(call.attempts.size()) >= settings_.attempt_limit)
+        return Violation::start_past_limit;
+    if (could_run_twice(call, ~std::uint32_t{0}))
+        return Violation::repeat;
     return std::nullopt;
 }
 
@@ -87,17 +98,25 @@
 }
 
 std::optional<Held> Guard::against_send(const Call& call, std::uint32_t attempt, const Facts& facts) const {
-    if (call.state == CallState::left || facts.client_left) return Held::client_left;
-    if (call.state == CallState::answered) return Held::answered;
-    if (facts.now >= facts.give_up) return Held::past_deadline;
-    if (facts.repeat_before && facts.now >= *facts.repeat_before) return Held::past_window;
-    if (!facts.target_usable) return Held::target_drained;
-    if (!facts.source_usable) return Held::source_drained;
-    if (could_run_twice(call, attempt)) return Held::may_run_twice;
+    if (call.state == CallState::left || facts.client_left)
+        return Held::client_left;
+    if (call.state == CallState::answered)
+        return Held::answered;
+    if (facts.now >= facts.give_up)
+        return Held::past_deadline;
+    if (facts.repeat_before && facts.now >= *facts.repeat_before)
+        return Held::past_window;
+    if (!facts.target_usable)
+        return Held::target_drained;
+    if (!facts.source_usable)
+        return Held::source_drained;
+    if (could_run_twice(call, attempt))
+        return Held::may_run_twice;
     const bool another_out = std::ranges::any_of(call.attempts, [attempt](const auto& entry) {
         return entry.first != attempt && entry.second.out && entry.second.sent;
     });
-    if (another_out) return Held::another_out;
+    if (another_out)
+        return Held::another_out;
     return std::nullopt;
 }
 
@@ -117,23 +136,28 @@
 
 void Guard::ended(const AttemptKey& key, Ending ending) {
     Call* call = find(key.request);
-    if (!call) return count(Violation::unknown_call, key.request, nullptr);
+    if (!call)
+        return count(Violation::unknown_call, key.request, nullptr);
     const auto at = call->attempts.find(key.attempt);
-    if (at == call->attempts.end() || !at->second.out) return;
+    if (at == call->attempts.end() || !at->second.out)
+        return;
     at->second.out = false;
     // The server's own word that it never ran.
     if (ending == Ending::full || ending == Ending::miss || ending == Ending::not_sent ||
         ending == Ending::no_connection)
         at->second.may_have_run = false;
-    if (!over(*call)) move(key.request, *call, CallState::deciding);
+    if (!over(*call))
+        move(key.request, *call, CallState::deciding);
 }
 
 void Guard::move(RequestId id, CallState to) {
-    if (Call* call = find(id)) move(id, *call, to);
+    if (Call* call = find(id))
+        move(id, *call, to);
 }
 
 void Guard::move(RequestId id, Call& call, CallState to) {
-    if (!may_follow(call.state, to)) count(Violation::transition, id, &call);
+    if (!may_follow(call.state, to))
+        count(Violation::transition, id, &call);
     call.state = to;
 }
 
--- a/src/core/guard.h
+++ b/src/core/guard.h
@@ -73,19 +73,29 @@
     };
     [[nodiscard]] std::optional<Held> send(const AttemptKey& key, const Facts& facts);
     void ended(const AttemptKey& key, Ending ending);
-    void answered(RequestId id) { move(id, CallState::answered); }
-    void left(RequestId id) { move(id, CallState::left); }
-    void closed(RequestId id) { calls_.erase(id); }
+    void answered(RequestId id) {
+        move(id, CallState::answered);
+    }
+    void left(RequestId id) {
+        move(id, CallState::left);
+    }
+    void closed(RequestId id) {
+        calls_.erase(id);
+    }
     // Absent: not open.
     std::optional<CallState> state(RequestId id) const;
 
-    std::uint64_t held(Held reason) const { return held_[static_cast<std::size_t>(reason)]; }
+    std::uint64_t held(Held reason) const {
+        return held_[static_cast<std::size_t>(reason)];
+    }
     std::uint64_t violations(Violation violation) const {
         return violations_[static_cast<std::size_t>(violation)];
     }
     std::uint64_t violations() const;
     // The last one, for the log: rule, state and attempt; empty: there was none.
-    const std::string& last_violation() const { return last_violation_; }
+    const std::string& last_violation() const {
+        return last_violation_;
+    }
 
 private:
     struct Attempt {
--- a/src/core/hold.cpp
+++ b/src/core/hold.cpp
@@ -7,7 +7,8 @@
 }
 
 void Hold::told_of_purges(bool surely) {
-    if (copies_) copies_->told_of_purges(surely);
+    if (copies_)
+        copies_->told_of_purges(surely);
 }
 
 std::optional<copies::Wanted> Hold::wanted(const Call& call, std::size_t class_index) const {
@@ -17,11 +18,13 @@
 }
 
 std::optional<Answer> Hold::answer_of(std::optional<copies::Served> served) {
-    if (!served) return std::nullopt;
+    if (!served)
+        return std::nullopt;
     ++(served->stale ? counters_.own_stale : counters_.own_fresh);
     Answer a;
     a.kind = served->body ? Answer::Kind::served : Answer::Kind::unchanged;
-    if (served->body) a.body = *served->body;
+    if (served->body)
+        a.body = *served->body;
     a.tag = std::move(served->tag);
     a.made_ms = served->made_ms;
     return a;
@@ -40,19 +43,24 @@
 }
 
 void Hold::keep(const OpenCall& open, const AttemptEnd& end, Time now, std::int64_t unix_ms) {
-    if (end.ending != Ending::good || end.unchanged) return;
+    if (end.ending != Ending::good || end.unchanged)
+        return;
     // Guards rule 5 (no purged copy): past that, the purges that it may be older than are forgotten.
-    if (now - open.taken > longest_call_) return;
+    if (now - open.taken > longest_call_)
+        return;
     // Made later than it can be now: one of the clocks is wrong, and its age would be told too young for
     // good.
-    if (end.made_ms > unix_ms + kClocksApartMs) return;
+    if (end.made_ms > unix_ms + kClocksApartMs)
+        return;
     const auto what = wanted(*open.call, open.class_index);
-    if (!what) return;
+    if (!what)
+        return;
     copies_->keep(*what, end.body, end.tag, end.made_ms, purges_.issued(*open.call, now).value_or(0));
 }
 
 void Hold::purge(const PurgeNotice& purge) {
-    if (!copies_) return;
+    if (!copies_)
+        return;
     if (purge.object)
         copies_->purge_object(*purge.object, purge.issued_ms);
     else
--- a/src/core/hold.h
+++ b/src/core/hold.h
@@ -16,10 +16,13 @@
           longest_call_(longest_deadline(settings)),
           purges_(purges),
           counters_(counters) {}
-    void set(copies::Limits limits) { copies_.emplace(settings_.classes, limits); }
+    void set(copies::Limits limits) {
+        copies_.emplace(settings_.classes, limits);
+    }
     void told_of_purges(bool surely);
     void limit(std::size_t bytes) {
-        if (copies_) copies_->limit(bytes);
+        if (copies_)
+            copies_->limit(bytes);
     }
 
     // `unix_ms`: the latest that it may be, so that no copy counts as younger than it is.
--- a/src/core/open_call.h
+++ b/src/core/open_call.h
@@ -26,10 +26,13 @@
     std::vector<OpenAttempt> attempts;
     std::optional<Ending> last_ending{};  // of an attempt
 
-    bool answered() const { return !sink; }
+    bool answered() const {
+        return !sink;
+    }
     bool idle() const {
         for (const OpenAttempt& a : attempts)
-            if (a.out) return false;
+            if (a.out)
+                return false;
         return true;
     }
 };
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -28,7 +28,9 @@
     virtual ~ReplySink() = default;
     virtual void reply(Answer answer) = 0;
     // Has the client gone, by what the system says now? Asked where it may not have been told of yet.
-    virtual bool client_left() const { return false; }
+    virtual bool client_left() const {
+        return false;
+    }
 };
 
 class AttemptEvents {
--- a/src/core/purges.cpp
+++ b/src/core/purges.cpp
@@ -22,12 +22,15 @@
 std::optional<Purges::Known> Purges::latest(const Call& call) const {
     std::optional<Known> found;
     const auto take = [&found](const Known& known) {
-        if (!found) found.emplace();
+        if (!found)
+            found.emplace();
         found->renew(known);
     };
-    if (const auto object = objects_.find(call.object_id); object != objects_.end()) take(object->second);
+    if (const auto object = objects_.find(call.object_id); object != objects_.end())
+        take(object->second);
     if (!call.group_known) {
-        for (const auto& [group, known] : groups_) take(known);
+        for (const auto& [group, known] : groups_)
+            take(known);
     } else if (const auto group = groups_.find(call.group); group != groups_.end()) {
         take(group->second);
     }
@@ -36,23 +39,29 @@
 
 std::optional<std::int64_t> Purges::issued(const Call& call, Time now) const {
     const auto known = latest(call);
-    if (!known || known->told + kept_for_ < now) return std::nullopt;
+    if (!known || known->told + kept_for_ < now)
+        return std::nullopt;
     return known->issued_ms;
 }
 
 std::optional<Span> Purges::bound(const Call& call, Time now, const UnixTime& unix_time) const {
     const auto known = latest(call);
-    if (!known) return std::nullopt;
+    if (!known)
+        return std::nullopt;
     const Span age = std::max(now - known->told, unix_time.proven_age(now, known->issued_ms));
-    if (age > cleared_after_) return std::nullopt;
+    if (age > cleared_after_)
+        return std::nullopt;
     // Never 0, which would mean the class's fresh time.
     return std::max<Span>(std::chrono::milliseconds{1}, age);
 }
 
 void Purges::forget(Time now) {
-    if (now < swept_ + kBetweenSweeps) return;
+    if (now < swept_ + kBetweenSweeps)
+        return;
     swept_ = now;
-    const auto old = [&](const auto& entry) { return entry.second.told + kept_for_ < now; };
+    const auto old = [&](const auto& entry) {
+        return entry.second.told + kept_for_ < now;
+    };
     std::erase_if(objects_, old);
     std::erase_if(groups_, old);
 }
--- a/src/core/purges.h
+++ b/src/core/purges.h
@@ -28,7 +28,9 @@
     std::optional<std::int64_t> issued(const Call& call, Time now) const;
     // The oldest copy of it that a box may give; absent: boxes hold none that a purge touches.
     std::optional<Span> bound(const Call& call, Time now, const UnixTime& unix_time) const;
-    std::size_t size() const { return objects_.size() + groups_.size(); }
+    std::size_t size() const {
+        return objects_.size() + groups_.size();
+    }
 
 private:
     struct Known {
--- a/src/core/relay.cpp
+++ b/src/core/relay.cpp
@@ -7,9 +7,11 @@
 // Guards rule 1 (one final answer): the sink is given up with its answer.
 bool Relay::answer(OpenCall& open, Answer answer) {
     auto sink = std::exchange(open.sink, nullptr);
-    if (!sink) return false;
+    if (!sink)
+        return false;
     count(open.class_index, answer.kind);
-    if (observer_) observer_->answered(open.id, answer, clock_->now());
+    if (observer_)
+        observer_->answered(open.id, answer, clock_->now());
     sink->reply(std::move(answer));
     return true;
 }
@@ -19,11 +21,21 @@
     Counters::ByClass none;
     auto& of_class = class_index < counters_.classes.size() ? counters_.classes[class_index] : none;
     switch (kind) {
-        case Answer::Kind::served: ++counters_.served, ++of_class.success; break;
-        case Answer::Kind::unchanged: ++counters_.unchanged, ++of_class.success; break;
-        case Answer::Kind::referred: ++counters_.referred, ++of_class.success; break;
-        case Answer::Kind::refused: ++counters_.refused, ++of_class.busy; break;
-        case Answer::Kind::failed: ++counters_.failed, ++of_class.failure; break;
+        case Answer::Kind::served:
+            ++counters_.served, ++of_class.success;
+            break;
+        case Answer::Kind::unchanged:
+            ++counters_.unchanged, ++of_class.success;
+            break;
+        case Answer::Kind::referred:
+            ++counters_.referred, ++of_class.success;
+            break;
+        case Answer::Kind::refused:
+            ++counters_.refused, ++of_class.busy;
+            break;
+        case Answer::Kind::failed:
+            ++counters_.failed, ++of_class.failure;
+            break;
     }
 }
 
--- a/src/core/route.h
+++ b/src/core/route.h
@@ -12,10 +12,18 @@
 public:
     Route(winchflow::Settings settings, std::uint64_t seed) : router_(std::move(settings), seed) {}
     std::vector<winchflow::Action> tell(const winchflow::Event& event, Time now);
-    Time last() const { return last_; }  // what the module was given as the time of the last event
-    void share_with(std::size_t processes) { router_.share_with(static_cast<int>(processes)); }
-    bool avoids(const CacheId& id) const { return router_.avoids(id); }
-    winchflow::Router::Sizes sizes() const { return router_.sizes(); }
+    Time last() const {
+        return last_;
+    }  // what the module was given as the time of the last event
+    void share_with(std::size_t processes) {
+        router_.share_with(static_cast<int>(processes));
+    }
+    bool avoids(const CacheId& id) const {
+        return router_.avoids(id);
+    }
+    winchflow::Router::Sizes sizes() const {
+        return router_.sizes();
+    }
 
 private:
     winchflow::Router router_;
--- a/src/core/send.h
+++ b/src/core/send.h
@@ -15,7 +15,9 @@
     std::optional<Order> order(const winchflow::Send& send, const OpenCall& open, std::uint32_t attempt,
                                Time now) const;
     // May the box be named in what goes out now, as target or as source?
-    bool usable(const CacheId& box) const { return fleet_.may_be_named(box); }
+    bool usable(const CacheId& box) const {
+        return fleet_.may_be_named(box);
+    }
     // The oldest copy that will do at the first byte. `tightened` tells of a late purge.
     Span oldest(const Order& order, Time now, bool& tightened) const;
     // A name is all that a referral carries: an order that needs more is not one. Absent: that is so.
--- a/src/core/take_in.cpp
+++ b/src/core/take_in.cpp
@@ -13,14 +13,16 @@
 bool TakeIn::fits(const Call& call, std::size_t class_index, Time now) const {
     const Form& form = forms_[class_index];
     // Guards rule 2 (no repeated effect): a repeat of one without a key would be a new request to any box.
-    if (form.keyed && call.idempotency_key.empty()) return false;
+    if (form.keyed && call.idempotency_key.empty())
+        return false;
     // Clients give a try all of the class's time or less; twice that is a figure that went wrong.
     return call.write == form.write && (form.give_up == Span{} || call.deadline <= now + 2 * form.give_up);
 }
 
 std::optional<std::size_t> TakeIn::class_of(const Call& call) const {
     auto at = classes_.find(call.class_name);
-    if (at == classes_.end()) return std::nullopt;
+    if (at == classes_.end())
+        return std::nullopt;
     return at->second;
 }
 
--- a/src/core/take_in.h
+++ b/src/core/take_in.h
@@ -18,12 +18,19 @@
     // key where repeats are told by it.
     bool fits(const Call& call, std::size_t class_index, Time now) const;
     // A client's id stands for one request at a time; empty ones are not compared.
-    bool is_open(const std::string& trace) const { return open_.contains(trace); }
+    bool is_open(const std::string& trace) const {
+        return open_.contains(trace);
+    }
     void claim(const std::string& trace) {
-        if (!trace.empty()) open_.insert(trace);
+        if (!trace.empty())
+            open_.insert(trace);
+    }
+    void release(const std::string& trace) {
+        open_.erase(trace);
+    }
+    RequestId next_id() {
+        return RequestId{++last_id_};
     }
-    void release(const std::string& trace) { open_.erase(trace); }
-    RequestId next_id() { return RequestId{++last_id_}; }
     winchflow::Request request(RequestId id, std::size_t class_index, const Call& call) const;
 
 private:
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -97,7 +97,8 @@
 // How long a client of any class waits at most, by the settings.
 inline Span longest_deadline(const winchflow::Settings& settings) {
     Span longest{};
-    for (const auto& c : settings.classes) longest = std::max(longest, c.give_up);
+    for (const auto& c : settings.classes)
+        longest = std::max(longest, c.give_up);
     return longest;
 }
 
--- a/src/core/unix_time.cpp
+++ b/src/core/unix_time.cpp
@@ -15,7 +15,9 @@
 // Clocks are stepped by an hour at most; a stamp that is further ahead is spoilt.
 constexpr std::int64_t kLargestStepMs = 2 * 3'600'000;
 
-std::int64_t milliseconds_of(Time now) { return now.time_since_epoch() / std::chrono::milliseconds{1}; }
+std::int64_t milliseconds_of(Time now) {
+    return now.time_since_epoch() / std::chrono::milliseconds{1};
+}
 
 // Where Unix time is so far ahead of steady time; never less than nothing.
 Span age(Time now, std::int64_t stamp_ms, std::int64_t offset_ms) {
@@ -46,13 +48,16 @@
 }
 
 void UnixTime::passed(Time now, std::int64_t stamp_ms, Source source) {
-    if (!offsets_) return;
+    if (!offsets_)
+        return;
     const std::int64_t at_least = stamp_ms - milliseconds_of(now);
-    if (source == Source::trusted) offsets_->shown = std::max(offsets_->shown, at_least);
+    if (source == Source::trusted)
+        offsets_->shown = std::max(offsets_->shown, at_least);
     const std::int64_t believed = std::min(at_least, offsets_->shown);
     offsets_->earliest = std::max(offsets_->earliest, believed);
     offsets_->proven = std::max(offsets_->proven.value_or(believed), believed);
-    if (at_least < offsets_->shown + kLargestStepMs) offsets_->latest = std::max(offsets_->latest, at_least);
+    if (at_least < offsets_->shown + kLargestStepMs)
+        offsets_->latest = std::max(offsets_->latest, at_least);
     offsets_->latest = std::max(offsets_->latest, offsets_->shown);
 }
 
@@ -65,7 +70,8 @@
 }
 
 std::int64_t UnixTime::latest_ms(Time now) const {
-    if (!offsets_) return 0;
+    if (!offsets_)
+        return 0;
     const bool proven_behind = offsets_->latest > offsets_->shown + kStepMs;
     return offsets_->latest + milliseconds_of(now) + (proven_behind ? kStampLateMs : 0);
 }
--- a/src/core/unix_time.h
+++ b/src/core/unix_time.h
@@ -34,7 +34,9 @@
     // The latest that the time may be now, in Unix ms: by it nothing counts as younger than it is.
     std::int64_t latest_ms(Time now) const;
 
-    std::uint64_t steps() const { return steps_; }  // seen so far
+    std::uint64_t steps() const {
+        return steps_;
+    }  // seen so far
 
 private:
     // Unix time less steady time, in ms.
--- a/src/front/admin/words.cpp
+++ b/src/front/admin/words.cpp
@@ -10,18 +10,23 @@
 
 std::string line_of(const char* word, std::string_view words) {
     std::string line{word};
-    if (!words.empty()) line.append(" ").append(words);
+    if (!words.empty())
+        line.append(" ").append(words);
     return line += '\n';
 }
 
 }  // namespace
 
 std::variant<Call, std::string> parse(std::string_view line, bool ended) {
-    if (!ended) return "no end of line, or over the bound";
-    if (line.ends_with('\r')) line.remove_suffix(1);
-    if (line.empty()) return "an empty line";
+    if (!ended)
+        return "no end of line, or over the bound";
+    if (line.ends_with('\r'))
+        line.remove_suffix(1);
+    if (line.empty())
+        return "an empty line";
     const bool plain = std::all_of(line.begin(), line.end(), [](char c) { return c >= ' ' && c < '\x7f'; });
-    if (!plain) return "bytes that are no text";
+    if (!plain)
+        return "bytes that are no text";
     const std::string_view word = line.substr(0, line.find(' '));
     const bool alone = word.size() == line.size();
     const std::pair<std::string_view, Call::Kind> kAlone[] = {{"HEALTH", Call::Kind::health},
@@ -30,13 +35,16 @@
                                                               {"REPLICA", Call::Kind::replica},
                                                               {"FAILOVER", Call::Kind::failover}};
     for (const auto& [name, kind] : kAlone) {
-        if (word != name) continue;
-        if (!alone) return std::string{word} + " takes nothing behind it";
+        if (word != name)
+            continue;
+        if (!alone)
+            return std::string{word} + " takes nothing behind it";
         return Call{kind};
     }
     if (word == "OFFLINE" || word == "ONLINE") {
         const std::string_view box = alone ? std::string_view{} : line.substr(word.size() + 1);
-        if (!members::Bans::fits(box)) return std::string{word} + " takes the id of one box behind it";
+        if (!members::Bans::fits(box))
+            return std::string{word} + " takes the id of one box behind it";
         return Call{word == "OFFLINE" ? Call::Kind::offline : Call::Kind::online, std::string{box}};
     }
     if (word == "PIN") {
@@ -52,8 +60,12 @@
     return "unknown call; there are HEALTH, DUMP, MEMBERS, REPLICA, FAILOVER, OFFLINE, ONLINE and PIN";
 }
 
-std::string yes(std::string_view words) { return line_of("ACK", words); }
-std::string no(std::string_view why) { return line_of("NAK", why); }
+std::string yes(std::string_view words) {
+    return line_of("ACK", words);
+}
+std::string no(std::string_view why) {
+    return line_of("NAK", why);
+}
 
 std::string figures(const core::Counters& counters) {
     std::string out;
--- a/src/front/dns/front.cpp
+++ b/src/front/dns/front.cpp
@@ -16,7 +16,9 @@
 public:
     Sink(const Front& front, Query query, std::size_t limit, net::DnsReply reply)
         : front_(front), query_(std::move(query)), limit_(limit), reply_(std::move(reply)) {}
-    void reply(core::Answer answer) override { reply_(front_.from_core(query_, answer, limit_)); }
+    void reply(core::Answer answer) override {
+        reply_(front_.from_core(query_, answer, limit_));
+    }
 
 private:
     const Front& front_;
@@ -31,13 +33,16 @@
       zone_(std::move(zone)),
       log_(log),
       classes_{[this](const std::string& name) { return engine_.knows_class(name); },
-               [this](const std::string& name) { return engine_.unsafe_class(name); }} {}
+               [this](const std::string& name) {
+                   return engine_.unsafe_class(name);
+               }} {}
 
 void Front::handle(std::string_view bytes, const net::DnsFrom& from, net::DnsReply reply) {
     const auto parsed = parse_query(bytes);
     if (const auto* bad = std::get_if<Unreadable>(&parsed)) {
         log_.line("bad-query", "%zu bytes", bytes.size());
-        if (bad->answer) reply({encode(*bad), {}, {}});
+        if (bad->answer)
+            reply({encode(*bad), {}, {}});
         return;
     }
     const Query& query = std::get<Query>(parsed);
@@ -46,7 +51,9 @@
 
 void Front::answer_query(const Query& query, const net::DnsFrom& from, net::DnsReply reply) {
     const std::size_t limit = from.datagram ? udp_limit(query) : 65535;
-    const auto say = [&](const Response& r) { reply({encode(query, r, zone_.zone, limit), {}, {}}); };
+    const auto say = [&](const Response& r) {
+        reply({encode(query, r, zone_.zone, limit), {}, {}});
+    };
     if (query.edns && query.edns->version > 0) {
         Response r;
         r.rcode = Rcode::bad_version;
@@ -97,7 +104,8 @@
 
 Response Front::fixed(const Query& query, const Meaning& meaning) const {
     using Kind = Meaning::Kind;
-    if (meaning.kind == Kind::unknown) return negative(Rcode::name_error);
+    if (meaning.kind == Kind::unknown)
+        return negative(Rcode::name_error);
     Response r;
     const auto type = static_cast<Type>(query.type);
     const auto put = [&](Type t, std::string data) {
@@ -111,7 +119,8 @@
         put(Type::ns, wire_name(zone_.server));
     } else if (meaning.kind == Kind::server && (type == Type::a || type == Type::aaaa)) {
         const std::string data = address_data(zone_.server_address);
-        if (data.size() == (type == Type::a ? 4u : 16u)) put(type, data);
+        if (data.size() == (type == Type::a ? 4u : 16u))
+            put(type, data);
     } else if (meaning.kind == Kind::text && type == Type::txt) {
         const auto [begin, end] = texts_.equal_range(query.name);
         for (auto at = begin; at != end; ++at)
@@ -127,12 +136,15 @@
 
 net::DnsAnswer Front::from_core(const Query& query, const core::Answer& answer, std::size_t limit) const {
     using Kind = core::Answer::Kind;
-    const auto finished = [&](const Response& r) { return encode(query, r, zone_.zone, limit); };
+    const auto finished = [&](const Response& r) {
+        return encode(query, r, zone_.zone, limit);
+    };
     if (answer.kind == Kind::referred) {
         const auto box = config::parse_endpoint(answer.box_address);
         const std::string data = box ? address_data(box->host) : std::string{};
         const auto type = static_cast<Type>(query.type);
-        if (data.size() != (type == Type::a ? 4u : 16u)) return {finished(negative(Rcode::no_error)), {}, {}};
+        if (data.size() != (type == Type::a ? 4u : 16u))
+            return {finished(negative(Rcode::no_error)), {}, {}};
         Response r;
         r.answers.push_back({false, type, zone_.ttl, data});
         return {finished(r), clock_.now() + kLeaveWithin,
--- a/src/front/dns/front.h
+++ b/src/front/dns/front.h
@@ -17,9 +17,15 @@
     void handle(std::string_view bytes, const net::DnsFrom& from, net::DnsReply reply);
 
     // Proofs of a certificate order (TXT).
-    void set_text(const Name& name, std::string text) { texts_.emplace(name, std::move(text)); }
-    void clear_texts(const Name& name) { texts_.erase(name); }
-    const ZoneSettings& zone() const { return zone_; }
+    void set_text(const Name& name, std::string text) {
+        texts_.emplace(name, std::move(text));
+    }
+    void clear_texts(const Name& name) {
+        texts_.erase(name);
+    }
+    const ZoneSettings& zone() const {
+        return zone_;
+    }
 
 private:
     class Sink;
--- a/src/front/dns/message.cpp
+++ b/src/front/dns/message.cpp
@@ -29,20 +29,27 @@
 class Reader {
 public:
     explicit Reader(std::string_view bytes) : bytes_(bytes) {}
-    bool done() const { return at_ == bytes_.size(); }
-    std::size_t at() const { return at_; }
+    bool done() const {
+        return at_ == bytes_.size();
+    }
+    std::size_t at() const {
+        return at_;
+    }
     std::optional<std::uint8_t> u8() {
-        if (at_ >= bytes_.size()) return std::nullopt;
+        if (at_ >= bytes_.size())
+            return std::nullopt;
         return static_cast<std::uint8_t>(bytes_[at_++]);
     }
     std::optional<std::uint16_t> u16() {
         const auto high = u8();
         const auto low = u8();
-        if (!high || !low) return std::nullopt;
+        if (!high || !low)
+            return std::nullopt;
         return static_cast<std::uint16_t>(*high << 8 | *low);
     }
     bool skip(std::size_t count) {
-        if (count > bytes_.size() - at_) return false;
+        if (count > bytes_.size() - at_)
+            return false;
         at_ += count;
         return true;
     }
@@ -52,8 +59,10 @@
         std::size_t total = 1;
         while (true) {
             const auto length = u8();
-            if (!length) return std::nullopt;
-            if (*length == 0) return labels;
+            if (!length)
+                return std::nullopt;
+            if (*length == 0)
+                return labels;
             total += *length + 1u;
             if (*length > kLongestLabel || total > kLongestName || *length > bytes_.size() - at_)
                 return std::nullopt;
@@ -68,11 +77,15 @@
     bool skip_name() {
         for (std::size_t total = 1;;) {
             const auto length = u8();
-            if (!length) return false;
-            if (*length == 0) return true;
-            if ((*length & 0xc0) == 0xc0) return skip(1);
+            if (!length)
+                return false;
+            if (*length == 0)
+                return true;
+            if ((*length & 0xc0) == 0xc0)
+                return skip(1);
             total += *length + 1u;
-            if (*length > kLongestLabel || total > kLongestName || !skip(*length)) return false;
+            if (*length > kLongestLabel || total > kLongestName || !skip(*length))
+                return false;
         }
     }
 
@@ -85,17 +98,22 @@
 bool read_additional(Reader& in, std::uint16_t count, Query& query) {
     for (std::uint16_t i = 0; i < count; ++i) {
         const std::size_t begin = in.at();
-        if (!in.skip_name()) return false;
+        if (!in.skip_name())
+            return false;
         const bool at_root = in.at() == begin + 1;
         const auto type = in.u16();
         const auto class_ = in.u16();
-        if (!in.u8()) return false;  // of an OPT: the upper bits of the code
+        if (!in.u8())
+            return false;  // of an OPT: the upper bits of the code
         const auto version = in.u8();
         const auto flags = in.u16();
         const auto length = in.u16();
-        if (!type || !class_ || !version || !flags || !length || !in.skip(*length)) return false;
-        if (*type != static_cast<std::uint16_t>(Type::opt)) continue;
-        if (query.edns || !at_root) return false;
+        if (!type || !class_ || !version || !flags || !length || !in.skip(*length))
+            return false;
+        if (*type != static_cast<std::uint16_t>(Type::opt))
+            continue;
+        if (query.edns || !at_root)
+            return false;
         query.edns = Query::Edns{*class_, *version};
     }
     return true;
@@ -137,18 +155,22 @@
 std::optional<Name> parse_name(std::string_view dotted) {
     Name name;
     std::size_t total = 1;
-    if (dotted.ends_with('.')) dotted.remove_suffix(1);
+    if (dotted.ends_with('.'))
+        dotted.remove_suffix(1);
     while (!dotted.empty()) {
         const auto dot = dotted.find('.');
         std::string label{dotted.substr(0, dot)};
         total += label.size() + 1;
-        if (label.empty() || label.size() > kLongestLabel || total > kLongestName) return std::nullopt;
+        if (label.empty() || label.size() > kLongestLabel || total > kLongestName)
+            return std::nullopt;
         std::transform(label.begin(), label.end(), label.begin(),
                        [](unsigned char c) { return static_cast<char>(std::tolower(c)); });
         name.push_back(std::move(label));
-        if (dot == std::string_view::npos) break;
+        if (dot == std::string_view::npos)
+            break;
         dotted.remove_prefix(dot + 1);
-        if (dotted.empty()) return std::nullopt;
+        if (dotted.empty())
+            return std::nullopt;
     }
     return name;
 }
@@ -171,7 +193,8 @@
     const auto authority = in.u16();
     const auto additional = in.u16();
     // Too short to answer, or itself an answer: two servers must not talk to each other for ever.
-    if (!additional || (*flags & kResponse)) return Unreadable{};
+    if (!additional || (*flags & kResponse))
+        return Unreadable{};
     Unreadable bad{.answer = true,
                    .id = *id,
                    .opcode = static_cast<std::uint8_t>(*flags >> 11 & 0xf),
@@ -180,19 +203,22 @@
         bad.rcode = Rcode::not_implemented;
         return bad;
     }
-    if (*questions != 1 || *answers != 0 || *authority != 0) return bad;
+    if (*questions != 1 || *answers != 0 || *authority != 0)
+        return bad;
     Query query;
     query.id = *id;
     query.recursion_desired = bad.recursion_desired;
     auto name = in.name();
     const auto type = in.u16();
     const auto class_ = in.u16();
-    if (!name || !type || !class_) return bad;
+    if (!name || !type || !class_)
+        return bad;
     query.question = bytes.substr(kHeader, in.at() - kHeader);
     query.name = std::move(*name);
     query.type = *type;
     query.class_ = *class_;
-    if (!read_additional(in, *additional, query) || !in.done()) return bad;
+    if (!read_additional(in, *additional, query) || !in.done())
+        return bad;
     return query;
 }
 
@@ -202,8 +228,10 @@
 
 std::string encode(const Query& query, const Response& response, const Name& zone, std::size_t limit) {
     std::uint16_t flags = kResponse;
-    if (response.authoritative) flags |= kAuthoritative;
-    if (query.recursion_desired) flags |= kRecursionDesired;
+    if (response.authoritative)
+        flags |= kAuthoritative;
+    if (query.recursion_desired)
+        flags |= kRecursionDesired;
     flags |= static_cast<std::uint16_t>(response.rcode) & 0xf;
     const std::string opt = query.edns ? opt_record(response) : std::string{};
     // The zone's name is the end of the name asked for, so a pointer stands for either.
@@ -227,9 +255,11 @@
 }
 
 std::string encode(const Unreadable& u) {
-    if (!u.answer) return {};
+    if (!u.answer)
+        return {};
     std::uint16_t flags = static_cast<std::uint16_t>(kResponse | u.opcode << 11);
-    if (u.recursion_desired) flags |= kRecursionDesired;
+    if (u.recursion_desired)
+        flags |= kRecursionDesired;
     flags |= static_cast<std::uint16_t>(u.rcode) & 0xf;
     return header(u.id, flags, 0, 0, 0, 0);
 }
@@ -237,8 +267,10 @@
 std::string address_data(std::string_view address) {
     const std::string text{address};
     char bytes[16];
-    if (::inet_pton(AF_INET, text.c_str(), bytes) == 1) return {bytes, 4};
-    if (::inet_pton(AF_INET6, text.c_str(), bytes) == 1) return {bytes, 16};
+    if (::inet_pton(AF_INET, text.c_str(), bytes) == 1)
+        return {bytes, 4};
+    if (::inet_pton(AF_INET6, text.c_str(), bytes) == 1)
+        return {bytes, 16};
     return {};
 }
 
@@ -257,7 +289,8 @@
                      std::uint32_t negative_ttl) {
     std::string out = wire_name(server) + wire_name(mailbox);
     put32(out, serial);
-    for (const std::uint32_t value : {3600u, 600u, 86400u, negative_ttl}) put32(out, value);
+    for (const std::uint32_t value : {3600u, 600u, 86400u, negative_ttl})
+        put32(out, value);
     return out;
 }
 
--- a/src/front/dns/zone.cpp
+++ b/src/front/dns/zone.cpp
@@ -15,22 +15,27 @@
 
 // The number of `prefix`N; absent: another label. No leading zeros, so that a thing has one name.
 std::optional<std::uint32_t> numbered(std::string_view label, std::string_view prefix) {
-    if (!label.starts_with(prefix)) return std::nullopt;
+    if (!label.starts_with(prefix))
+        return std::nullopt;
     label.remove_prefix(prefix.size());
     std::uint32_t value = 0;
     const auto [end, error] = std::from_chars(label.data(), label.data() + label.size(), value);
-    if (error != std::errc{} || end != label.data() + label.size()) return std::nullopt;
-    if (label.size() > 1 && label.front() == '0') return std::nullopt;
+    if (error != std::errc{} || end != label.data() + label.size())
+        return std::nullopt;
+    if (label.size() > 1 && label.front() == '0')
+        return std::nullopt;
     return value;
 }
 
 // What stands before the class; the labels run outwards from the class.
 bool parse_object(const Name& name, std::size_t labels, core::Call& call) {
     std::size_t at = labels;
-    if (at == 0) return false;
+    if (at == 0)
+        return false;
     const std::string& object = name[--at];
     const auto id = config::parse_hex(object);
-    if (!id || object.size() != 16) return false;
+    if (!id || object.size() != 16)
+        return false;
     call.object = object;
     call.object_id = winchflow::ObjectId{*id};
     call.group_known = false;
--- a/src/front/platform/platform.h
+++ b/src/front/platform/platform.h
@@ -19,7 +19,9 @@
     Platform(core::Engine& engine, const Lifecycle& lifecycle, Log& log)
         : engine_(engine), lifecycle_(lifecycle), log_(log) {}
     // Further lines for `GET /counters`.
-    void also_count(std::function<std::string()> more) { more_counters_ = std::move(more); }
+    void also_count(std::function<std::string()> more) {
+        more_counters_ = std::move(more);
+    }
     void handle(const std::shared_ptr<net::HttpSession>& session, net::HttpRequest request);
 
 private:
--- a/src/lab/demo.cpp
+++ b/src/lab/demo.cpp
@@ -54,12 +54,14 @@
     void start() {
         error_code error;
         socket_.connect(to_, error);
-        if (!error) ask();
+        if (!error)
+            ask();
     }
 
 private:
     void ask() {
-        if (day_.left == 0) return;
+        if (day_.left == 0)
+            return;
         --day_.left;
         ++day_.open;
         const auto dice = day_.random() % 100;
@@ -73,7 +75,8 @@
         request_.set("Trace-Id", hex(day_.random()));
         request_.set("Max-Wait-Ms", write ? "3000" : "2500");
         request_.set("X-Lot", std::to_string(day_.random() % 256));
-        if (write) request_.body() = "hours: 38";
+        if (write)
+            request_.body() = "hours: 38";
         request_.prepare_payload();
         response_ = {};
         asked_ = Steady::now();
@@ -98,10 +101,15 @@
                 ++t.served;
                 t.wrong += response_.body() != bytes_of(class_name_, object_, part_);
                 break;
-            case 304: ++t.unchanged; break;
+            case 304:
+                ++t.unchanged;
+                break;
             case 429:
-            case 503: ++t.refused; break;
-            default: ++t.failed;
+            case 503:
+                ++t.refused;
+                break;
+            default:
+                ++t.failed;
         }
         ask();
     }
@@ -120,13 +128,15 @@
     const pid_t pid = ::fork();
     if (pid == 0) {
         std::vector<char*> argv;
-        for (const auto& w : words) argv.push_back(const_cast<char*>(w.c_str()));
+        for (const auto& w : words)
+            argv.push_back(const_cast<char*>(w.c_str()));
         argv.push_back(nullptr);
         ::execv(argv[0], argv.data());
         ::_exit(127);
     }
     int status = 0;
-    if (pid < 0 || ::waitpid(pid, &status, 0) != pid || !WIFEXITED(status)) return -1;
+    if (pid < 0 || ::waitpid(pid, &status, 0) != pid || !WIFEXITED(status))
+        return -1;
     return WEXITSTATUS(status);
 }
 
@@ -149,7 +159,8 @@
         start_program();
         Client::Day day;
         day.random.seed(7);
-        for (int i = 0; i < kClients; ++i) std::make_shared<Client>(io_, at_, day)->start();
+        for (int i = 0; i < kClients; ++i)
+            std::make_shared<Client>(io_, at_, day)->start();
         bool purged = false;
         bool drained = false;
         const bool done = until(
@@ -168,7 +179,8 @@
         ::kill(pid_, SIGTERM);
         int status = -1;
         const bool ended = until([&] { return ::waitpid(pid_, &status, WNOHANG) == pid_; }, 10s);
-        if (ended) pid_ = -1;
+        if (ended)
+            pid_ = -1;
         return report(day, done, ended && WIFEXITED(status) && WEXITSTATUS(status) == 0);
     }
 
@@ -182,7 +194,8 @@
     bool until(Test test, Steady::duration most) {
         const auto bound = Steady::now() + most;
         while (!test()) {
-            if (Steady::now() > bound) return false;
+            if (Steady::now() > bound)
+                return false;
             io_.restart();
             io_.run_one_for(20ms);
         }
@@ -191,7 +204,8 @@
     void start_servers() {
         const auto find = [this](const std::string& id) -> std::string {
             for (const auto& s : servers_)
-                if (s->id() == id) return s->address();
+                if (s->id() == id)
+                    return s->address();
             return {};
         };
         const auto add = [&](const std::string& id, Server::Role role, const char* kind) {
@@ -209,7 +223,8 @@
         Json::Value config =
             router_config("demo", 7, "127.0.0.1:" + std::to_string(at_.port()), bulletin_.address(), 1);
         std::vector<Json::Value> all;
-        for (const auto& plan : plans_) all.push_back(listed(plan, "active"));
+        for (const auto& plan : plans_)
+            all.push_back(listed(plan, "active"));
         config["known"]["no"] = 1;
         config["known"]["items"].append(roster_event(1, true, all));
         std::ofstream{folder_ / "config.json"} << config::json_line(config);
@@ -234,7 +249,8 @@
                 return !error;
             },
             10s);
-        if (!up) std::puts("the program did not come up");
+        if (!up)
+            std::puts("the program did not come up");
     }
     int report(const Client::Day& day, bool done, bool ended) {
         std::printf("%-14s %6s %7s %9s %7s %6s %5s %9s %9s\n", "class", "asked", "served", "unchanged",
@@ -246,7 +262,8 @@
             bad += t.lost + t.wrong + (t.served == 0);
         }
         int twice = 0;
-        for (const auto& [id, runs] : servers_.back()->runs()) twice += runs > 1;
+        for (const auto& [id, runs] : servers_.back()->runs())
+            twice += runs > 1;
         for (const auto& s : servers_) {
             const auto& c = s->counts();
             std::printf("%-8s asked %llu, hits %llu, fills %llu, misses %llu, writes %llu\n", s->id().c_str(),
@@ -265,7 +282,8 @@
             std::puts("\nwhat it recorded of itself:");
             std::fflush(stdout);
             trace = run({program_, "trace", "summary", files[0]});
-            if (trace == 0) trace = run({program_, "trace", "replay", files[0]});
+            if (trace == 0)
+                trace = run({program_, "trace", "replay", files[0]});
         }
         const bool good = done && ended && bad == 0 && twice == 0 && trace == 0;
         if (!good) {
--- a/src/lab/failover_sim.cpp
+++ b/src/lab/failover_sim.cpp
@@ -51,7 +51,9 @@
         }
     }
 
-    static std::string zone(std::size_t z) { return std::string{"z"}.append(std::to_string(z)); }
+    static std::string zone(std::size_t z) {
+        return std::string{"z"}.append(std::to_string(z));
+    }
 
     struct Node {
         std::size_t zone = 0;
@@ -74,14 +76,16 @@
         health_[z] = {health, noise};
     }
     void run(milliseconds span) {
-        for (const auto until = now + span; now < until;) step();
+        for (const auto until = now + span; now < until;)
+            step();
     }
     template <class Done>
     std::int64_t until(Done done) {
         const auto began = now;
         while ((now - began).count() < kMost) {
             step();
-            if (now.count() % 50 == 0 && done()) return (now - began).count();
+            if (now.count() % 50 == 0 && done())
+                return (now - began).count();
         }
         return -1;
     }
@@ -116,7 +120,8 @@
         }
     }
     int sees(Node& n) {
-        if (now < n.learns) return n.before;
+        if (now < n.learns)
+            return n.before;
         if (now - n.drawn >= milliseconds{1000}) {
             n.drawn = now;
             int up = 0;
@@ -137,7 +142,8 @@
         in.reports_revision = n.reports->revision();
         const auto step = n.failover->tick(in);
         std::map<std::string, std::string> wanted;
-        if (step.report) wanted.emplace(cl::zone_subject(zone(n.zone)), *step.report);
+        if (step.report)
+            wanted.emplace(cl::zone_subject(zone(n.zone)), *step.report);
         for (const auto& say : n.voice->tick(now, wanted, [](const std::string&) { return std::size_t{0}; }))
             if (const auto key = cl::report_key(say.subject, std::to_string(i)); say.value)
                 n.reports->set(key, *say.value, unix_now);
@@ -156,7 +162,8 @@
         // Some of all, as many as a tick can name: drawn, as the replica draws among what it is given.
         while (peers.size() < 16) {
             const auto j = dice_() % nodes.size();
-            if (j != i && nodes[j].up) peers.push_back(std::to_string(j));
+            if (j != i && nodes[j].up)
+                peers.push_back(std::to_string(j));
         }
         send(i, n.shared->tick(now, unix_now, peers));
         send(i, n.reports->tick(now, unix_now, peers));
@@ -168,7 +175,8 @@
     void step() {
         while (auto a = net.next(now)) {
             auto& n = nodes[a->to];
-            if (!n.up) continue;
+            if (!n.up)
+                continue;
             auto& replica = a->message.channel == 1 ? *n.reports : *n.shared;
             send(a->to, replica.receive(a->message, now, kEpoch + now.count()));
         }
@@ -194,7 +202,8 @@
     sim.run(milliseconds{10'000});
 
     // Calm: one box in fifty is found bad by a router in a second.
-    for (std::size_t z = 0; z < out.zones; ++z) sim.set(z, 100, 0.02);
+    for (std::size_t z = 0; z < out.zones; ++z)
+        sim.set(z, 100, 0.02);
     sim.bytes = sim.changes = 0;
     sim.near = 0;
     sim.ticks = 0;
@@ -216,7 +225,8 @@
 
     const auto back = sim.now;
     sim.set(0, 100, 0);
-    if (sim.until([&] { return sim.all_have(0, 0); }) >= 0) out.back_ms = (sim.now - back).count();
+    if (sim.until([&] { return sim.all_have(0, 0); }) >= 0)
+        out.back_ms = (sim.now - back).count();
 
     if (o.decider_lost) {
         // Dead at once, and in nobody's view as dead for some seconds yet.
--- a/src/lab/farm.cpp
+++ b/src/lab/farm.cpp
@@ -25,8 +25,12 @@
 };
 
 struct Farm::Link {
-    Link(tcp::socket s, Door& of) : socket(std::move(s)), door(of) { door.links.insert(this); }
-    ~Link() { door.links.erase(this); }
+    Link(tcp::socket s, Door& of) : socket(std::move(s)), door(of) {
+        door.links.insert(this);
+    }
+    ~Link() {
+        door.links.erase(this);
+    }
     tcp::socket socket;
     Door& door;
     net::beast::flat_buffer buffer;
@@ -82,7 +86,8 @@
     std::promise<void> done;
     asio::post(io_, [&] {
         for (auto& door : doors_)
-            if (door->box == box && std::exchange(door->box_up, up) != up) arrange(*door);
+            if (door->box == box && std::exchange(door->box_up, up) != up)
+                arrange(*door);
         done.set_value();
     });
     done.get_future().wait();
@@ -92,7 +97,8 @@
     std::promise<void> done;
     asio::post(io_, [&] {
         auto& door = *doors_.at(box * routers_ + router);
-        if (std::exchange(door.link_up, up) != up) arrange(door);
+        if (std::exchange(door.link_up, up) != up)
+            arrange(door);
         done.set_value();
     });
     done.get_future().wait();
@@ -100,7 +106,8 @@
 
 void Farm::accept(Door& door, std::uint64_t opened) {
     door.acceptor.async_accept([this, &door, opened](const error_code& error, tcp::socket socket) {
-        if (error || door.opened != opened) return;
+        if (error || door.opened != opened)
+            return;
         read(std::make_shared<Link>(std::move(socket), door));
         accept(door, opened);
     });
@@ -110,7 +117,8 @@
     link->request = {};
     http::async_read(
         link->socket, link->buffer, link->request, [this, link](const error_code& error, std::size_t) {
-            if (error) return;
+            if (error)
+                return;
             const auto& request = link->request;
             {
                 const std::lock_guard lock{mutex_};
@@ -128,7 +136,8 @@
             r.set("Detail", "hit");
             r.prepare_payload();
             http::async_write(link->socket, r, [this, link](const error_code& broken, std::size_t) {
-                if (!broken) read(link);
+                if (!broken)
+                    read(link);
             });
         });
 }
@@ -149,7 +158,8 @@
 std::map<std::string, int> Farm::runs() const {
     std::map<std::string, int> out;
     for (const auto& a : asked())
-        if (a.write) ++out[a.id];
+        if (a.write)
+            ++out[a.id];
     return out;
 }
 
--- a/src/lab/faults/control.cpp
+++ b/src/lab/faults/control.cpp
@@ -13,20 +13,25 @@
 
 FaultFile::FaultFile(std::string path) : path_(std::move(path)) {
     const int fd = ::open(path_.c_str(), O_RDWR | O_CREAT | O_CLOEXEC | O_TRUNC, 0600);
-    if (fd < 0) throw std::system_error(errno, std::generic_category(), path_);
+    if (fd < 0)
+        throw std::system_error(errno, std::generic_category(), path_);
     void* at = MAP_FAILED;
     if (::ftruncate(fd, sizeof(FaultControl)) == 0)
         at = ::mmap(nullptr, sizeof(FaultControl), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
     const int error = errno;
     ::close(fd);
-    if (at == MAP_FAILED) throw std::system_error(error, std::generic_category(), path_);
+    if (at == MAP_FAILED)
+        throw std::system_error(error, std::generic_category(), path_);
     control_ = new (at) FaultControl{};
 }
 
-FaultFile::~FaultFile() { ::munmap(control_, sizeof(FaultControl)); }
+FaultFile::~FaultFile() {
+    ::munmap(control_, sizeof(FaultControl));
+}
 
 void FaultFile::clear_chances() {
-    for (auto& chance : control_->chance) chance = 0;
+    for (auto& chance : control_->chance)
+        chance = 0;
 }
 
 void FaultFile::set_environment(const std::string& library, std::uint64_t seed) const {
--- a/src/lab/faults/control.h
+++ b/src/lab/faults/control.h
@@ -62,17 +62,29 @@
     FaultFile(const FaultFile&) = delete;
     FaultFile& operator=(const FaultFile&) = delete;
 
-    const std::string& path() const { return path_; }
-    void set_chance(Fault fault, std::uint32_t parts) { control_->chance[index(fault)] = parts; }
-    void fail_next(Fault fault, std::uint32_t calls) { control_->next[index(fault)] = calls; }
-    void step_wall_clock(std::int64_t to_ms) { control_->wall_clock_ms = to_ms; }
-    std::uint64_t delivered(Fault fault) const { return control_->delivered[index(fault)]; }
+    const std::string& path() const {
+        return path_;
+    }
+    void set_chance(Fault fault, std::uint32_t parts) {
+        control_->chance[index(fault)] = parts;
+    }
+    void fail_next(Fault fault, std::uint32_t calls) {
+        control_->next[index(fault)] = calls;
+    }
+    void step_wall_clock(std::int64_t to_ms) {
+        control_->wall_clock_ms = to_ms;
+    }
+    std::uint64_t delivered(Fault fault) const {
+        return control_->delivered[index(fault)];
+    }
     void clear_chances();
     // In the process that is about to run the program: it loads `library` and reads this file.
     void set_environment(const std::string& library, std::uint64_t seed) const;
 
 private:
-    static std::size_t index(Fault fault) { return static_cast<std::size_t>(fault); }
+    static std::size_t index(Fault fault) {
+        return static_cast<std::size_t>(fault);
+    }
     std::string path_;
     FaultControl* control_ = nullptr;
 };
--- a/src/lab/faults/preload.cpp
+++ b/src/lab/faults/preload.cpp
@@ -39,9 +39,11 @@
 
 FaultControl* map_control() {
     const char* path = std::getenv(silverrail::lab::kFaultFileVariable);
-    if (!path) return nullptr;
+    if (!path)
+        return nullptr;
     const int fd = NEXT(open)(path, O_RDWR | O_CLOEXEC);
-    if (fd < 0) return nullptr;
+    if (fd < 0)
+        return nullptr;
     void* at = ::mmap(nullptr, sizeof(FaultControl), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
     ::close(fd);
     return at == MAP_FAILED ? nullptr : static_cast<FaultControl*>(at);
@@ -69,17 +71,20 @@
 bool take_one(std::atomic<std::uint32_t>& left) {
     std::uint32_t seen = left.load();
     while (seen > 0)
-        if (left.compare_exchange_weak(seen, seen - 1)) return true;
+        if (left.compare_exchange_weak(seen, seen - 1))
+            return true;
     return false;
 }
 
 // Does this call fail so? Counted if it does.
 bool fails(Fault fault) {
     FaultControl* const c = control();
-    if (!c) return false;
+    if (!c)
+        return false;
     const auto at = static_cast<std::size_t>(fault);
     const std::uint32_t chance = c->chance[at].load(std::memory_order_relaxed);
-    if (!take_one(c->next[at]) && (chance == 0 || draw() >= chance)) return false;
+    if (!take_one(c->next[at]) && (chance == 0 || draw() >= chance))
+        return false;
     ++c->delivered[at];
     return true;
 }
@@ -91,28 +96,39 @@
 }
 
 bool is_regular_file(int fd) {
-    struct stat s {};
+    struct stat s{};
     return ::fstat(fd, &s) == 0 && S_ISREG(s.st_mode);
 }
 
 // An error number that a read from a stream socket fails with; 0: it goes on.
 int read_error(int fd) {
-    if (!control() || !is_stream_socket(fd)) return 0;
-    if (fails(Fault::read_interrupted)) return EINTR;
-    if (fails(Fault::read_timed_out)) return ETIMEDOUT;
-    if (fails(Fault::read_unreachable)) return EHOSTUNREACH;
+    if (!control() || !is_stream_socket(fd))
+        return 0;
+    if (fails(Fault::read_interrupted))
+        return EINTR;
+    if (fails(Fault::read_timed_out))
+        return ETIMEDOUT;
+    if (fails(Fault::read_unreachable))
+        return EHOSTUNREACH;
     return 0;
 }
 
 // The same for opening a file.
 int open_error(int flags) {
-    if (fails(Fault::file_open)) return EMFILE;
+    if (fails(Fault::file_open))
+        return EMFILE;
     return (flags & O_CREAT) != 0 && fails(Fault::file_full) ? ENOSPC : 0;
 }
 
-bool reads_short(int fd) { return control() && is_stream_socket(fd) && fails(Fault::read_short); }
-bool writes_short(int fd) { return control() && is_stream_socket(fd) && fails(Fault::write_short); }
-std::size_t part_of(std::size_t whole) { return std::max<std::size_t>(1, whole / 3); }
+bool reads_short(int fd) {
+    return control() && is_stream_socket(fd) && fails(Fault::read_short);
+}
+bool writes_short(int fd) {
+    return control() && is_stream_socket(fd) && fails(Fault::write_short);
+}
+std::size_t part_of(std::size_t whole) {
+    return std::max<std::size_t>(1, whole / 3);
+}
 
 template <class Result>
 Result failed(int error) {
@@ -135,18 +151,22 @@
 
 std::size_t size_of(const iovec* parts, std::size_t count) {
     std::size_t sum = 0;
-    for (std::size_t i = 0; i < count; ++i) sum += parts[i].iov_len;
+    for (std::size_t i = 0; i < count; ++i)
+        sum += parts[i].iov_len;
     return sum;
 }
 
 void step(timespec& at) {
     const FaultControl* const c = control();
-    if (!c) return;
+    if (!c)
+        return;
     const std::int64_t ms = c->wall_clock_ms.load(std::memory_order_relaxed);
     std::int64_t ns = at.tv_nsec + ms % 1000 * 1'000'000;
     at.tv_sec += ms / 1000;
-    if (ns < 0) ns += 1'000'000'000, --at.tv_sec;
-    if (ns >= 1'000'000'000) ns -= 1'000'000'000, ++at.tv_sec;
+    if (ns < 0)
+        ns += 1'000'000'000, --at.tv_sec;
+    if (ns >= 1'000'000'000)
+        ns -= 1'000'000'000, ++at.tv_sec;
     at.tv_nsec = ns;
 }
 
@@ -155,43 +175,56 @@
 extern "C" {
 
 int accept(int fd, sockaddr* address, socklen_t* size) {
-    if (fails(Fault::accept_aborted)) return failed<int>(ECONNABORTED);
-    if (fails(Fault::accept_no_files)) return failed<int>(ENFILE);
+    if (fails(Fault::accept_aborted))
+        return failed<int>(ECONNABORTED);
+    if (fails(Fault::accept_no_files))
+        return failed<int>(ENFILE);
     return NEXT(accept)(fd, address, size);
 }
 
 int accept4(int fd, sockaddr* address, socklen_t* size, int flags) {
-    if (fails(Fault::accept_aborted)) return failed<int>(ECONNABORTED);
-    if (fails(Fault::accept_no_files)) return failed<int>(ENFILE);
+    if (fails(Fault::accept_aborted))
+        return failed<int>(ECONNABORTED);
+    if (fails(Fault::accept_no_files))
+        return failed<int>(ENFILE);
     return NEXT(accept4)(fd, address, size, flags);
 }
 
 int socket(int domain, int type, int protocol) noexcept {
-    if (domain == AF_INET && fails(Fault::socket_no_files)) return failed<int>(ENFILE);
-    if (domain == AF_INET && fails(Fault::socket_no_buffers)) return failed<int>(ENOBUFS);
+    if (domain == AF_INET && fails(Fault::socket_no_files))
+        return failed<int>(ENFILE);
+    if (domain == AF_INET && fails(Fault::socket_no_buffers))
+        return failed<int>(ENOBUFS);
     return NEXT(socket)(domain, type, protocol);
 }
 
 int connect(int fd, const sockaddr* address, socklen_t size) {
-    if (fails(Fault::connect_no_address)) return failed<int>(EADDRNOTAVAIL);
-    if (fails(Fault::connect_unreachable)) return failed<int>(ENETUNREACH);
+    if (fails(Fault::connect_no_address))
+        return failed<int>(EADDRNOTAVAIL);
+    if (fails(Fault::connect_unreachable))
+        return failed<int>(ENETUNREACH);
     return NEXT(connect)(fd, address, size);
 }
 
 int epoll_wait(int fd, epoll_event* events, int most, int timeout_ms) {
-    if (fails(Fault::wait_interrupted)) return failed<int>(EINTR);
+    if (fails(Fault::wait_interrupted))
+        return failed<int>(EINTR);
     return NEXT(epoll_wait)(fd, events, most, timeout_ms);
 }
 
 ssize_t recv(int fd, void* into, size_t size, int flags) {
-    if (const int error = read_error(fd)) return failed<ssize_t>(error);
-    if (size > 1 && reads_short(fd)) size = 1;
+    if (const int error = read_error(fd))
+        return failed<ssize_t>(error);
+    if (size > 1 && reads_short(fd))
+        size = 1;
     return NEXT(recv)(fd, into, size, flags);
 }
 
 ssize_t recvmsg(int fd, msghdr* message, int flags) {
-    if (const int error = read_error(fd)) return failed<ssize_t>(error);
-    if (!reads_short(fd)) return NEXT(recvmsg)(fd, message, flags);
+    if (const int error = read_error(fd))
+        return failed<ssize_t>(error);
+    if (!reads_short(fd))
+        return NEXT(recvmsg)(fd, message, flags);
     CutBuffers cut{message->msg_iov, message->msg_iovlen, 1};
     msghdr part = *message;
     part.msg_iov = cut.parts;
@@ -200,27 +233,34 @@
 }
 
 ssize_t read(int fd, void* into, size_t size) {
-    if (const int error = read_error(fd)) return failed<ssize_t>(error);
-    if (control() && is_regular_file(fd) && fails(Fault::file_read)) return failed<ssize_t>(EIO);
-    if (size > 1 && reads_short(fd)) size = 1;
+    if (const int error = read_error(fd))
+        return failed<ssize_t>(error);
+    if (control() && is_regular_file(fd) && fails(Fault::file_read))
+        return failed<ssize_t>(EIO);
+    if (size > 1 && reads_short(fd))
+        size = 1;
     return NEXT(read)(fd, into, size);
 }
 
 ssize_t readv(int fd, const iovec* parts, int count) {
-    if (const int error = read_error(fd)) return failed<ssize_t>(error);
-    if (!reads_short(fd)) return NEXT(readv)(fd, parts, count);
+    if (const int error = read_error(fd))
+        return failed<ssize_t>(error);
+    if (!reads_short(fd))
+        return NEXT(readv)(fd, parts, count);
     CutBuffers cut{parts, static_cast<std::size_t>(count), 1};
     return NEXT(readv)(fd, cut.parts, static_cast<int>(cut.used));
 }
 
 ssize_t send(int fd, const void* from, size_t size, int flags) {
-    if (size > 1 && writes_short(fd)) size = part_of(size);
+    if (size > 1 && writes_short(fd))
+        size = part_of(size);
     return NEXT(send)(fd, from, size, flags);
 }
 
 ssize_t sendmsg(int fd, const msghdr* message, int flags) {
     const std::size_t whole = size_of(message->msg_iov, message->msg_iovlen);
-    if (whole < 2 || !writes_short(fd)) return NEXT(sendmsg)(fd, message, flags);
+    if (whole < 2 || !writes_short(fd))
+        return NEXT(sendmsg)(fd, message, flags);
     CutBuffers cut{message->msg_iov, message->msg_iovlen, part_of(whole)};
     msghdr part = *message;
     part.msg_iov = cut.parts;
@@ -229,18 +269,22 @@
 }
 
 ssize_t write(int fd, const void* from, size_t size) {
-    if (control() && is_regular_file(fd) && fails(Fault::file_full)) return failed<ssize_t>(ENOSPC);
-    if (size > 1 && writes_short(fd)) size = part_of(size);
+    if (control() && is_regular_file(fd) && fails(Fault::file_full))
+        return failed<ssize_t>(ENOSPC);
+    if (size > 1 && writes_short(fd))
+        size = part_of(size);
     return NEXT(write)(fd, from, size);
 }
 
 ssize_t pwrite(int fd, const void* from, size_t size, off_t at) {
-    if (control() && is_regular_file(fd) && fails(Fault::file_full)) return failed<ssize_t>(ENOSPC);
+    if (control() && is_regular_file(fd) && fails(Fault::file_full))
+        return failed<ssize_t>(ENOSPC);
     return NEXT(pwrite)(fd, from, size, at);
 }
 
 ssize_t pwrite64(int fd, const void* from, size_t size, off64_t at) {
-    if (control() && is_regular_file(fd) && fails(Fault::file_full)) return failed<ssize_t>(ENOSPC);
+    if (control() && is_regular_file(fd) && fails(Fault::file_full))
+        return failed<ssize_t>(ENOSPC);
     return NEXT(pwrite64)(fd, from, size, at);
 }
 
@@ -263,39 +307,46 @@
 }
 
 FILE* fopen(const char* path, const char* mode) {
-    if (fails(Fault::file_open)) return errno = EMFILE, nullptr;
+    if (fails(Fault::file_open))
+        return errno = EMFILE, nullptr;
     return NEXT(fopen)(path, mode);
 }
 
 FILE* fopen64(const char* path, const char* mode) {
-    if (fails(Fault::file_open)) return errno = EMFILE, nullptr;
+    if (fails(Fault::file_open))
+        return errno = EMFILE, nullptr;
     return NEXT(fopen64)(path, mode);
 }
 
 int fsync(int fd) {
-    if (fails(Fault::file_sync)) return failed<int>(EIO);
+    if (fails(Fault::file_sync))
+        return failed<int>(EIO);
     return NEXT(fsync)(fd);
 }
 
 int fdatasync(int fd) {
-    if (fails(Fault::file_sync)) return failed<int>(EIO);
+    if (fails(Fault::file_sync))
+        return failed<int>(EIO);
     return NEXT(fdatasync)(fd);
 }
 
 int rename(const char* from, const char* to) noexcept {
-    if (fails(Fault::file_rename)) return failed<int>(EIO);
+    if (fails(Fault::file_rename))
+        return failed<int>(EIO);
     return NEXT(rename)(from, to);
 }
 
 int clock_gettime(clockid_t which, timespec* at) noexcept {
     const int result = NEXT(clock_gettime)(which, at);
-    if (result == 0 && (which == CLOCK_REALTIME || which == CLOCK_REALTIME_COARSE)) step(*at);
+    if (result == 0 && (which == CLOCK_REALTIME || which == CLOCK_REALTIME_COARSE))
+        step(*at);
     return result;
 }
 
 int gettimeofday(timeval* at, void* zone) noexcept {
     const int result = NEXT(gettimeofday)(at, zone);
-    if (result != 0) return result;
+    if (result != 0)
+        return result;
     timespec now{at->tv_sec, at->tv_usec * 1000};
     step(now);
     *at = {now.tv_sec, now.tv_nsec / 1000};
@@ -305,7 +356,8 @@
 time_t time(time_t* at) noexcept {
     timespec now{NEXT(time)(nullptr), 0};
     step(now);
-    if (at) *at = now.tv_sec;
+    if (at)
+        *at = now.tv_sec;
     return now.tv_sec;
 }
 
--- a/src/lab/fleet.cpp
+++ b/src/lab/fleet.cpp
@@ -30,31 +30,38 @@
         net::error_code e;
         tcp::acceptor t{io};
         t.open(tcp::v4(), e);
-        if (!e) t.bind(tcp::endpoint{asio::ip::make_address(ip), port}, e);
-        if (!e) return port;
+        if (!e)
+            t.bind(tcp::endpoint{asio::ip::make_address(ip), port}, e);
+        if (!e)
+            return port;
     }
     throw std::runtime_error("no free port at " + ip);
 }
 
 // Where a member listens for clients and operators; nobody connects from there.
-std::string clients_ip(std::size_t i) { return Relay::loopback(110 + i); }
+std::string clients_ip(std::size_t i) {
+    return Relay::loopback(110 + i);
+}
 
 std::string talk(const std::string& ip, unsigned short port, const std::string& bytes) {
     asio::io_context io;
     tcp::socket s{io};
     net::error_code e;
     s.connect(tcp::endpoint{asio::ip::make_address(ip), port}, e);
-    if (e) return {};
+    if (e)
+        return {};
     // The answer comes whole or not at all within two seconds.
     timeval most{2, 0};
     ::setsockopt(s.native_handle(), SOL_SOCKET, SO_RCVTIMEO, &most, sizeof most);
     asio::write(s, asio::buffer(bytes), e);
-    if (e) return {};
+    if (e)
+        return {};
     std::string out;
     std::array<char, 4096> chunk{};
     for (std::size_t n; (n = s.read_some(asio::buffer(chunk), e)) > 0 || !e;) {
         out.append(chunk.data(), n);
-        if (out.size() > (1 << 20)) break;
+        if (out.size() > (1 << 20))
+            break;
     }
     return out;
 }
@@ -80,9 +87,11 @@
 
 Fleet::~Fleet() {
     for (std::size_t i = 0; i < pids_.size(); ++i)
-        if (pids_[i] > 0) kill(i);
+        if (pids_[i] > 0)
+            kill(i);
     for (const int fd : pipes_)
-        if (fd >= 0) ::close(fd);
+        if (fd >= 0)
+            ::close(fd);
     std::filesystem::remove_all(folder_);
 }
 
@@ -94,7 +103,8 @@
 }
 
 void Fleet::start(std::size_t i) {
-    if (pids_.at(i) > 0) kill(i);
+    if (pids_.at(i) > 0)
+        kill(i);
     const auto dir = folder_ / name(i);
     std::filesystem::create_directories(dir);
     const bool placed = !options_.places.empty();
@@ -136,7 +146,8 @@
                                          << R"(","seeds":[")" << relay_.address(0) << R"("])"
                                          << options_.peers_extra << "}}";
     int fds[2];
-    if (::pipe2(fds, O_CLOEXEC) != 0) throw std::runtime_error("no pipe");
+    if (::pipe2(fds, O_CLOEXEC) != 0)
+        throw std::runtime_error("no pipe");
     const pid_t pid = ::fork();
     if (pid == 0) {
         ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // a test that fails leaves nobody behind
@@ -150,18 +161,21 @@
         ::_exit(127);
     }
     ::close(fds[1]);
-    if (pipes_[i] >= 0) ::close(pipes_[i]);
+    if (pipes_[i] >= 0)
+        ::close(pipes_[i]);
     pipes_[i] = fds[0];
     ::fcntl(fds[0], F_SETFL, O_NONBLOCK);
     pids_[i] = pid;
 }
 
 void Fleet::signal(std::size_t i, int sig) {
-    if (pids_.at(i) > 0) ::kill(pids_[i], sig);
+    if (pids_.at(i) > 0)
+        ::kill(pids_[i], sig);
 }
 
 void Fleet::kill(std::size_t i) {
-    if (pids_.at(i) <= 0) return;
+    if (pids_.at(i) <= 0)
+        return;
     ::kill(pids_[i], SIGKILL);
     ::waitpid(pids_[i], nullptr, 0);
     pids_[i] = -1;
@@ -169,20 +183,25 @@
 
 void Fleet::read_logs(int wait_ms) {
     std::vector<pollfd> fds;
-    for (const int fd : pipes_) fds.push_back({fd, POLLIN, 0});
-    if (::poll(fds.data(), fds.size(), wait_ms) <= 0) return;
+    for (const int fd : pipes_)
+        fds.push_back({fd, POLLIN, 0});
+    if (::poll(fds.data(), fds.size(), wait_ms) <= 0)
+        return;
     std::array<char, 8192> chunk{};
     for (std::size_t i = 0; i < pipes_.size(); ++i) {
-        if (pipes_[i] < 0) continue;
+        if (pipes_[i] < 0)
+            continue;
         for (ssize_t n; (n = ::read(pipes_[i], chunk.data(), chunk.size())) > 0;)
-            if (logs_[i].size() < (8u << 20)) logs_[i].append(chunk.data(), static_cast<std::size_t>(n));
+            if (logs_[i].size() < (8u << 20))
+                logs_[i].append(chunk.data(), static_cast<std::size_t>(n));
     }
 }
 
 bool Fleet::wait_until(const std::function<bool()>& done, std::chrono::milliseconds most) {
     const auto until = std::chrono::steady_clock::now() + most;
     while (std::chrono::steady_clock::now() < until) {
-        if (done()) return true;
+        if (done())
+            return true;
         // A log line wakes us at once; without one, look again after a tenth of a second.
         read_logs(100);
     }
@@ -197,7 +216,8 @@
     const bool write = class_name == "lodge";
     char call_id[17];
     std::snprintf(call_id, sizeof call_id, "f1ee%012llx", static_cast<unsigned long long>(++asked_));
-    if (id) *id = call_id;
+    if (id)
+        *id = call_id;
     char path[64];
     std::snprintf(path, sizeof path, "/%016llx/piece-0", static_cast<unsigned long long>(object));
     const auto text =
@@ -207,8 +227,10 @@
                  "\r\nMax-Wait-Ms: 1500\r\nX-Lot: 1\r\nReserve-Kb: 25\r\n" + "Connection: close\r\n" +
                  (write ? "Content-Length: 9\r\n\r\ntimesheet" : "\r\n"));
     const std::string_view kHead = "HTTP/1.1 ";
-    if (text.rfind(kHead, 0) != 0) return 0;
-    if (text.find(kHead, kHead.size()) != std::string::npos) return -1;
+    if (text.rfind(kHead, 0) != 0)
+        return 0;
+    if (text.find(kHead, kHead.size()) != std::string::npos)
+        return -1;
     return std::atoi(text.c_str() + kHead.size());
 }
 
@@ -219,7 +241,8 @@
     std::uint64_t number = 0;
     while (std::getline(lines, line) && line != "--") {
         std::istringstream words{line};
-        if (words >> origin >> number) out[origin] = number;
+        if (words >> origin >> number)
+            out[origin] = number;
     }
     return out;
 }
@@ -232,7 +255,8 @@
     std::string line;
     while (std::getline(lines, line) && line != "--") {
         std::istringstream words{line};
-        if (words >> name >> state >> incarnation >> start) out[name] = {state, incarnation, start};
+        if (words >> name >> state >> incarnation >> start)
+            out[name] = {state, incarnation, start};
     }
     return out;
 }
@@ -242,27 +266,32 @@
                            "GET /counters HTTP/1.1\r\nHost: fleet\r\nConnection: close\r\n\r\n");
     std::map<std::string, std::uint64_t> out;
     const auto body = text.find("\r\n\r\n");
-    if (body == std::string::npos) return out;
+    if (body == std::string::npos)
+        return out;
     std::istringstream lines{text.substr(body + 4)};
     std::string name;
     std::uint64_t value = 0;
-    while (lines >> name >> value) out[name] = value;
+    while (lines >> name >> value)
+        out[name] = value;
     return out;
 }
 
 bool Fleet::everyone_sees(std::size_t who, const std::string& state, const std::vector<std::size_t>& except) {
     for (std::size_t i = 0; i < pids_.size(); ++i) {
-        if (!running(i) || i == who || std::find(except.begin(), except.end(), i) != except.end()) continue;
+        if (!running(i) || i == who || std::find(except.begin(), except.end(), i) != except.end())
+            continue;
         const auto v = view(i);
         const auto found = v.find(name(who));
-        if (found == v.end() || found->second.state != state) return false;
+        if (found == v.end() || found->second.state != state)
+            return false;
     }
     return true;
 }
 
 bool Fleet::agree(const std::vector<std::size_t>& except) {
     for (std::size_t who = 0; who < pids_.size(); ++who)
-        if (running(who) && !everyone_sees(who, "alive", except)) return false;
+        if (running(who) && !everyone_sees(who, "alive", except))
+            return false;
     return true;
 }
 
--- a/src/lab/fleet.h
+++ b/src/lab/fleet.h
@@ -53,13 +53,21 @@
 
     // Appended, not "m" + ...: GCC 12 takes the insert at the front for an overlap (-Wrestrict, an error in
     // CI).
-    static std::string name(std::size_t i) { return std::string{"m"}.append(std::to_string(i)); }
+    static std::string name(std::size_t i) {
+        return std::string{"m"}.append(std::to_string(i));
+    }
     void start(std::size_t i);  // also a restart: the same name and ports, a new process
     void signal(std::size_t i, int sig);
     void kill(std::size_t i);  // SIGKILL, and reaped
-    bool running(std::size_t i) const { return pids_.at(i) > 0; }
-    pid_t pid(std::size_t i) const { return pids_.at(i); }
-    Relay& relay() { return relay_; }
+    bool running(std::size_t i) const {
+        return pids_.at(i) > 0;
+    }
+    pid_t pid(std::size_t i) const {
+        return pids_.at(i);
+    }
+    Relay& relay() {
+        return relay_;
+    }
     std::string peer_address(std::size_t i) const;  // the member's own port, not the relay's
     std::string http(std::size_t i) const;          // where its clients connect
 
@@ -76,11 +84,19 @@
     int ask(std::size_t i, const std::string& class_name, std::uint64_t object, std::string* id = nullptr);
     // The boxes in the list that every member is given: "b-0" to "b-39".
     static constexpr std::size_t kBoxes = 40;
-    static std::string box(std::size_t k) { return std::string{"b-"}.append(std::to_string(k)); }
-    std::filesystem::path folder(std::size_t i) const { return folder_ / name(i); }
-    std::size_t members() const { return pids_.size(); }
+    static std::string box(std::size_t k) {
+        return std::string{"b-"}.append(std::to_string(k));
+    }
+    std::filesystem::path folder(std::size_t i) const {
+        return folder_ / name(i);
+    }
+    std::size_t members() const {
+        return pids_.size();
+    }
     // What member i wrote on its standard error so far.
-    const std::string& log(std::size_t i) { return logs_.at(i); }
+    const std::string& log(std::size_t i) {
+        return logs_.at(i);
+    }
     // Waits until `done` holds, reading logs meanwhile; false at the deadline.
     bool wait_until(const std::function<bool()>& done, std::chrono::milliseconds most);
     // Every running member but those in `except` sees each running member as `state` ("alive" for all).
--- a/src/lab/fleet_sim.cpp
+++ b/src/lab/fleet_sim.cpp
@@ -13,13 +13,20 @@
 
 const char* name_of(Fault fault) {
     switch (fault) {
-        case Fault::join: return "join";
-        case Fault::calm: return "calm";
-        case Fault::crash: return "crash";
-        case Fault::stall: return "stall";
-        case Fault::loss: return "loss";
-        case Fault::partition: return "partition";
-        case Fault::restart: return "restart";
+        case Fault::join:
+            return "join";
+        case Fault::calm:
+            return "calm";
+        case Fault::crash:
+            return "crash";
+        case Fault::stall:
+            return "stall";
+        case Fault::loss:
+            return "loss";
+        case Fault::partition:
+            return "partition";
+        case Fault::restart:
+            return "restart";
     }
     return "?";
 }
@@ -52,14 +59,16 @@
         auto began = now_;
         switch (fault) {
             case Fault::join:
-                for (std::size_t i = 0; i < nodes_.size(); ++i) start(i);
+                for (std::size_t i = 0; i < nodes_.size(); ++i)
+                    start(i);
                 settle(began);
                 break;
             case Fault::calm:
                 // Rest begins where the last news has been told.
-                while (now_ < began + o_.most && std::any_of(nodes_.begin(), nodes_.end(), [](const Node& n) {
-                           return n.up && n.members->rumours() > 0;
-                       }))
+                while (now_ < began + o_.most &&
+                       std::any_of(
+                           nodes_.begin(), nodes_.end(),
+                           [](const Node& n) { return n.up && n.members->rumours() > 0; }))
                     run_until(now_ + milliseconds{1000});
                 began = now_;
                 messages_ = bytes_ = 0;
@@ -89,10 +98,12 @@
             }
             case Fault::partition: {
                 // Three in eight on the other side, as in the tests with processes.
-                for (std::size_t i = 0; i < nodes_.size() * 3 / 8; ++i) net_.side(i, 1);
+                for (std::size_t i = 0; i < nodes_.size() * 3 / 8; ++i)
+                    net_.side(i, 1);
                 run_until(now_ + kCutFor);
                 // What is declared dead across the cut is so by right: it can't be heard.
-                for (std::size_t i = 0; i < nodes_.size(); ++i) net_.side(i, 0);
+                for (std::size_t i = 0; i < nodes_.size(); ++i)
+                    net_.side(i, 0);
                 settle(now_);
                 break;
             }
@@ -100,7 +111,8 @@
                 // Killed and started again at once under its name; the one the crash took comes back too.
                 nodes_[nodes_.size() / 4].up = false;
                 for (std::size_t i = 0; i < nodes_.size(); ++i)
-                    if (!nodes_[i].up) start(i);
+                    if (!nodes_[i].up)
+                        start(i);
                 settle(began);
                 break;
             }
@@ -123,7 +135,9 @@
         std::vector<std::pair<std::size_t, cl::Message>> queued;  // what waits in a stopped member's sockets
     };
 
-    static std::string name(std::size_t i) { return std::to_string(i); }
+    static std::string name(std::size_t i) {
+        return std::to_string(i);
+    }
 
     // A start or a restart: a new run of the name, its start told by the simulated clock.
     void start(std::size_t i) {
@@ -139,7 +153,9 @@
         node.next_tick = now_ + milliseconds{static_cast<milliseconds::rep>(i * 7 % 50)};
     }
 
-    bool runs(const Node& node) const { return node.up && node.stopped_until <= now_; }
+    bool runs(const Node& node) const {
+        return node.up && node.stopped_until <= now_;
+    }
 
     void send(std::size_t from, std::vector<cl::Send> sends) {
         for (auto& s : sends) {
@@ -157,9 +173,11 @@
                 net_.side(about) != net_.side(static_cast<std::size_t>(&node - nodes_.data()));
             const bool at_fault = hit_ == about || across || !nodes_[about].up;
             if (e.kind == cl::Event::Kind::suspect) {
-                if (hit_ == about && row_.suspected_ms < 0) row_.suspected_ms = (now_ - fault_at_).count();
+                if (hit_ == about && row_.suspected_ms < 0)
+                    row_.suspected_ms = (now_ - fault_at_).count();
                 // One suspicion told to all is one, whatever number of views it reaches.
-                if (!at_fault && suspected_.insert({about, e.incarnation}).second) ++row_.false_suspicions;
+                if (!at_fault && suspected_.insert({about, e.incarnation}).second)
+                    ++row_.false_suspicions;
             }
             if (e.kind == cl::Event::Kind::dead && (!at_fault || (hit_ == about && nodes_[about].up)))
                 ++row_.false_deaths;
@@ -169,19 +187,23 @@
     void step() {
         while (auto a = net_.next(now_)) {
             auto& node = nodes_[a->to];
-            if (!node.up) continue;
+            if (!node.up)
+                continue;
             if (node.stopped_until > now_) {
-                if (node.queued.size() < 256) node.queued.emplace_back(a->from, std::move(a->message));
+                if (node.queued.size() < 256)
+                    node.queued.emplace_back(a->from, std::move(a->message));
                 continue;
             }
             receive(a->to, a->message);
         }
         for (std::size_t i = 0; i < nodes_.size(); ++i) {
             auto& node = nodes_[i];
-            if (!runs(node) || node.next_tick > now_) continue;
+            if (!runs(node) || node.next_tick > now_)
+                continue;
             node.next_tick = now_ + kTick;
             send(i, node.members->tick(now_));
-            for (auto& [from, message] : std::exchange(node.queued, {})) receive(i, message);
+            for (auto& [from, message] : std::exchange(node.queued, {}))
+                receive(i, message);
             take_events(node);
         }
         now_ += kStep;
@@ -195,7 +217,8 @@
                 node.streams_since = now_;
                 node.streams = 0;
             }
-            if (++node.streams > o_.streams) return;
+            if (++node.streams > o_.streams)
+                return;
         }
         send(to, node.members->receive(message, now_));
         take_events(node);
@@ -203,26 +226,32 @@
 
     void run_until(milliseconds until) {
         fault_at_ = now_;
-        while (now_ < until) step();
+        while (now_ < until)
+            step();
     }
 
     // Every running member holds the running ones, and only those, for alive, each at the same incarnation.
     bool agreed() const {
         const cl::Members* first = nullptr;
         std::size_t up = 0;
-        for (const auto& node : nodes_) up += node.up ? 1 : 0;
+        for (const auto& node : nodes_)
+            up += node.up ? 1 : 0;
         for (const auto& node : nodes_) {
-            if (!node.up) continue;
+            if (!node.up)
+                continue;
             if (node.members->count(cl::State::alive) != up || node.members->count(cl::State::suspect) != 0)
                 return false;
-            if (!first) first = node.members.get();
-            if (node.members->digest() != first->digest()) return false;
+            if (!first)
+                first = node.members.get();
+            if (node.members->digest() != first->digest())
+                return false;
         }
         return true;
     }
 
     void settle(milliseconds from) {
-        if (row_.fault != Fault::stall) fault_at_ = now_;
+        if (row_.fault != Fault::stall)
+            fault_at_ = now_;
         const auto until = now_ + o_.most;
         while (now_ < until) {
             step();
@@ -256,7 +285,8 @@
             std::find(options.faults.begin(), options.faults.end(), fault) == options.faults.end())
             continue;
         rows.push_back(sim.play(fault));
-        if (done) done(rows.back());
+        if (done)
+            done(rows.back());
     }
     return rows;
 }
--- a/src/lab/relay.cpp
+++ b/src/lab/relay.cpp
@@ -45,9 +45,12 @@
             error_code e;
             socket = udp::socket{io, udp::endpoint{loopback, 0}};
             acceptor.open(tcp::v4(), e);
-            if (!e) acceptor.bind(tcp::endpoint{loopback, socket.local_endpoint().port()}, e);
-            if (!e) acceptor.listen(asio::socket_base::max_listen_connections, e);
-            if (!e) return;
+            if (!e)
+                acceptor.bind(tcp::endpoint{loopback, socket.local_endpoint().port()}, e);
+            if (!e)
+                acceptor.listen(asio::socket_base::max_listen_connections, e);
+            if (!e)
+                return;
             acceptor.close(e);
         }
         throw std::runtime_error("relay: no port free for both datagrams and streams");
@@ -65,7 +68,9 @@
         receive(i);
         accept(i);
     }
-    thread_ = std::thread{[this] { io_.run(); }};
+    thread_ = std::thread{[this] {
+        io_.run();
+    }};
 }
 
 Relay::~Relay() {
@@ -77,7 +82,9 @@
     return "127.0.0.1:" + std::to_string(ports_.at(i)->socket.local_endpoint().port());
 }
 
-void Relay::to(std::size_t i, unsigned short port) { ports_.at(i)->member_port = port; }
+void Relay::to(std::size_t i, unsigned short port) {
+    ports_.at(i)->member_port = port;
+}
 
 void Relay::set(std::size_t from, std::size_t to, Link link) {
     const std::lock_guard lock{mutex_};
@@ -97,7 +104,8 @@
 
 std::optional<std::size_t> Relay::who(const asio::ip::address& source) const {
     for (std::size_t i = 0; i < ports_.size(); ++i)
-        if (source == asio::ip::make_address(member_ip(i))) return i;
+        if (source == asio::ip::make_address(member_ip(i)))
+            return i;
     return std::nullopt;
 }
 
@@ -112,7 +120,8 @@
     auto& port = *ports_[i];
     port.socket.async_receive_from(
         asio::buffer(port.datagram), port.sender, [this, i](const error_code& e, std::size_t n) {
-            if (e == asio::error::operation_aborted) return;
+            if (e == asio::error::operation_aborted)
+                return;
             auto& p = *ports_[i];
             const auto from = who(p.sender.address());
             const auto l = from ? link(*from, i) : Link{};
@@ -152,7 +161,8 @@
 
 void Relay::accept(std::size_t i) {
     ports_[i]->acceptor.async_accept([this, i](const error_code& e, tcp::socket socket) {
-        if (e == asio::error::operation_aborted) return;
+        if (e == asio::error::operation_aborted)
+            return;
         if (!e) {
             error_code ignored;
             const auto source = socket.remote_endpoint(ignored).address();
--- a/src/lab/relay.h
+++ b/src/lab/relay.h
@@ -30,7 +30,9 @@
     Relay(std::size_t members, std::uint64_t seed);
     ~Relay();
     // Where member i binds, with the port given, and where the others reach it.
-    static std::string member_ip(std::size_t i) { return loopback(10 + i); }
+    static std::string member_ip(std::size_t i) {
+        return loopback(10 + i);
+    }
     // Loopback addresses of this test process's own: a port let go for a member to take is else soon
     // somebody's who connects from 127.0.0.1, or another fleet's beside this one.
     static std::string loopback(std::size_t last);
@@ -43,8 +45,12 @@
         set(b, a, link);
     }
     void clear();
-    std::uint64_t dropped() const { return dropped_; }
-    std::uint64_t passed() const { return passed_; }
+    std::uint64_t dropped() const {
+        return dropped_;
+    }
+    std::uint64_t passed() const {
+        return passed_;
+    }
 
 private:
     struct Port;
--- a/src/lab/replica_sim.cpp
+++ b/src/lab/replica_sim.cpp
@@ -27,7 +27,8 @@
 public:
     ReplicaNet(std::size_t members, std::uint64_t seed, cl::ReplicaSettings settings)
         : net(members, seed, SimLink{}), settings_(settings), seed_(seed), nodes(members) {
-        for (std::size_t i = 0; i < members; ++i) start(i);
+        for (std::size_t i = 0; i < members; ++i)
+            start(i);
     }
 
     struct Node {
@@ -49,7 +50,9 @@
         (void)node.replica->take_touched();
     }
 
-    cl::UnixMs wall(const Node& node) const { return kEpoch + now.count() + node.skew; }
+    cl::UnixMs wall(const Node& node) const {
+        return kEpoch + now.count() + node.skew;
+    }
 
     // Written down before anything of it goes out: what is sent is what would be found again after a crash.
     void commit(Node& node) {
@@ -83,15 +86,18 @@
     void step() {
         while (auto a = net.next(now)) {
             auto& node = nodes[a->to];
-            if (node.up) send(a->to, node.replica->receive(a->message, now, wall(node)));
+            if (node.up)
+                send(a->to, node.replica->receive(a->message, now, wall(node)));
         }
         for (std::size_t i = 0; i < nodes.size(); ++i) {
             auto& node = nodes[i];
-            if (!node.up || (now.count() + static_cast<std::int64_t>(i) * 10) % kTick.count() != 0) continue;
+            if (!node.up || (now.count() + static_cast<std::int64_t>(i) * 10) % kTick.count() != 0)
+                continue;
             // The view would name the members alive; here all but ourselves, the silent ones too.
             if (peers_.size() != nodes.size()) {
                 peers_.clear();
-                for (std::size_t j = 0; j < nodes.size(); ++j) peers_.push_back(std::to_string(j));
+                for (std::size_t j = 0; j < nodes.size(); ++j)
+                    peers_.push_back(std::to_string(j));
             }
             const auto own = std::exchange(peers_[i], std::to_string((i + 1) % nodes.size()));
             send(i, node.replica->tick(now, wall(node), peers_));
@@ -100,7 +106,8 @@
         now += kStep;
     }
     void run(milliseconds span) {
-        for (const auto until = now + span; now < until;) step();
+        for (const auto until = now + span; now < until;)
+            step();
     }
 
     // What is in force: what each has still to forget is its own affair.
@@ -108,17 +115,22 @@
         std::map<std::string, std::map<std::string, cl::Mark>> out;
         for (const auto& [key, entry] : replica.entries())
             for (const auto& [origin, mark] : entry.marks)
-                if (mark.live()) out[key].emplace(origin, cl::Mark{mark.set, 0, mark.stamp, mark.value});
+                if (mark.live())
+                    out[key].emplace(origin, cl::Mark{mark.set, 0, mark.stamp, mark.value});
         return out;
     }
     // All running copies hold the same numbers and, `deep`, the same in force.
     bool equal(bool deep) const {
         const cl::Replica* first = nullptr;
         for (const auto& node : nodes) {
-            if (!node.up) continue;
-            if (!first) first = node.replica.get();
-            if (node.replica->summary() != first->summary()) return false;
-            if (deep && live(*node.replica) != live(*first)) return false;
+            if (!node.up)
+                continue;
+            if (!first)
+                first = node.replica.get();
+            if (node.replica->summary() != first->summary())
+                return false;
+            if (deep && live(*node.replica) != live(*first))
+                return false;
         }
         return true;
     }
@@ -126,7 +138,8 @@
         const auto began = now;
         while ((now - began).count() < most) {
             step();
-            if (equal(false) && equal(true)) return (now - began).count();
+            if (equal(false) && equal(true))
+                return (now - began).count();
         }
         return -1;
     }
@@ -149,11 +162,14 @@
 ReplicaVerdict check_replicas(const ReplicaCheck& check) {
     ReplicaVerdict out;
     std::mt19937_64 dice{check.seed};
-    const auto under = [&dice](std::uint64_t n) { return dice() % n; };
+    const auto under = [&dice](std::uint64_t n) {
+        return dice() % n;
+    };
     cl::ReplicaSettings settings;
     settings.interval = milliseconds{500};
     settings.tombstone_keep = check.tombstone_keep;
-    if (check.learned) settings.value_keep = check.tombstone_keep;
+    if (check.learned)
+        settings.value_keep = check.tombstone_keep;
     settings.round_bytes = 600;  // a few updates: rounds are cut short often
     ReplicaNet fleet{check.members, check.seed, settings};
     SimLink rough;
@@ -161,7 +177,8 @@
     rough.duplicate = 0.1;
     rough.jitter = milliseconds{150};
     fleet.net.set(rough);
-    for (auto& node : fleet.nodes) node.skew = static_cast<cl::UnixMs>(under(4'000)) - 2'000;
+    for (auto& node : fleet.nodes)
+        node.skew = static_cast<cl::UnixMs>(under(4'000)) - 2'000;
 
     // Each change that was acknowledged: stored by its author before anyone was told.
     std::map<std::string, cl::Entry> acknowledged;
@@ -175,7 +192,8 @@
             const auto wall = fleet.wall(node);
             const bool done = under(2) ? node.replica->set(key, std::to_string(out.changes), wall)
                                        : node.replica->clear(key, wall);
-            if (!done) out.wrong = "a change was refused";
+            if (!done)
+                out.wrong = "a change was refused";
             fleet.commit(node);
             ++out.changes;
             if (const auto at = node.replica->entries().find(key); at != node.replica->entries().end()) {
@@ -194,11 +212,13 @@
     }
     for (std::size_t i = 0; i < check.members; ++i) {
         fleet.net.side(i, 0);
-        if (!fleet.nodes[i].up) fleet.start(i);
+        if (!fleet.nodes[i].up)
+            fleet.start(i);
     }
     fleet.net.set(SimLink{});
     out.converged_ms = fleet.until_equal(check.most_ms);
-    if (out.converged_ms < 0) out.wrong = "copies differ after " + std::to_string(check.most_ms) + " ms";
+    if (out.converged_ms < 0)
+        out.wrong = "copies differ after " + std::to_string(check.most_ms) + " ms";
     for (const auto& node : fleet.nodes) {
         out.full_copies += node.replica->counts().full_copies;
         out.forgotten += node.replica->counts().forgotten;
@@ -217,7 +237,8 @@
                                                        kEpoch + fleet.now.count() + 4'000;
                 if (mark.live() && !aged && (!here || !here->live() || here->set < mark.set))
                     out.wrong = "an acknowledged set of " + key + " is lost";
-                if (!mark.live() && here && here->live()) out.wrong = key + " came back after it was cleared";
+                if (!mark.live() && here && here->live())
+                    out.wrong = key + " came back after it was cleared";
             }
         }
     }
@@ -259,14 +280,16 @@
     out.spread_ms = fleet.until_equal(120'000);
 
     const auto side = scale.members * 3 / 8;
-    for (std::size_t i = 0; i < side; ++i) fleet.net.side(i, 1);
+    for (std::size_t i = 0; i < side; ++i)
+        fleet.net.side(i, 1);
     fleet.run(milliseconds{1'000});
     for (std::size_t k = 0; k < scale.missed; ++k) {
         change(0, 1 + k);
         change(side, 100'000 + k);
     }
     fleet.run(milliseconds{29'000});
-    for (std::size_t i = 0; i < side; ++i) fleet.net.side(i, 0);
+    for (std::size_t i = 0; i < side; ++i)
+        fleet.net.side(i, 0);
     fleet.bytes = 0;
     out.heal_ms = fleet.until_equal(120'000);
     out.heal_bytes_per_s = static_cast<double>(fleet.bytes) / n /
@@ -274,13 +297,15 @@
 
     auto& away = fleet.nodes[scale.members - 1];
     away.up = false;
-    for (std::size_t k = 0; k < scale.missed; ++k) change(1, 200'000 + k);
+    for (std::size_t k = 0; k < scale.missed; ++k)
+        change(1, 200'000 + k);
     fleet.run(milliseconds{30'000});
     fleet.start(scale.members - 1);
     away.bytes_in = 0;
     out.catch_up_ms = fleet.until_equal(120'000);
     out.catch_up_bytes = away.bytes_in;
-    for (const auto& node : fleet.nodes) out.full_copies += node.replica->counts().full_copies;
+    for (const auto& node : fleet.nodes)
+        out.full_copies += node.replica->counts().full_copies;
     return out;
 }
 
--- a/src/lab/servers.cpp
+++ b/src/lab/servers.cpp
@@ -16,7 +16,9 @@
 
 namespace {
 
-tcp::endpoint loopback() { return {asio::ip::make_address("127.0.0.1"), 0}; }
+tcp::endpoint loopback() {
+    return {asio::ip::make_address("127.0.0.1"), 0};
+}
 
 std::string text_of(const tcp::endpoint& at) {
     return at.address().to_string() + ":" + std::to_string(at.port());
@@ -40,7 +42,8 @@
     const std::string unit = class_name + '/' + object + '/' + part + '\n';
     const std::size_t size = 200 + std::hash<std::string>{}(unit) % 4000;
     std::string out;
-    while (out.size() < size) out += unit;
+    while (out.size() < size)
+        out += unit;
     return out;
 }
 
@@ -66,22 +69,29 @@
     accept();
 }
 
-Server::~Server() { die(); }
+Server::~Server() {
+    die();
+}
 
-std::string Server::address() const { return text_of(acceptor_.local_endpoint()); }
+std::string Server::address() const {
+    return text_of(acceptor_.local_endpoint());
+}
 
 void Server::die() {
     error_code ignored;
     acceptor_.close(ignored);
-    for (Link* link : links_) link->socket.close(ignored);
+    for (Link* link : links_)
+        link->socket.close(ignored);
 }
 
 void Server::accept() {
     acceptor_.async_accept(
         [this, alive = std::weak_ptr{alive_}](const error_code& error, tcp::socket socket) {
-            if (error || !alive.lock()) return;
+            if (error || !alive.lock())
+                return;
             const auto link = std::shared_ptr<Link>{new Link{std::move(socket)}, [this, alive](Link* l) {
-                                                        if (alive.lock()) links_.erase(l);
+                                                        if (alive.lock())
+                                                            links_.erase(l);
                                                         delete l;
                                                     }};
             links_.insert(link.get());
@@ -94,7 +104,8 @@
     link->request = {};
     http::async_read(link->socket, link->buffer, link->request,
                      [this, link, alive = std::weak_ptr{alive_}](const error_code& error, std::size_t) {
-                         if (!error && alive.lock()) answer(link);
+                         if (!error && alive.lock())
+                             answer(link);
                      });
 }
 
@@ -120,13 +131,15 @@
         parts.push_back(link->path.substr(at, end - at));
         at = end + 1;
     }
-    if (parts.size() != 4 || parts[0] != "obj") return say(link, Response{http::status::bad_request, 11});
+    if (parts.size() != 4 || parts[0] != "obj")
+        return say(link, Response{http::status::bad_request, 11});
     link->class_name = parts[1];
     link->object = parts[2];
     link->part = parts[3];
     const bool write = link->request.method() == http::verb::put;
     if (role_ == Role::store) {
-        if (write) ++runs_[std::string{link->request["Call-Id"]}];
+        if (write)
+            ++runs_[std::string{link->request["Call-Id"]}];
         counts_.writes += write;
         return say(link, good(link->class_name, link->object, link->part, "via_origin", unix_ms()));
     }
@@ -152,26 +165,31 @@
         r.set("Detail", "src_refused");
         say(link, std::move(r));
     };
-    if (!at) return failed();
+    if (!at)
+        return failed();
     error_code ignored;
     link->source.close(ignored);
     const auto weak = std::weak_ptr{alive_};
     link->source.async_connect({asio::ip::make_address(at->host), at->port}, [this, link, weak, failed, from](
                                                                                  const error_code& refused) {
-        if (!weak.lock()) return;
-        if (refused) return failed();
+        if (!weak.lock())
+            return;
+        if (refused)
+            return failed();
         link->source_request = {link->request.method(), link->path, 11};
         link->source_request.set(http::field::host, from);
         link->source_request.set("Call-Id", link->request["Call-Id"]);
         // A hub fills from the store, which fills from nowhere.
-        if (role_ == Role::box) link->source_request.set("Miss-To", "store");
+        if (role_ == Role::box)
+            link->source_request.set("Miss-To", "store");
         link->source_request.prepare_payload();
         link->source_response = {};
         link->source_buffer.clear();
         http::async_write(link->source, link->source_request, [](const error_code&, std::size_t) {});
         http::async_read(link->source, link->source_buffer, link->source_response,
                          [this, link, weak, failed](const error_code& broken, std::size_t) {
-                             if (!weak.lock()) return;
+                             if (!weak.lock())
+                                 return;
                              if (broken || link->source_response.result() != http::status::ok)
                                  return failed();
                              error_code closed;
@@ -179,12 +197,14 @@
                              // A little time on the way, so that something can be under way at all.
                              link->timer.expires_after(5ms);
                              link->timer.async_wait([this, link, weak](const error_code& stopped) {
-                                 if (stopped || !weak.lock()) return;
+                                 if (stopped || !weak.lock())
+                                     return;
                                  const bool write = link->request.method() == http::verb::put;
                                  const std::int64_t made = number(link->source_response["Made-At"]);
                                  ++(write ? counts_.writes : counts_.fills);
                                  if (!write && number(link->request["Store-As"]) > 0) {
-                                     if (copies_.size() >= kMostCopies) copies_.clear();
+                                     if (copies_.size() >= kMostCopies)
+                                         copies_.clear();
                                      copies_[link->path] = made;
                                  }
                                  Response r = good(link->class_name, link->object, link->part,
@@ -201,7 +221,8 @@
     link->response.prepare_payload();
     http::async_write(link->socket, link->response,
                       [this, link, alive = std::weak_ptr{alive_}](const error_code& error, std::size_t) {
-                          if (!error && alive.lock()) read(link);
+                          if (!error && alive.lock())
+                              read(link);
                       });
 }
 
@@ -227,10 +248,13 @@
     error_code ignored;
     acceptor_.close(ignored);
     timer_.cancel();
-    for (const auto& link : links_) link->socket.close(ignored);
+    for (const auto& link : links_)
+        link->socket.close(ignored);
 }
 
-std::string Bulletin::address() const { return text_of(acceptor_.local_endpoint()); }
+std::string Bulletin::address() const {
+    return text_of(acceptor_.local_endpoint());
+}
 
 void Bulletin::say(const Json::Value& event) {
     if (events_.size() >= kMostEvents) {
@@ -240,12 +264,14 @@
     Json::Value numbered = event;
     numbered["no"] = Json::Int64{last() + 1};
     events_.push_back(config::json_line(numbered));
-    for (const auto& link : links_) write(link);
+    for (const auto& link : links_)
+        write(link);
 }
 
 void Bulletin::accept() {
     acceptor_.async_accept([this](const error_code& error, tcp::socket socket) {
-        if (error) return;
+        if (error)
+            return;
         read(std::make_shared<Link>(std::move(socket)));
         accept();
     });
@@ -254,7 +280,8 @@
 void Bulletin::read(const std::shared_ptr<Link>& link) {
     http::async_read(link->socket, link->buffer, link->request,
                      [this, link](const error_code& error, std::size_t) {
-                         if (error) return;
+                         if (error)
+                             return;
                          link->next = number(link->request["Last-Event-ID"]) + 1;
                          link->more = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: here\n\n";
                          links_.insert(link);
@@ -264,11 +291,13 @@
 
 void Bulletin::write(const std::shared_ptr<Link>& link) {
     for (; link->next <= last(); ++link->next) {
-        if (link->next < first_) continue;
+        if (link->next < first_)
+            continue;
         link->more += "id: " + std::to_string(link->next) +
                       "\ndata: " + events_[static_cast<std::size_t>(link->next - first_)] + "\n\n";
     }
-    if (link->writing || link->more.empty()) return;
+    if (link->writing || link->more.empty())
+        return;
     link->writing = true;
     link->out = std::exchange(link->more, {});
     asio::async_write(link->socket, asio::buffer(link->out),
@@ -284,7 +313,8 @@
 void Bulletin::beat() {
     timer_.expires_after(500ms);
     timer_.async_wait([this](const error_code& error) {
-        if (error) return;
+        if (error)
+            return;
         for (const auto& link : links_) {
             link->more += ": still here\n\n";
             write(link);
--- a/src/lab/servers.h
+++ b/src/lab/servers.h
@@ -33,10 +33,16 @@
     Server(net::asio::io_context& io, std::string id, Role role, Find find);
     ~Server();
     std::string address() const;
-    const std::string& id() const { return id_; }
-    const Counts& counts() const { return counts_; }
+    const std::string& id() const {
+        return id_;
+    }
+    const Counts& counts() const {
+        return counts_;
+    }
     // The store: how often each write ran, by the client's id.
-    const std::map<std::string, int>& runs() const { return runs_; }
+    const std::map<std::string, int>& runs() const {
+        return runs_;
+    }
     // Closes its listener and all connections, as a process that dies.
     void die();
 
@@ -71,9 +77,13 @@
     ~Bulletin();
     std::string address() const;
     void say(const Json::Value& event);  // its `no` goes up by one each time
-    std::int64_t last() const { return static_cast<std::int64_t>(events_.size()) + first_ - 1; }
+    std::int64_t last() const {
+        return static_cast<std::int64_t>(events_.size()) + first_ - 1;
+    }
     // Numbers begin after what a configuration holds as known.
-    void begin_after(std::int64_t no) { first_ = no + 1; }
+    void begin_after(std::int64_t no) {
+        first_ = no + 1;
+    }
 
 private:
     struct Link;
--- a/src/lab/sim_net.h
+++ b/src/lab/sim_net.h
@@ -29,19 +29,30 @@
     SimNet(std::size_t members, std::uint64_t seed, SimLink link)
         : link_(link), dice_(seed), side_(members, 0) {}
 
-    void set(SimLink link) { link_ = link; }
-    const SimLink& link() const { return link_; }
-    void side(std::size_t member, int side) { side_.at(member) = side; }
-    int side(std::size_t member) const { return side_.at(member); }
+    void set(SimLink link) {
+        link_ = link;
+    }
+    const SimLink& link() const {
+        return link_;
+    }
+    void side(std::size_t member, int side) {
+        side_.at(member) = side;
+    }
+    int side(std::size_t member) const {
+        return side_.at(member);
+    }
 
     void send(std::size_t from, std::size_t to, Message message, bool stream, SimTime now) {
-        if (side_[from] != side_[to]) return;
+        if (side_[from] != side_[to])
+            return;
         SimTime late{0};
         if (chance(link_.loss)) {
-            if (!stream) return;
+            if (!stream)
+                return;
             late = kResend;
         }
-        if (!stream && chance(link_.duplicate)) put(from, to, message, now + travel());
+        if (!stream && chance(link_.duplicate))
+            put(from, to, message, now + travel());
         put(from, to, std::move(message), now + travel() + late);
     }
 
@@ -54,14 +65,17 @@
         while (!under_way_.empty() && under_way_.begin()->first <= now) {
             Arrival a = std::move(under_way_.begin()->second);
             under_way_.erase(under_way_.begin());
-            if (side_[a.from] == side_[a.to]) return a;
+            if (side_[a.from] == side_[a.to])
+                return a;
         }
         return std::nullopt;
     }
 
 private:
     static constexpr SimTime kResend{200};  // TCP's least retransmission time on Linux
-    bool chance(double p) { return p > 0 && std::uniform_real_distribution<>{0, 1}(dice_) < p; }
+    bool chance(double p) {
+        return p > 0 && std::uniform_real_distribution<>{0, 1}(dice_) < p;
+    }
     SimTime travel() {
         return link_.delay + SimTime{static_cast<SimTime::rep>(
                                  dice_() % static_cast<std::uint64_t>(link_.jitter.count() + 1))};
--- a/src/lab/site.cpp
+++ b/src/lab/site.cpp
@@ -6,7 +6,9 @@
 
 constexpr std::int64_t kMs = 1'000'000;
 
-std::string zone_of(const std::string& kind) { return kind == "small-box" ? kZone : "north"; }
+std::string zone_of(const std::string& kind) {
+    return kind == "small-box" ? kZone : "north";
+}
 
 Json::Value class_json(const char* name, int aim_ms, double stretch, int give_up_ms, double worth,
                        const char* effect) {
@@ -22,7 +24,8 @@
 
 Json::Value list_of(std::initializer_list<Json::Value> items) {
     Json::Value list{Json::arrayValue};
-    for (const auto& item : items) list.append(item);
+    for (const auto& item : items)
+        list.append(item);
     return list;
 }
 
@@ -112,7 +115,8 @@
     e["roster"]["version"] = Json::Int64{no};
     e["roster"]["full"] = full;
     e["roster"]["servers"] = Json::Value{Json::arrayValue};
-    for (const auto& server : servers) e["roster"]["servers"].append(server);
+    for (const auto& server : servers)
+        e["roster"]["servers"].append(server);
     return e;
 }
 
--- a/src/lab/soak/async.h
+++ b/src/lab/soak/async.h
@@ -17,7 +17,9 @@
 using Task = asio::awaitable<Value>;
 
 // co_await stream.async_something(..., into(error));
-inline auto into(error_code& error) { return asio::redirect_error(asio::use_awaitable, error); }
+inline auto into(error_code& error) {
+    return asio::redirect_error(asio::use_awaitable, error);
+}
 
 inline Task<> pause(std::chrono::steady_clock::duration span) {
     asio::steady_timer timer{co_await asio::this_coro::executor, span};
@@ -25,7 +27,9 @@
     co_await timer.async_wait(into(error));
 }
 
-inline void spawn(asio::io_context& io, Task<> task) { asio::co_spawn(io, std::move(task), asio::detached); }
+inline void spawn(asio::io_context& io, Task<> task) {
+    asio::co_spawn(io, std::move(task), asio::detached);
+}
 
 inline std::string text_of(const tcp::endpoint& at) {
     return at.address().to_string() + ":" + std::to_string(at.port());
@@ -46,16 +50,21 @@
     CloseAt(tcp::socket& socket, std::chrono::steady_clock::time_point at)
         : timer_(socket.get_executor(), at), state_(std::make_shared<State>()) {
         timer_.async_wait([&socket, state = state_](const error_code& error) {
-            if (error || state->over) return;
+            if (error || state->over)
+                return;
             state->closed = true;
             error_code ignored;
             socket.close(ignored);
         });
     }
-    ~CloseAt() { state_->over = true; }
+    ~CloseAt() {
+        state_->over = true;
+    }
     CloseAt(const CloseAt&) = delete;
     CloseAt& operator=(const CloseAt&) = delete;
-    bool closed() const { return state_->closed; }
+    bool closed() const {
+        return state_->closed;
+    }
 
 private:
     struct State {
--- a/src/lab/soak/clients.cpp
+++ b/src/lab/soak/clients.cpp
@@ -48,9 +48,12 @@
         const bool open = connection->socket.is_open() && connection->generation == standing.generation;
         if (!open || chance(habits.new_connection)) {
             connection = std::make_unique<Connection>(io_, router);
-            if (!standing.connections) continue;
-            if (chance(habits.unreadable)) co_await unreadable(router);
-            if (!co_await connect(*connection)) continue;
+            if (!standing.connections)
+                continue;
+            if (chance(habits.unreadable))
+                co_await unreadable(router);
+            if (!co_await connect(*connection))
+                continue;
         } else if (!standing.requests && !rests) {
             continue;
         }
@@ -65,7 +68,8 @@
     const CloseAt limit{connection.socket, Clock::now() + 3s};
     error_code error;
     co_await connection.socket.async_connect(standing.at, into(error));
-    if (error) connection.socket.close(error);
+    if (error)
+        connection.socket.close(error);
     co_return connection.socket.is_open();
 }
 
@@ -95,8 +99,10 @@
              "\r\nMax-Wait-Ms: " + std::to_string(request.wait.count()) +
              "\r\nX-Lot: " + std::to_string(request.lot) +
              "\r\nReserve-Kb: " + std::to_string(terms::kRequestKb) + "\r\n";
-    if (request.effect == Effect::keyed) bytes += "Replay-Key: k" + sent.id + "\r\n";
-    if (!body.empty()) bytes += "Content-Length: " + std::to_string(body.size()) + "\r\n";
+    if (request.effect == Effect::keyed)
+        bytes += "Replay-Key: k" + sent.id + "\r\n";
+    if (!body.empty())
+        bytes += "Content-Length: " + std::to_string(body.size()) + "\r\n";
     bytes += "\r\n" + body;
     return sent;
 }
@@ -105,42 +111,52 @@
     error_code error;
     const std::size_t piece = in_pieces ? bytes.size() / 3 + 1 : bytes.size();
     for (std::size_t at = 0; at < bytes.size() && !error; at += piece) {
-        if (at > 0) co_await pause(Millis{10 + draw(90)});
+        if (at > 0)
+            co_await pause(Millis{10 + draw(90)});
         co_await asio::async_write(connection.socket,
                                    asio::buffer(bytes.data() + at, std::min(piece, bytes.size() - at)),
                                    into(error));
     }
-    if (error) connection.socket.close(error);
+    if (error)
+        connection.socket.close(error);
 }
 
 Task<> Clients::exchange(Connection& connection) {
     const int together = chance(habits.pipeline) ? 2 + draw(3) : 1;
     std::string bytes;
     std::vector<Sent> all;
-    for (int i = 0; i < together; ++i) all.push_back(draw_request(connection.router, bytes));
+    for (int i = 0; i < together; ++i)
+        all.push_back(draw_request(connection.router, bytes));
     // Known before the last byte is out: servers may see it before this runs on.
-    for (const Sent& sent : all) oracle_.written(sent.id, sent.request);
+    for (const Sent& sent : all)
+        oracle_.written(sent.id, sent.request);
     co_await send(connection, bytes, chance(habits.in_pieces));
     if (!connection.socket.is_open()) {
         for (const Sent& sent : all)
             oracle_.forget(sent.id);  // it never had the last byte, as far as one can tell
         co_return;
     }
-    for (const Sent& sent : all) oracle_.find(sent.id)->written = Clock::now();
+    for (const Sent& sent : all)
+        oracle_.find(sent.id)->written = Clock::now();
     if (chance(habits.leave)) {
         co_await pause(Millis{draw(150)});
-        for (const Sent& sent : all) oracle_.left(sent.id);
-        if (draw(1)) reset(connection.socket);
+        for (const Sent& sent : all)
+            oracle_.left(sent.id);
+        if (draw(1))
+            reset(connection.socket);
         error_code ignored;
         connection.socket.close(ignored);
         co_return;
     }
     for (std::size_t i = 0; i < all.size(); ++i) {
         // A connection carries one request at a time: one behind another is not answered before that.
-        if (i > 0) oracle_.find(all[i].id)->answer_from = Clock::now();
-        if (co_await receive(connection, all[i])) continue;
+        if (i > 0)
+            oracle_.find(all[i].id)->answer_from = Clock::now();
+        if (co_await receive(connection, all[i]))
+            continue;
         // Those behind it are not owed more than it was.
-        for (std::size_t k = i + 1; k < all.size(); ++k) oracle_.forget(all[k].id);
+        for (std::size_t k = i + 1; k < all.size(); ++k)
+            oracle_.forget(all[k].id);
         co_return;
     }
     char byte = 0;
@@ -166,7 +182,8 @@
     const auto& answer = parser.get();
     oracle_.answered(sent.id, static_cast<int>(answer.result_int()), answer.body());
     connection.used = true;
-    if (answer.keep_alive()) co_return true;
+    if (answer.keep_alive())
+        co_return true;
     error_code ignored;
     connection.socket.close(ignored);
     co_return false;
@@ -178,7 +195,8 @@
     const bool killed = connection.generation <= standing.killed;
     const bool crossed = closed && connection.used &&
                          Clock::now() < oracle_.find(sent.id)->written + kCrossing + oracle_.slack();
-    if (killed || crossed || (closed && standing.breaks)) return oracle_.forget(sent.id);
+    if (killed || crossed || (closed && standing.breaks))
+        return oracle_.forget(sent.id);
     oracle_.lost(
         sent.id,
         (closed ? "its connection was closed after " : "no answer after ") +
@@ -191,7 +209,8 @@
 // A client that nobody can read: whatever it is told is good.
 Task<> Clients::unreadable(std::size_t router) {
     Connection connection{io_, router};
-    if (!co_await connect(connection)) co_return;
+    if (!co_await connect(connection))
+        co_return;
     static constexpr std::array<const char*, 4> kBytes{
         "GET /ops/pages/xyz HTTP/1.1\r\nTrace-Id: 1\r\n\r\n", "\x16\x03\x01 neither\r\n\r\n",
         "PUT /ops/lodge/00000000000000aa/piece-0 HTTP/1.1\r\nContent-Length: 99999999999\r\n\r\n",
--- a/src/lab/soak/clients.h
+++ b/src/lab/soak/clients.h
@@ -34,9 +34,15 @@
     Clients(asio::io_context& io, Oracle& oracle, std::size_t routers, std::size_t each, std::uint64_t seed);
     // Until stop().
     void start();
-    void stop() { stopping_ = true; }
-    bool done() const { return running_ == 0; }
-    Standing& standing(std::size_t router) { return standings_.at(router); }
+    void stop() {
+        stopping_ = true;
+    }
+    bool done() const {
+        return running_ == 0;
+    }
+    Standing& standing(std::size_t router) {
+        return standings_.at(router);
+    }
     ClientHabits habits;
 
     static constexpr std::size_t kLots = 4;
@@ -55,8 +61,12 @@
     Task<> unreadable(std::size_t router);
     void lost(Connection& connection, const Sent& sent, bool closed);
     Sent draw_request(std::size_t router, std::string& bytes);
-    int draw(int most) { return static_cast<int>(dice_() % static_cast<unsigned>(most + 1)); }
-    bool chance(int of_100) { return draw(99) < of_100; }
+    int draw(int most) {
+        return static_cast<int>(dice_() % static_cast<unsigned>(most + 1));
+    }
+    bool chance(int of_100) {
+        return draw(99) < of_100;
+    }
 
     asio::io_context& io_;
     Oracle& oracle_;
--- a/src/lab/soak/discovery.cpp
+++ b/src/lab/soak/discovery.cpp
@@ -13,13 +13,18 @@
 constexpr Millis kOldOpen{1'500};
 constexpr Millis kPurgesKnown{8'000};
 
-tcp::endpoint anywhere() { return {asio::ip::make_address("127.0.0.3"), 0}; }
+tcp::endpoint anywhere() {
+    return {asio::ip::make_address("127.0.0.3"), 0};
+}
 
 const char* word_of(Discovery::ServerState state) {
     switch (state) {
-        case Discovery::ServerState::active: return "active";
-        case Discovery::ServerState::leaving: return "leaving";
-        case Discovery::ServerState::left: return "left";
+        case Discovery::ServerState::active:
+            return "active";
+        case Discovery::ServerState::leaving:
+            return "leaving";
+        case Discovery::ServerState::left:
+            return "left";
     }
     return "";
 }
@@ -36,7 +41,8 @@
 
 Discovery::~Discovery() {
     error_code ignored;
-    for (auto& router : routers_) router->acceptor.close(ignored);
+    for (auto& router : routers_)
+        router->acceptor.close(ignored);
 }
 
 void Discovery::open(std::size_t router, const tcp::endpoint& at) {
@@ -70,7 +76,8 @@
     std::string items;
     const auto begins = unix_ms() - kPurgesKnown.count();
     for (const Event& event : events_)
-        if (!event.server && event.issued_ms > begins) items += text_of_event(event, router) + ",";
+        if (!event.server && event.issued_ms > begins)
+            items += text_of_event(event, router) + ",";
     std::string servers;
     for (std::size_t i = 0; i < listed_.size(); ++i)
         servers += (servers.empty() ? "" : ",") + server_text(i, listed_[i], router);
@@ -125,12 +132,15 @@
 
 void Discovery::set_down(std::size_t router, bool down) {
     Router& r = *routers_.at(router);
-    if (r.down == down) return;
+    if (r.down == down)
+        return;
     r.down = down;
-    if (!down) return open(router, r.at);
+    if (!down)
+        return open(router, r.at);
     error_code ignored;
     r.acceptor.close(ignored);
-    for (tcp::socket* socket : std::set{r.open}) reset(*socket);
+    for (tcp::socket* socket : std::set{r.open})
+        reset(*socket);
 }
 
 Task<> Discovery::accept(std::size_t router, std::uint64_t opening) {
@@ -139,7 +149,8 @@
         error_code error;
         tcp::socket socket{io_};
         co_await r.acceptor.async_accept(socket, into(error));
-        if (!error && r.openings == opening) spawn(io_, tell(router, r.moves, std::move(socket)));
+        if (!error && r.openings == opening)
+            spawn(io_, tell(router, r.moves, std::move(socket)));
     }
 }
 
@@ -150,23 +161,27 @@
     http::request<http::empty_body> request;
     error_code error;
     co_await http::async_read(socket, buffer, request, into(error));
-    if (!error && r.slow > 0ms) co_await pause(r.slow);
+    if (!error && r.slow > 0ms)
+        co_await pause(r.slow);
     std::int64_t last = 0;
     const auto told = request["Last-Event-ID"];
     std::from_chars(told.data(), told.data() + told.size(), last);
     // Whatever was written behind that has not come through to it.
     for (const Event& event : events_)
-        if (event.no > last) not_told(router, event);
+        if (event.no > last)
+            not_told(router, event);
     std::string out = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: here\n\n";
     Moment commented = Clock::now();
     const Moment never = Moment::max();
     Moment closes = never;
     while (!error && socket.is_open() && Clock::now() < closes) {
-        if (r.moves != moves && closes == never) closes = Clock::now() + kOldOpen;
+        if (r.moves != moves && closes == never)
+            closes = Clock::now() + kOldOpen;
         std::vector<Event> told_now;
         if (r.moves == moves && !r.silent)
             for (const Event& event : events_) {
-                if (event.no <= last) continue;
+                if (event.no <= last)
+                    continue;
                 last = event.no;
                 out += "id: " + std::to_string(event.no) + "\ndata: " + text_of_event(event, router) + "\n\n";
                 told_now.push_back(event);
@@ -175,40 +190,49 @@
             commented = Clock::now();
             out += ": still here\n\n";
         }
-        if (!out.empty()) co_await asio::async_write(socket, asio::buffer(out), into(error));
+        if (!out.empty())
+            co_await asio::async_write(socket, asio::buffer(out), into(error));
         out.clear();
         if (!error)
-            for (const Event& event : told_now) delivered(router, event);
+            for (const Event& event : told_now)
+                delivered(router, event);
         co_await pause(kLook);
         // Its end is not asked for otherwise.
         char byte = 0;
-        if (!error && ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) == 0) break;
+        if (!error && ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) == 0)
+            break;
     }
     r.open.erase(&socket);
 }
 
 void Discovery::not_told(std::size_t router, const Event& event) {
-    if (event.server) return oracle_.told_active(router, *event.server);
+    if (event.server)
+        return oracle_.told_active(router, *event.server);
     for (auto& purge : oracle_.purges())
-        if (purge.lot == event.lot && purge.issued_ms == event.issued_ms) purge.told.erase(router);
+        if (purge.lot == event.lot && purge.issued_ms == event.issued_ms)
+            purge.told.erase(router);
 }
 
 void Discovery::set_stopped(std::size_t router, bool stopped) {
     Router& r = *routers_.at(router);
     r.stopped = stopped;
-    if (stopped) return;
-    for (const Event& event : std::exchange(r.unread, {})) delivered(router, event);
+    if (stopped)
+        return;
+    for (const Event& event : std::exchange(r.unread, {}))
+        delivered(router, event);
 }
 
 void Discovery::delivered(std::size_t router, const Event& event) {
-    if (routers_[router]->stopped) return routers_[router]->unread.push_back(event);
+    if (routers_[router]->stopped)
+        return routers_[router]->unread.push_back(event);
     if (!event.server) {
         for (auto& purge : oracle_.purges())
             if (purge.lot == event.lot && purge.issued_ms == event.issued_ms)
                 purge.told[router] = Clock::now();
     } else if (event.state == ServerState::active) {
         oracle_.told_active(router, *event.server);
-        if (event.started_ms > 0) oracle_.told_start(router, *event.server);
+        if (event.started_ms > 0)
+            oracle_.told_start(router, *event.server);
     } else {
         oracle_.told_drain(router, *event.server);
     }
--- a/src/lab/soak/discovery.h
+++ b/src/lab/soak/discovery.h
@@ -16,7 +16,9 @@
     Discovery(asio::io_context& io, Oracle& oracle, Servers& servers, std::size_t routers);
     ~Discovery();
 
-    std::string address(std::size_t router) const { return text_of(routers_.at(router)->at); }
+    std::string address(std::size_t router) const {
+        return text_of(routers_.at(router)->at);
+    }
     // What the router is told with a configuration that is written now, as JSON.
     std::string known(std::size_t router);
     // A new process has begun with that.
@@ -28,8 +30,12 @@
 
     void move(std::size_t router);  // the old address tells nothing more and closes 1.5 s later
     void set_down(std::size_t router, bool down);
-    void set_silent(std::size_t router, bool silent) { routers_.at(router)->silent = silent; }
-    void set_slow(std::size_t router, Millis by) { routers_.at(router)->slow = by; }
+    void set_silent(std::size_t router, bool silent) {
+        routers_.at(router)->silent = silent;
+    }
+    void set_slow(std::size_t router, Millis by) {
+        routers_.at(router)->slow = by;
+    }
     // A router that is stopped is not told anything until it runs on.
     void set_stopped(std::size_t router, bool stopped);
 
--- a/src/lab/soak/main.cpp
+++ b/src/lab/soak/main.cpp
@@ -30,7 +30,8 @@
     std::printf("seed %llu: %zu requests, %zu violations, own lag up to %lld ms;",
                 static_cast<unsigned long long>(options.plan.seed), result.requests, result.violations.size(),
                 static_cast<long long>(result.worst_lag.count()));
-    for (const auto& [outcome, count] : result.outcomes) std::printf(" %s %zu", outcome.c_str(), count);
+    for (const auto& [outcome, count] : result.outcomes)
+        std::printf(" %s %zu", outcome.c_str(), count);
     std::printf("\n");
     std::map<Rule, std::size_t> by_rule;
     for (const Violation& violation : result.violations) {
@@ -65,7 +66,8 @@
 // them.
 void shrink(SoakOptions options, Rule rule) {
     std::vector<std::size_t> places;
-    for (const Trouble& trouble : draw_plan(options.plan)) places.push_back(trouble.place);
+    for (const Trouble& trouble : draw_plan(options.plan))
+        places.push_back(trouble.place);
     for (std::size_t part = std::max<std::size_t>(1, places.size() / 2); part > 0; part /= 2)
         for (std::size_t at = 0; at < places.size() && places.size() > 1;) {
             auto fewer = places;
@@ -79,7 +81,8 @@
         }
     options.plan.only = {places.begin(), places.end()};
     std::printf("the shortest found that still breaks %s:\n", std::string{name_of(rule)}.c_str());
-    for (const Trouble& trouble : draw_plan(options.plan)) std::printf("  %s\n", trouble.text().c_str());
+    for (const Trouble& trouble : draw_plan(options.plan))
+        std::printf("  %s\n", trouble.text().c_str());
 }
 
 int play(Arguments& arguments) {
@@ -92,7 +95,8 @@
         const SoakResult result = run_in_folder(options, arguments.keep);
         print(options, result);
         good = good && result.violations.empty();
-        if (arguments.shrink && !result.violations.empty()) shrink(options, result.violations.front().rule);
+        if (arguments.shrink && !result.violations.empty())
+            shrink(options, result.violations.front().rule);
     }
     return good ? 0 : 1;
 }
--- a/src/lab/soak/oracle.cpp
+++ b/src/lab/soak/oracle.cpp
@@ -17,13 +17,19 @@
 constexpr Millis kLeftSlack = 100ms;
 constexpr Millis kDeadlineSlack = 150ms;
 
-Millis whole_ms(Clock::duration span) { return std::chrono::duration_cast<Millis>(span); }
+Millis whole_ms(Clock::duration span) {
+    return std::chrono::duration_cast<Millis>(span);
+}
 
-std::string in_ms(Clock::duration span) { return std::to_string(whole_ms(span).count()) + " ms"; }
+std::string in_ms(Clock::duration span) {
+    return std::to_string(whole_ms(span).count()) + " ms";
+}
 
 }  // namespace
 
-std::string_view name_of(Rule rule) { return kRuleNames[static_cast<std::size_t>(rule)]; }
+std::string_view name_of(Rule rule) {
+    return kRuleNames[static_cast<std::size_t>(rule)];
+}
 
 std::int64_t unix_ms() {
     return std::chrono::duration_cast<Millis>(std::chrono::system_clock::now().time_since_epoch()).count();
@@ -32,7 +38,8 @@
 std::string body_of(const std::string& path, std::int64_t made_ms) {
     const std::size_t size = 400 + std::hash<std::string>{}(path) % 12'000;
     std::string body = path + "|" + std::to_string(made_ms) + "|";
-    while (body.size() < size) body += path;
+    while (body.size() < size)
+        body += path;
     return body;
 }
 
@@ -49,14 +56,17 @@
 }
 
 void Oracle::left(const std::string& id) {
-    if (Request* request = find(id)) request->left = Clock::now();
+    if (Request* request = find(id))
+        request->left = Clock::now();
     ++outcomes_["left"];
 }
 
 void Oracle::answered(const std::string& id, int status, std::string_view body) {
     Request* request = find(id);
-    if (!request) return;
-    if (request->status) violation(Rule::answered, id + ": a second answer");
+    if (!request)
+        return;
+    if (request->status)
+        violation(Rule::answered, id + ": a second answer");
     request->status = status;
     ++outcomes_[std::to_string(status)];
     const auto took = Clock::now() - request->written;
@@ -64,23 +74,28 @@
         violation(Rule::answered, id + ": answered after " + in_ms(took) + " of " + in_ms(request->wait));
     if ((status == 429 || status == 503) && request->effect == Effect::unsafe && request->runs > 0)
         violation(Rule::not_refused, id + ": refused, though it has run");
-    if (status == 200 && request->effect == Effect::pure) check_copy(id, *request, body);
+    if (status == 200 && request->effect == Effect::pure)
+        check_copy(id, *request, body);
 }
 
 void Oracle::check_copy(const std::string& id, const Request& request, std::string_view body) {
     const std::string head = request.path + "|";
     std::int64_t made = 0;
-    if (body.starts_with(head)) std::from_chars(body.data() + head.size(), body.data() + body.size(), made);
+    if (body.starts_with(head))
+        std::from_chars(body.data() + head.size(), body.data() + body.size(), made);
     if (made == 0 || body != body_of(request.path, made))
         return violation(Rule::right_bytes, id + ": other bytes than those of " + request.path);
     const std::int64_t written = unix_ms() - whole_ms(Clock::now() - request.written).count();
     const std::int64_t age = written - made;
     const auto most = terms::kMaxAge + terms::kGrace + kRuleSlack + slack();
-    if (age > most.count()) violation(Rule::fresh, id + ": a copy of " + std::to_string(age) + " ms");
+    if (age > most.count())
+        violation(Rule::fresh, id + ": a copy of " + std::to_string(age) + " ms");
     for (const Purge& purge : purges_) {
         const auto told = purge.told.find(request.router);
-        if (purge.lot != request.lot || told == purge.told.end() || made >= purge.issued_ms) continue;
-        if (request.written < told->second + terms::kHeedWithin + kRuleSlack + slack()) continue;
+        if (purge.lot != request.lot || told == purge.told.end() || made >= purge.issued_ms)
+            continue;
+        if (request.written < told->second + terms::kHeedWithin + kRuleSlack + slack())
+            continue;
         violation(Rule::purged, "router " + std::to_string(request.router) + ", " + id + ": a copy " +
                                     std::to_string(purge.issued_ms - made) + " ms older than a purge told " +
                                     in_ms(request.written - told->second) + " before");
@@ -95,7 +110,8 @@
 void Oracle::attempt(std::size_t router, std::size_t server, const std::string& id, Moment first_byte,
                      Millis call_ms) {
     const Request* request = find(id);
-    if (!request) return;
+    if (!request)
+        return;
     const std::string way =
         "router " + std::to_string(router) + " to server " + std::to_string(server) + ", " + id;
     if (request->left && first_byte > *request->left + kLeftSlack + slack())
@@ -128,10 +144,12 @@
 // time.
 void Oracle::check_cold(std::size_t router, std::size_t server, Moment at) {
     auto& cold = colds_[server];
-    if (!cold || at > cold->started + terms::kColdFor || !cold->told.contains(router)) return;
+    if (!cold || at > cold->started + terms::kColdFor || !cold->told.contains(router))
+        return;
     auto& attempts = cold->attempts;
     attempts.push_back(at);
-    while (attempts.front() + terms::kTipWindow < at) attempts.pop_front();
+    while (attempts.front() + terms::kTipWindow < at)
+        attempts.pop_front();
     const double warm = std::chrono::duration<double>(at - cold->started) / terms::kColdFor;
     const double capacity =
         terms::kWeight * (terms::kColdFrom + (1 - terms::kColdFrom) * std::clamp(warm, 0.0, 1.0));
@@ -139,7 +157,8 @@
     const double n =
         terms::kTipMultiple * capacity * std::chrono::duration<double>(terms::kTipWindow).count() / work;
     const double most = n < 30 ? n + 3 * std::sqrt(n) + 3 : n + 2 * std::sqrt(n) + 2;
-    if (static_cast<double>(attempts.size()) <= most) return;
+    if (static_cast<double>(attempts.size()) <= most)
+        return;
     violation(Rule::cold_start, "server " + std::to_string(server) + ": " + std::to_string(attempts.size()) +
                                     " requests, it bears " + std::to_string(most));
     attempts.clear();
@@ -147,12 +166,16 @@
 
 void Oracle::ran(const std::string& id) {
     Request* request = find(id);
-    if (!request) return;
+    if (!request)
+        return;
     ++request->runs;
     const Moment now = Clock::now();
-    if (!request->first_run) request->first_run = now;
-    if (request->runs == 1) return;
-    if (request->effect == Effect::unsafe) violation(Rule::not_repeated, id + ": ran again");
+    if (!request->first_run)
+        request->first_run = now;
+    if (request->runs == 1)
+        return;
+    if (request->effect == Effect::unsafe)
+        violation(Rule::not_repeated, id + ": ran again");
     if (request->effect == Effect::keyed && now > *request->first_run + terms::kWindow + kRuleSlack + slack())
         violation(Rule::not_repeated, id + ": ran again after " + in_ms(now - *request->first_run));
 }
@@ -161,15 +184,19 @@
     drains_[router].try_emplace(server, Clock::now());
 }
 
-void Oracle::told_active(std::size_t router, std::size_t server) { drains_[router].erase(server); }
+void Oracle::told_active(std::size_t router, std::size_t server) {
+    drains_[router].erase(server);
+}
 
 void Oracle::told_start(std::size_t router, std::size_t server) {
-    if (colds_[server]) colds_[server]->told.insert(router);
+    if (colds_[server])
+        colds_[server]->told.insert(router);
 }
 
 void Oracle::forget_router(std::size_t router) {
     drains_[router].clear();
-    for (Purge& purge : purges_) purge.told.erase(router);
+    for (Purge& purge : purges_)
+        purge.told.erase(router);
 }
 
 void Oracle::violation(Rule rule, std::string what) {
--- a/src/lab/soak/oracle.h
+++ b/src/lab/soak/oracle.h
@@ -73,7 +73,9 @@
     std::optional<int> status{};
     int runs = 0;
 
-    Moment answer_due() const { return std::max(written + wait, answer_from.value_or(written)); }
+    Moment answer_due() const {
+        return std::max(written + wait, answer_from.value_or(written));
+    }
 };
 
 struct Violation {
@@ -87,9 +89,13 @@
     explicit Oracle(std::size_t routers, std::size_t servers);
 
     // This program itself was late by so much: times seen since are not exact.
-    void late_by(Millis lag) { lag_ = std::max(lag, lag_ - 1ms); }
+    void late_by(Millis lag) {
+        lag_ = std::max(lag, lag_ - 1ms);
+    }
     // How far a time seen here may be off.
-    Millis slack() const { return 30ms + lag_; }
+    Millis slack() const {
+        return 30ms + lag_;
+    }
 
     // Clients.
     void written(const std::string& id, Request request);
@@ -97,7 +103,9 @@
     void answered(const std::string& id, int status, std::string_view body);
     void lost(const std::string& id, const std::string& why);
     // Nothing is owed for it: it never came whole, or its process was killed.
-    void forget(const std::string&) { ++outcomes_["not owed"]; }
+    void forget(const std::string&) {
+        ++outcomes_["not owed"];
+    }
     Request* find(const std::string& id);
 
     // Servers.
@@ -106,7 +114,9 @@
     // It was named as the one that a miss is filled from.
     void named_source(std::size_t router, std::size_t source, const std::string& id, Moment first_byte);
     void ran(const std::string& id);
-    void server_started(std::size_t server) { colds_[server] = Cold{Clock::now(), {}, {}}; }
+    void server_started(std::size_t server) {
+        colds_[server] = Cold{Clock::now(), {}, {}};
+    }
 
     // Discovery, to one router; it counts from when the router was awake to read it.
     void told_drain(std::size_t router, std::size_t server);
@@ -117,15 +127,25 @@
         std::int64_t issued_ms = 0;
         std::map<std::size_t, Moment> told{};  // by router
     };
-    void purged(Purge purge) { purges_.push_back(std::move(purge)); }
-    std::vector<Purge>& purges() { return purges_; }
+    void purged(Purge purge) {
+        purges_.push_back(std::move(purge));
+    }
+    std::vector<Purge>& purges() {
+        return purges_;
+    }
     // A new process of the router knows nothing but its configuration.
     void forget_router(std::size_t router);
 
     void violation(Rule rule, std::string what);
-    const std::vector<Violation>& violations() const { return violations_; }
-    std::size_t requests() const { return requests_.size(); }
-    std::map<std::string, std::size_t> outcomes() const { return outcomes_; }
+    const std::vector<Violation>& violations() const {
+        return violations_;
+    }
+    std::size_t requests() const {
+        return requests_.size();
+    }
+    std::map<std::string, std::size_t> outcomes() const {
+        return outcomes_;
+    }
 
 private:
     struct Cold {
--- a/src/lab/soak/plan.cpp
+++ b/src/lab/soak/plan.cpp
@@ -22,13 +22,19 @@
     "server_restart", "discovery_down",   "discovery_silent",  "discovery_slow",    "purge_group",
     "clients_leave",  "clients_pipeline", "clients_in_pieces", "clients_unreadable"};
 
-bool is_of_router(TroubleKind kind) { return kind <= TroubleKind::clock_step; }
+bool is_of_router(TroubleKind kind) {
+    return kind <= TroubleKind::clock_step;
+}
 
 class Dice {
 public:
     explicit Dice(std::uint64_t seed) : engine_(seed) {}
-    std::uint32_t up_to(std::uint32_t most) { return static_cast<std::uint32_t>(engine_() % (most + 1ULL)); }
-    std::uint32_t between(std::uint32_t least, std::uint32_t most) { return least + up_to(most - least); }
+    std::uint32_t up_to(std::uint32_t most) {
+        return static_cast<std::uint32_t>(engine_() % (most + 1ULL));
+    }
+    std::uint32_t between(std::uint32_t least, std::uint32_t most) {
+        return least + up_to(most - least);
+    }
 
 private:
     std::mt19937_64 engine_;
@@ -39,7 +45,9 @@
     t.detail = dice.up_to(1'000);
     t.length = Milliseconds{dice.between(300, 3'000)};
     switch (t.kind) {
-        case TroubleKind::router_stop: t.length = Milliseconds{dice.between(50, 600)}; break;
+        case TroubleKind::router_stop:
+            t.length = Milliseconds{dice.between(50, 600)};
+            break;
         case TroubleKind::call_failures:
             t.detail %= static_cast<std::uint32_t>(Fault::file_open);  // those of sockets
             t.level = dice.between(30, 600);
@@ -50,25 +58,35 @@
             t.length = Milliseconds{dice.between(1'000, 8'000)};
             break;
         }
-        case TroubleKind::server_slow: t.level = dice.between(100, 900); break;
+        case TroubleKind::server_slow:
+            t.level = dice.between(100, 900);
+            break;
         case TroubleKind::discovery_down:
         case TroubleKind::discovery_silent:
-        case TroubleKind::discovery_slow: t.length = Milliseconds{dice.between(500, 5'000)}; break;
-        case TroubleKind::clients_leave: t.level = dice.between(10, 60); break;
-        default: break;
+        case TroubleKind::discovery_slow:
+            t.length = Milliseconds{dice.between(500, 5'000)};
+            break;
+        case TroubleKind::clients_leave:
+            t.level = dice.between(10, 60);
+            break;
+        default:
+            break;
     }
 }
 
 }  // namespace
 
-std::string_view name_of(TroubleKind kind) { return kNames[static_cast<std::size_t>(kind)]; }
+std::string_view name_of(TroubleKind kind) {
+    return kNames[static_cast<std::size_t>(kind)];
+}
 
 std::string Trouble::text() const {
     std::string out = std::to_string(place) + " " + std::string{name_of(kind)} + " at " +
                       std::to_string(at.count()) + " ms for " + std::to_string(length.count()) +
                       " ms, target " + std::to_string(target) + ", detail " + std::to_string(detail) +
                       ", level " + std::to_string(level);
-    if (kind == TroubleKind::call_failures) out += " (" + std::string{kFaultNames[detail]} + ")";
+    if (kind == TroubleKind::call_failures)
+        out += " (" + std::string{kFaultNames[detail]} + ")";
     return out;
 }
 
@@ -76,7 +94,8 @@
     Dice dice{options.seed * 0x9e3779b97f4a7c15U + 7};
     const auto span = options.length - kCalmStart - kCalmEnd;
     std::vector<Trouble> all;
-    if (span <= Milliseconds{}) return all;
+    if (span <= Milliseconds{})
+        return all;
     const auto wanted =
         static_cast<std::size_t>(options.length.count()) * options.troubles_per_second / 1'000;
     while (all.size() < wanted) {
--- a/src/lab/soak/routers.cpp
+++ b/src/lab/soak/routers.cpp
@@ -15,7 +15,9 @@
 
 constexpr const char* kOwnViolations = "violations ";
 
-std::string in_ns(Millis span) { return std::to_string(span.count() * 1'000'000); }
+std::string in_ns(Millis span) {
+    return std::to_string(span.count() * 1'000'000);
+}
 
 // The settings of every run. Times in nanoseconds.
 std::string settings(std::size_t routers) {
@@ -62,7 +64,8 @@
 
 Routers::~Routers() {
     for (std::size_t i = 0; i < routers_.size(); ++i)
-        if (running(i)) kill(i);
+        if (running(i))
+            kill(i);
 }
 
 void Routers::configure(std::size_t router, const RouterPlaces& places, const std::string& known) {
@@ -83,7 +86,8 @@
 
 void Routers::start(std::size_t router) {
     Router& r = *routers_.at(router);
-    if (r.pid > 0) return;
+    if (r.pid > 0)
+        return;
     ++r.generation;
     const pid_t pid = ::fork();
     if (pid == 0) {
@@ -106,20 +110,23 @@
 }
 
 void Routers::signal(std::size_t router, int signal) {
-    if (running(router)) ::kill(routers_[router]->pid, signal);
+    if (running(router))
+        ::kill(routers_[router]->pid, signal);
 }
 
 std::optional<int> Routers::ended(std::size_t router) {
     Router& r = *routers_.at(router);
     int status = 0;
-    if (r.pid <= 0 || ::waitpid(r.pid, &status, WNOHANG) != r.pid) return std::nullopt;
+    if (r.pid <= 0 || ::waitpid(r.pid, &status, WNOHANG) != r.pid)
+        return std::nullopt;
     r.pid = -1;
     return status;
 }
 
 void Routers::kill(std::size_t router) {
     Router& r = *routers_.at(router);
-    if (r.pid <= 0) return;
+    if (r.pid <= 0)
+        return;
     ::kill(r.pid, SIGKILL);
     ::waitpid(r.pid, nullptr, 0);
     r.pid = -1;
--- a/src/lab/soak/routers.h
+++ b/src/lab/soak/routers.h
@@ -39,12 +39,22 @@
     std::optional<int> ended(std::size_t router);
     void kill(std::size_t router);  // SIGKILL, and waited for
 
-    bool running(std::size_t router) const { return routers_.at(router)->pid > 0; }
+    bool running(std::size_t router) const {
+        return routers_.at(router)->pid > 0;
+    }
     // A new number with each process.
-    std::uint64_t generation(std::size_t router) const { return routers_.at(router)->generation; }
-    FaultFile& faults(std::size_t router) { return *routers_.at(router)->faults; }
-    std::filesystem::path folder(std::size_t router) const { return routers_.at(router)->folder; }
-    std::size_t count() const { return routers_.size(); }
+    std::uint64_t generation(std::size_t router) const {
+        return routers_.at(router)->generation;
+    }
+    FaultFile& faults(std::size_t router) {
+        return *routers_.at(router)->faults;
+    }
+    std::filesystem::path folder(std::size_t router) const {
+        return routers_.at(router)->folder;
+    }
+    std::size_t count() const {
+        return routers_.size();
+    }
     // The sum of the violations that its processes have counted themselves, by their logs.
     std::uint64_t own_violations(std::size_t router) const;
 
