--- a/src/lab/soak/servers.cpp
+++ b/src/lab/soak/servers.cpp
@@ -67,11 +67,13 @@
 Servers::~Servers() {
     error_code ignored;
     for (auto& server : servers_)
-        for (auto& door : server->doors) door->acceptor.close(ignored);
+        for (auto& door : server->doors)
+            door->acceptor.close(ignored);
 }
 
 const char* Servers::kind(std::size_t server) const {
-    if (is_cache(server)) return "cache";
+    if (is_cache(server))
+        return "cache";
     return server + 1 == servers_.size() ? "store" : "hub";
 }
 
@@ -81,13 +83,15 @@
 
 std::optional<std::size_t> Servers::place(const std::string& id) const {
     for (std::size_t i = 0; i < servers_.size(); ++i)
-        if (this->id(i) == id) return i;
+        if (this->id(i) == id)
+            return i;
     return std::nullopt;
 }
 
 void Servers::set_up(std::size_t server, bool up) {
     Server& s = *servers_.at(server);
-    if (s.up == up) return;
+    if (s.up == up)
+        return;
     s.up = up;
     error_code ignored;
     for (std::size_t router = 0; router < s.doors.size(); ++router) {
@@ -96,9 +100,11 @@
         else
             s.doors[router]->acceptor.close(ignored);
     }
-    if (up) return;
+    if (up)
+        return;
     s.copies.clear();
-    for (tcp::socket* socket : std::set{s.open}) reset(*socket);
+    for (tcp::socket* socket : std::set{s.open})
+        reset(*socket);
 }
 
 Task<> Servers::accept(std::size_t server, std::size_t router, std::uint64_t opening) {
@@ -107,7 +113,8 @@
         error_code error;
         tcp::socket socket{io_};
         co_await door.acceptor.async_accept(socket, into(error));
-        if (!error && door.openings == opening) spawn(io_, serve(server, router, std::move(socket)));
+        if (!error && door.openings == opening)
+            spawn(io_, serve(server, router, std::move(socket)));
     }
 }
 
@@ -121,8 +128,10 @@
         co_await socket.async_wait(tcp::socket::wait_read, into(error));
         const Moment first_byte = Clock::now();
         exchange.request = {};
-        if (!error) co_await http::async_read(socket, exchange.buffer, exchange.request, into(error));
-        if (error) break;
+        if (!error)
+            co_await http::async_read(socket, exchange.buffer, exchange.request, into(error));
+        if (error)
+            break;
         const auto& request = exchange.request;
         const auto target = request.target();
         exchange.id = std::string{request["Call-Id"]};
@@ -134,7 +143,8 @@
         next = co_await answer(server, exchange);
     }
     s.open.erase(&socket);
-    if (next == Next::reset) reset(socket);
+    if (next == Next::reset)
+        reset(socket);
 }
 
 // A keyed request's repeat is dropped as long as its key is remembered; the answer is the same.
@@ -142,7 +152,8 @@
     const std::string key{exchange.request["Call-Once"]};
     if (!key.empty()) {
         const auto [seen, fresh] = keys_.try_emplace(key, Clock::now());
-        if (!fresh && Clock::now() < seen->second + terms::kWindow) return;
+        if (!fresh && Clock::now() < seen->second + terms::kWindow)
+            return;
     }
     oracle_.ran(exchange.id);
 }
@@ -151,10 +162,12 @@
     const Misbehaviour how = servers_[server]->how;
     if (how.hang + how.reset + how.error + how.spoil > draw(99))
         co_return co_await misbehave(server, exchange);
-    if (how.slow > 0ms) co_await pause(how.slow / 2 + how.slow * draw(100) / 100);
+    if (how.slow > 0ms)
+        co_await pause(how.slow / 2 + how.slow * draw(100) / 100);
     auto response = co_await carry_out(server, exchange);
     const Next next = co_await write(exchange, std::move(response));
-    if (next != Next::go_on || how.close_idle <= draw(99)) co_return next;
+    if (next != Next::go_on || how.close_idle <= draw(99))
+        co_return next;
     co_await pause(Millis{draw(60)});
     co_return draw(1) ? Next::close : Next::reset;
 }
@@ -163,7 +176,8 @@
     const Misbehaviour how = servers_[server]->how;
     int drawn = draw(std::max(0, how.hang + how.reset + how.error + how.spoil - 1));
     const bool runs = exchange.write && draw(1) == 1 && !is_cache(server);
-    if (runs) run(exchange);
+    if (runs)
+        run(exchange);
     if (drawn < how.hang) {
         error_code error;
         char byte = 0;
@@ -171,12 +185,14 @@
         co_return Next::close;
     }
     drawn -= how.hang;
-    if (drawn < how.reset) co_return Next::reset;
+    if (drawn < how.reset)
+        co_return Next::reset;
     drawn -= how.reset;
     if (drawn < how.error) {
         // Not within the co_await: GCC 12 destroys such a temporary twice.
         Response response = never_ran(http::status::service_unavailable);
-        if (runs || draw(1) == 1) response = Response{http::status::internal_server_error, 11};
+        if (runs || draw(1) == 1)
+            response = Response{http::status::internal_server_error, 11};
         co_return co_await write(exchange, std::move(response));
     }
     const std::string body = body_of(exchange.path, unix_ms());
@@ -185,8 +201,12 @@
         "HTTP/1.1 200 OK\r\nTag: x\r\nMade-At: " + std::to_string(unix_ms()) + "\r\nDetail: hit\r\n";
     std::string bytes;
     switch (exchange.write ? draw(1) : draw(3)) {
-        case 0: bytes = "\x01\x02 neither this nor that\r\n\r\n"; break;
-        case 1: bytes = head + "Content-Length: 99999\r\n\r\n" + body; break;  // and then the end
+        case 0:
+            bytes = "\x01\x02 neither this nor that\r\n\r\n";
+            break;
+        case 1:
+            bytes = head + "Content-Length: 99999\r\n\r\n" + body;
+            break;  // and then the end
         case 2:
             bytes = head + "Content-Length: " + length + "\r\n\r\n" + body + head +
                     "Content-Length: 3\r\n\r\nold";
@@ -214,7 +234,8 @@
     const auto source = place(std::string{request["Miss-To"]});
     const bool has_source = is_store || (source && *source != server && servers_[*source]->up);
     if (exchange.write) {
-        if (!has_source) co_return never_ran(http::status::not_found);
+        if (!has_source)
+            co_return never_ran(http::status::not_found);
         co_await pause(Millis{5 + draw(20)});
         run(exchange);
         co_return good(exchange.path, unix_ms(), "via_origin");
@@ -234,7 +255,8 @@
     }
     const std::int64_t made = unix_ms();
     co_await pause(Millis{8 + draw(30)});
-    if (number(request["Store-As"]) > 0) s.copies[exchange.path] = made;
+    if (number(request["Store-As"]) > 0)
+        s.copies[exchange.path] = made;
     auto response = good(exchange.path, made, "via_origin");
     response.set("Fill-Wait", "8");
     co_return response;
--- a/src/lab/soak/servers.h
+++ b/src/lab/soak/servers.h
@@ -28,12 +28,20 @@
             std::uint64_t seed);
     ~Servers();
 
-    std::size_t count() const { return servers_.size(); }
-    std::string id(std::size_t server) const { return "s-" + std::to_string(server); }
+    std::size_t count() const {
+        return servers_.size();
+    }
+    std::string id(std::size_t server) const {
+        return "s-" + std::to_string(server);
+    }
     const char* kind(std::size_t server) const;
-    bool is_cache(std::size_t server) const { return server + kHubs + 1 < servers_.size(); }
+    bool is_cache(std::size_t server) const {
+        return server + kHubs + 1 < servers_.size();
+    }
     std::string address(std::size_t server, std::size_t router) const;
-    Misbehaviour& misbehaviour(std::size_t server) { return servers_.at(server)->how; }
+    Misbehaviour& misbehaviour(std::size_t server) {
+        return servers_.at(server)->how;
+    }
     // Ends its process: refuses connections and resets those it has. Up again, it holds no copies.
     void set_up(std::size_t server, bool up);
 
@@ -65,7 +73,9 @@
     Task<http::response<http::string_body>> carry_out(std::size_t server, Exchange& exchange);
     std::optional<std::size_t> place(const std::string& id) const;
     void run(Exchange& exchange);
-    int draw(int most) { return static_cast<int>(dice_() % static_cast<unsigned>(most + 1)); }
+    int draw(int most) {
+        return static_cast<int>(dice_() % static_cast<unsigned>(most + 1));
+    }
 
     asio::io_context& io_;
     Oracle& oracle_;
--- a/src/lifecycle.h
+++ b/src/lifecycle.h
@@ -18,23 +18,36 @@
     };
     using Change = std::function<void(Phase)>;
 
-    void on_change(Change change) { change_ = std::move(change); }
-    Phase phase() const { return phase_; }
-    bool ready() const { return phase_ == Phase::ready; }
+    void on_change(Change change) {
+        change_ = std::move(change);
+    }
+    Phase phase() const {
+        return phase_;
+    }
+    bool ready() const {
+        return phase_ == Phase::ready;
+    }
     // Only ever forwards; a step back or a repeat is ignored.
     bool enter(Phase next) {
-        if (next <= phase_) return false;
+        if (next <= phase_)
+            return false;
         phase_ = next;
-        if (change_) change_(next);
+        if (change_)
+            change_(next);
         return true;
     }
     static constexpr std::string_view name(Phase phase) {
         switch (phase) {
-            case Phase::starting: return "starting";
-            case Phase::ready: return "ready";
-            case Phase::draining: return "draining";
-            case Phase::finishing: return "finishing";
-            case Phase::stopped: return "stopped";
+            case Phase::starting:
+                return "starting";
+            case Phase::ready:
+                return "ready";
+            case Phase::draining:
+                return "draining";
+            case Phase::finishing:
+                return "finishing";
+            case Phase::stopped:
+                return "stopped";
         }
         return "unknown";
     }
--- a/src/limits/gcra.h
+++ b/src/limits/gcra.h
@@ -31,8 +31,12 @@
     // `paid_until`: what is remembered; Time::min() of one who was never seen. Changed only where it is
     // admitted.
     Verdict take(Time& paid_until, Time now) const;
-    Span interval() const { return interval_; }
-    Span tolerance() const { return tolerance_; }
+    Span interval() const {
+        return interval_;
+    }
+    Span tolerance() const {
+        return tolerance_;
+    }
 
 private:
     Span interval_;
--- a/src/limits/limiter.cpp
+++ b/src/limits/limiter.cpp
@@ -11,7 +11,8 @@
 }  // namespace
 
 Limiter::Limiter(Gcra limit, std::size_t most_keys) : limit_(limit), most_keys_(most_keys) {
-    if (most_keys == 0) throw std::invalid_argument("a limit needs room for a key");
+    if (most_keys == 0)
+        throw std::invalid_argument("a limit needs room for a key");
 }
 
 void Limiter::forget_paid() {
@@ -22,7 +23,8 @@
 }
 
 void Limiter::make_room() {
-    if (by_key_.size() < most_keys_) return;
+    if (by_key_.size() < most_keys_)
+        return;
     const auto least = order_.begin();
     if (least->first > now_) {
         ++given_up_;
--- a/src/limits/limiter.h
+++ b/src/limits/limiter.h
@@ -24,12 +24,22 @@
     // with a secret where those who ask can choose them.
     Verdict take(std::uint64_t key, Time now);
 
-    std::size_t keys() const { return by_key_.size(); }
-    std::uint64_t admitted() const { return admitted_; }
-    std::uint64_t refused() const { return refused_; }
+    std::size_t keys() const {
+        return by_key_.size();
+    }
+    std::uint64_t admitted() const {
+        return admitted_;
+    }
+    std::uint64_t refused() const {
+        return refused_;
+    }
     // Forgotten before they had paid, and how much of their time was given away with that, in all.
-    std::uint64_t given_up() const { return given_up_; }
-    Span given_away() const { return given_away_; }
+    std::uint64_t given_up() const {
+        return given_up_;
+    }
+    Span given_away() const {
+        return given_away_;
+    }
 
 private:
     using Order = std::set<std::pair<Time, std::uint64_t>>;  // who has least left first
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -25,7 +25,10 @@
     silverrail::cli::add_lab(line, code);
     try {
         line.parse(argc, argv);
-    } catch (const CLI::ParseError& e) { return line.exit(e) == 0 ? 0 : 2; }
-    if (line.got_subcommand(check)) return app::check(sources);
+    } catch (const CLI::ParseError& e) {
+        return line.exit(e) == 0 ? 0 : 2;
+    }
+    if (line.got_subcommand(check))
+        return app::check(sources);
     return line.get_subcommands().empty() || line.got_subcommand(serve) ? app::serve(sources) : code;
 }
--- a/src/members/bans.cpp
+++ b/src/members/bans.cpp
@@ -13,7 +13,8 @@
 // The next line without its end; absent: there is no whole one.
 std::optional<std::string_view> line_of(std::string_view& text) {
     const auto end = text.find('\n');
-    if (end == std::string_view::npos) return std::nullopt;
+    if (end == std::string_view::npos)
+        return std::nullopt;
     const auto line = text.substr(0, end);
     text.remove_prefix(end + 1);
     return line;
@@ -27,7 +28,8 @@
 }
 
 bool Bans::add(const winchflow::CacheId& id) {
-    if (!fits(id.address) || (ids_.size() >= kMost && !ids_.contains(id))) return false;
+    if (!fits(id.address) || (ids_.size() >= kMost && !ids_.contains(id)))
+        return false;
     ids_.insert(id);
     return true;
 }
@@ -35,15 +37,18 @@
 std::string Bans::text() const {
     std::string out;
     out.append(kName).append(kVersion) += '\n';
-    for (const auto& id : ids_) out.append("out ").append(id.address) += '\n';
+    for (const auto& id : ids_)
+        out.append("out ").append(id.address) += '\n';
     return out.append(kEnd).append(std::to_string(ids_.size())) += '\n';
 }
 
 Bans::Read Bans::read(std::string_view text) {
     const Read damaged{{}, Trouble::damaged};
     const auto head = line_of(text);
-    if (!head || !head->starts_with(kName)) return damaged;
-    if (head->substr(kName.size()) != kVersion) return {{}, Trouble::other_version};
+    if (!head || !head->starts_with(kName))
+        return damaged;
+    if (head->substr(kName.size()) != kVersion)
+        return {{}, Trouble::other_version};
     Read result;
     while (const auto line = line_of(text)) {
         if (line->starts_with(kEnd)) {
--- a/src/members/bans.h
+++ b/src/members/bans.h
@@ -19,9 +19,15 @@
     static bool fits(std::string_view id);
     // False: it is full, or no such id can be.
     bool add(const winchflow::CacheId& id);
-    void remove(const winchflow::CacheId& id) { ids_.erase(id); }
-    bool contains(const winchflow::CacheId& id) const { return ids_.contains(id); }
-    const std::set<winchflow::CacheId>& ids() const { return ids_; }
+    void remove(const winchflow::CacheId& id) {
+        ids_.erase(id);
+    }
+    bool contains(const winchflow::CacheId& id) const {
+        return ids_.contains(id);
+    }
+    const std::set<winchflow::CacheId>& ids() const {
+        return ids_;
+    }
     bool operator==(const Bans&) const = default;
 
     std::string text() const;
--- a/src/members/give_way.cpp
+++ b/src/members/give_way.cpp
@@ -11,10 +11,14 @@
 }  // namespace
 
 std::optional<GivesWay> gives_way(const Standing& s) {
-    if (s.doing == Standing::Doing::answering) return std::nullopt;
-    if (s.doing == Standing::Doing::lingering) return GivesWay::lingering;
-    if (s.something_came) return s.still_for > kStalled ? std::optional{GivesWay::stalled} : std::nullopt;
-    if (s.asked_before) return GivesWay::idle;
+    if (s.doing == Standing::Doing::answering)
+        return std::nullopt;
+    if (s.doing == Standing::Doing::lingering)
+        return GivesWay::lingering;
+    if (s.something_came)
+        return s.still_for > kStalled ? std::optional{GivesWay::stalled} : std::nullopt;
+    if (s.asked_before)
+        return GivesWay::idle;
     return s.still_for < kNewcomer ? GivesWay::newcomer : GivesWay::silent;
 }
 
--- a/src/members/shares.cpp
+++ b/src/members/shares.cpp
@@ -24,7 +24,8 @@
     processes = std::max<std::size_t>(1, processes);
     const std::size_t sockets = whole.sockets / processes;
     Shares s;
-    if (whole.control) s.callers = std::clamp(sockets / kCallersPart, kFewestCallers, kMostCallers);
+    if (whole.control)
+        s.callers = std::clamp(sockets / kCallersPart, kFewestCallers, kMostCallers);
     // One more for a caller that is just being taken.
     const std::size_t taken = kFixed + whole.others + (whole.control ? s.callers + 1 : 0);
     const std::size_t left = sockets > taken ? sockets - taken : 0;
--- a/src/net/backoff.h
+++ b/src/net/backoff.h
@@ -21,7 +21,9 @@
         span_ = std::clamp(span_ * 2, first_, longest_);
         return Ms{std::uniform_int_distribution<Ms::rep>{least.count(), most.count()}(random_)};
     }
-    void reset() { span_ = {}; }
+    void reset() {
+        span_ = {};
+    }
 
 private:
     Ms first_;
--- a/src/net/bulletin.cpp
+++ b/src/net/bulletin.cpp
@@ -23,7 +23,9 @@
 }  // namespace
 
 struct Bulletin::Link {
-    explicit Link(asio::io_context& io) : socket(io), silence(io) { parser.body_limit(boost::none); }
+    explicit Link(asio::io_context& io) : socket(io), silence(io) {
+        parser.body_limit(boost::none);
+    }
     void close() {
         over = true;
         silence.cancel();
@@ -52,16 +54,19 @@
       pause_(kFirstPause, kLongestPause, seed) {}
 
 Bulletin::~Bulletin() {
-    if (link_) link_->close();
+    if (link_)
+        link_->close();
     let_go(std::move(unanswered_));
 }
 
 void Bulletin::move_to(const tcp::endpoint& at) {
-    if (at == at_) return;
+    if (at == at_)
+        return;
     at_ = at;
     sure(false);
     // Given up at once, half an event with it: the old address may stay open and tell nothing more.
-    if (const auto old = std::exchange(link_, nullptr)) old->close();
+    if (const auto old = std::exchange(link_, nullptr))
+        old->close();
     let_go(std::exchange(unanswered_, {}));
     wait_.cancel();
     pause_.reset();
@@ -73,11 +78,14 @@
     const auto link = link_ = std::make_shared<Link>(io_);
     link->silence.expires_after(kConnect);
     link->silence.async_wait([this, link](const error_code& error) {
-        if (!error && !link->over) again(link, "no connection in time");
+        if (!error && !link->over)
+            again(link, "no connection in time");
     });
     link->socket.async_connect(at_, [this, link](const error_code& error) {
-        if (link->over) return;
-        if (error) return again(link, error.message().c_str());
+        if (link->over)
+            return;
+        if (error)
+            return again(link, error.message().c_str());
         request(link);
     });
 }
@@ -89,15 +97,20 @@
     link->request.set("Last-Event-ID", std::to_string(last_));
     link->silence.expires_after(kSilence);
     link->silence.async_wait([this, link](const error_code& error) {
-        if (!error && !link->over) ask_beside(link);
+        if (!error && !link->over)
+            ask_beside(link);
     });
     http::async_write(link->socket, link->request, [this, link](const error_code& error, std::size_t) {
-        if (link->over) return;
-        if (error) return again(link, error.message().c_str());
+        if (link->over)
+            return;
+        if (error)
+            return again(link, error.message().c_str());
         http::async_read_header(link->socket, link->buffer, link->parser,
                                 [this, link](const error_code& e, std::size_t) {
-                                    if (link->over) return;
-                                    if (e) return again(link, e.message().c_str());
+                                    if (link->over)
+                                        return;
+                                    if (e)
+                                        return again(link, e.message().c_str());
                                     if (link->parser.get().result() != http::status::ok)
                                         return again(link, "not 200");
                                     answered(link);
@@ -108,7 +121,8 @@
 // The first to answer is the one that is read.
 void Bulletin::answered(const std::shared_ptr<Link>& link) {
     if (link_ != link) {
-        if (link_) link_->close();
+        if (link_)
+            link_->close();
         wait_.cancel();
         link_ = link;
     }
@@ -122,12 +136,14 @@
 
 // No answer in time: it may be slow, and it may be dead.
 void Bulletin::ask_beside(const std::shared_ptr<Link>& link) {
-    if (link_ != link) return;
+    if (link_ != link)
+        return;
     ++counters_.slow;
     log_.line("bulletin-slow", "no answer yet; last event %lld", static_cast<long long>(last_));
     link->silence.expires_after(kLongestAnswer - kSilence);
     link->silence.async_wait([this, link](const error_code& error) {
-        if (!error && !link->over) again(link, "no answer");
+        if (!error && !link->over)
+            again(link, "no answer");
     });
     unanswered_.push_back(std::exchange(link_, nullptr));
     if (unanswered_.size() > kMostUnanswered) {
@@ -138,7 +154,8 @@
 }
 
 void Bulletin::let_go(std::vector<std::shared_ptr<Link>> links) {
-    for (const auto& link : links) link->close();
+    for (const auto& link : links)
+        link->close();
 }
 
 void Bulletin::read(const std::shared_ptr<Link>& link) {
@@ -147,25 +164,34 @@
     body.size = link->bytes.size();
     http::async_read_some(
         link->socket, link->buffer, link->parser, [this, link](error_code error, std::size_t) {
-            if (link->over) return;
-            if (error == http::error::need_buffer) error = {};
+            if (link->over)
+                return;
+            if (error == http::error::need_buffer)
+                error = {};
             const auto got = link->bytes.size() - link->parser.get().body().size;
             const auto lines = link->events.lines();
             const bool read_all = link->events.feed({link->bytes.data(), got}, [&](const auto& event) {
-                if (!link->over) take(link, event);
+                if (!link->over)
+                    take(link, event);
             });
-            if (link->over) return;
-            if (!read_all) return again(link, "an event over the bound");
-            if (error) return again(link, error.message().c_str());
-            if (link->parser.is_done()) return again(link, "ended");
-            if (link->events.lines() != lines) alive(link);
+            if (link->over)
+                return;
+            if (!read_all)
+                return again(link, "an event over the bound");
+            if (error)
+                return again(link, error.message().c_str());
+            if (link->parser.is_done())
+                return again(link, "ended");
+            if (link->events.lines() != lines)
+                alive(link);
             read(link);
         });
 }
 
 void Bulletin::alive(const std::shared_ptr<Link>& link) {
     arm(link);
-    if (std::chrono::steady_clock::now() < link->answered + kCaughtUp) return;
+    if (std::chrono::steady_clock::now() < link->answered + kCaughtUp)
+        return;
     // Not before: one that ends each connection soon would be asked without a pause.
     pause_.reset();
     sure(true);
@@ -174,18 +200,22 @@
 void Bulletin::arm(const std::shared_ptr<Link>& link) {
     link->silence.expires_after(kSilence);
     link->silence.async_wait([this, link](const error_code& error) {
-        if (!error && !link->over) again(link, "silent");
+        if (!error && !link->over)
+            again(link, "silent");
     });
 }
 
 void Bulletin::again(const std::shared_ptr<Link>& link, const char* why) {
-    if (std::exchange(link->over, true)) return;
+    if (std::exchange(link->over, true))
+        return;
     sure(false);
     log_.line("bulletin-down", "%s; last event %lld", why, static_cast<long long>(last_));
     link->close();
     // Another is on its way already.
-    if (std::erase(unanswered_, link) > 0) return;
-    if (link_ == link) link_ = nullptr;
+    if (std::erase(unanswered_, link) > 0)
+        return;
+    if (link_ == link)
+        link_ = nullptr;
     connect_after_pause();
 }
 
@@ -193,14 +223,17 @@
     wait_.expires_after(pause_.next());
     wait_.async_wait([this](const error_code& error) {
         // Guards against two connections: a move may have made one after this wait was over.
-        if (!error && !link_) connect();
+        if (!error && !link_)
+            connect();
     });
 }
 
 void Bulletin::sure(bool now) {
-    if (std::exchange(sure_, now) == now) return;
+    if (std::exchange(sure_, now) == now)
+        return;
     unsure_since_ = std::chrono::steady_clock::now();
-    if (told_sure_) told_sure_(now);
+    if (told_sure_)
+        told_sure_(now);
 }
 
 std::chrono::steady_clock::duration Bulletin::unheard_for() const {
@@ -210,21 +243,29 @@
 void Bulletin::take(const std::shared_ptr<Link>& link, const SseParser::Event& event) {
     std::int64_t no = 0;
     const auto [end, error] = std::from_chars(event.id.data(), event.id.data() + event.id.size(), no);
-    if (error != std::errc{} || end != event.id.data() + event.id.size()) no = 0;
-    if (no != 0 && no <= last_) return;  // told before
+    if (error != std::errc{} || end != event.id.data() + event.id.size())
+        no = 0;
+    if (no != 0 && no <= last_)
+        return;  // told before
     const bool gap = no > last_ + 1;
-    if (gap) ++counters_.gaps;
-    if (gap && ask_again(link, no, "a number left out")) return;
+    if (gap)
+        ++counters_.gaps;
+    if (gap && ask_again(link, no, "a number left out"))
+        return;
     const bool readable = take_(no, event.data);
-    if (!readable) ++counters_.unreadable;
-    if (!readable && no != 0 && ask_again(link, no, "an event that can't be read")) return;
-    if (no != 0) last_ = no;
+    if (!readable)
+        ++counters_.unreadable;
+    if (!readable && no != 0 && ask_again(link, no, "an event that can't be read"))
+        return;
+    if (no != 0)
+        last_ = no;
 }
 
 // Guards against a drain or purge that was lost on the way: the bulletin is asked again from the last good
 // event. Once, as what it tells the same way twice is how it tells it.
 bool Bulletin::ask_again(const std::shared_ptr<Link>& link, std::int64_t no, const char* why) {
-    if (no == std::exchange(doubted_, no)) return false;
+    if (no == std::exchange(doubted_, no))
+        return false;
     again(link, why);
     return true;
 }
--- a/src/net/bulletin.h
+++ b/src/net/bulletin.h
@@ -30,14 +30,24 @@
              std::uint64_t seed);
     ~Bulletin();
     // Told whenever it begins or ceases to be sure that all events come through.
-    void when_sure(std::function<void(bool)> told) { told_sure_ = std::move(told); }
-    void start() { connect(); }
+    void when_sure(std::function<void(bool)> told) {
+        told_sure_ = std::move(told);
+    }
+    void start() {
+        connect();
+    }
     // From now on at another address; the numbers of the events go on.
     void move_to(const tcp::endpoint& at);
-    std::int64_t last() const { return last_; }
+    std::int64_t last() const {
+        return last_;
+    }
     // Connected, or on its way there; else it pauses.
-    bool connected() const { return link_ != nullptr; }
-    const Counters& counters() const { return counters_; }
+    bool connected() const {
+        return link_ != nullptr;
+    }
+    const Counters& counters() const {
+        return counters_;
+    }
     // For how long it has not been sure that all events come through; 0 while it is.
     std::chrono::steady_clock::duration unheard_for() const;
 
--- a/src/net/clock.cpp
+++ b/src/net/clock.cpp
@@ -14,20 +14,24 @@
 
 void TimerQueue::cancel(Handle handle) {
     auto at = due_.find(handle);
-    if (at == due_.end()) return;
+    if (at == due_.end())
+        return;
     queue_.erase({at->second, handle});
     due_.erase(at);
 }
 
 void TimerQueue::arm() {
-    if (queue_.empty()) return;
+    if (queue_.empty())
+        return;
     const core::Time next = queue_.begin()->first.first;
-    if (armed_ != core::Time{} && armed_ <= next) return;
+    if (armed_ != core::Time{} && armed_ <= next)
+        return;
     armed_ = next;
     timer_.expires_at(std::chrono::steady_clock::time_point{
         std::chrono::duration_cast<std::chrono::steady_clock::duration>(next.time_since_epoch())});
     timer_.async_wait([this](const error_code& error) {
-        if (!error) fire();
+        if (!error)
+            fire();
     });
 }
 
--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -29,7 +29,9 @@
     explicit TimerQueue(asio::io_context& io) : timer_(io) {}
     Handle at(core::Time when, std::function<void()> action) override;
     void cancel(Handle handle) override;
-    std::size_t size() const { return queue_.size(); }
+    std::size_t size() const {
+        return queue_.size();
+    }
 
 private:
     using Key = std::pair<core::Time, Handle>;
--- a/src/net/dns_server.cpp
+++ b/src/net/dns_server.cpp
@@ -27,7 +27,8 @@
         } else {
             stream_.async_handshake(
                 asio::ssl::stream_base::server, [self = this->shared_from_this()](const error_code& error) {
-                    if (self->closed_) return;
+                    if (self->closed_)
+                        return;
                     if (error) {
                         self->server_.log_.line("tls-handshake", "%s", error.message().c_str());
                         return self->close();
@@ -41,11 +42,14 @@
         reading_ = true;
         asio::async_read(stream_, asio::buffer(length_),
                          [self = this->shared_from_this()](const error_code& error, std::size_t) {
-                             if (self->closed_) return;
-                             if (error) return self->end_of_input();
+                             if (self->closed_)
+                                 return;
+                             if (error)
+                                 return self->end_of_input();
                              const std::size_t size =
                                  static_cast<std::size_t>(self->length_[0]) << 8 | self->length_[1];
-                             if (size == 0 || size > self->server_.limits_.query) return self->close();
+                             if (size == 0 || size > self->server_.limits_.query)
+                                 return self->close();
                              self->read_query(size);
                          });
     }
@@ -53,8 +57,10 @@
         query_.resize(size);
         asio::async_read(stream_, asio::buffer(query_),
                          [self = this->shared_from_this()](const error_code& error, std::size_t) {
-                             if (self->closed_) return;
-                             if (error) return self->close();
+                             if (self->closed_)
+                                 return;
+                             if (error)
+                                 return self->close();
                              self->reading_ = false;
                              self->alive();
                              self->ask();
@@ -65,7 +71,8 @@
         ++open_;
         server_.handler_(query_, {false, client_}, [weak = this->weak_from_this()](DnsAnswer answer) {
             const auto self = weak.lock();
-            if (!self || self->closed_) return;
+            if (!self || self->closed_)
+                return;
             --self->open_;
             self->unsent_.push_back(std::move(answer));
             self->write();
@@ -77,7 +84,8 @@
             read_length();
     }
     void write() {
-        if (writing_ || unsent_.empty()) return;
+        if (writing_ || unsent_.empty())
+            return;
         writing_ = true;
         const DnsAnswer answer = std::move(unsent_.front());
         unsent_.pop_front();
@@ -86,30 +94,36 @@
         out_ += bytes;
         asio::async_write(stream_, asio::buffer(out_),
                           [self = this->shared_from_this()](const error_code& error, std::size_t) {
-                              if (self->closed_) return;
-                              if (error) return self->close();
+                              if (self->closed_)
+                                  return;
+                              if (error)
+                                  return self->close();
                               self->writing_ = false;
                               self->alive();
                               self->write();
                               self->read_on();
-                              if (self->ended_) self->end_of_input();
+                              if (self->ended_)
+                                  self->end_of_input();
                           });
     }
     // The other side has said all: what it asked is still answered.
     void end_of_input() {
         ended_ = true;
-        if (open_ == 0 && unsent_.empty() && !writing_) close();
+        if (open_ == 0 && unsent_.empty() && !writing_)
+            close();
     }
     core::ClientAddress client_{};
     void alive() {
         idle_.expires_after(server_.limits_.idle);
         idle_.async_wait([weak = this->weak_from_this()](const error_code& error) {
             const auto self = weak.lock();
-            if (!error && self) self->close();
+            if (!error && self)
+                self->close();
         });
     }
     void close() override {
-        if (std::exchange(closed_, true)) return;
+        if (std::exchange(closed_, true))
+            return;
         idle_.cancel();
         error_code ignored;
         auto& socket = beast::get_lowest_layer(stream_);
@@ -143,13 +157,18 @@
 }
 
 void DnsServer::stop() {
-    if (std::exchange(stopping_, true)) return;
+    if (std::exchange(stopping_, true))
+        return;
     error_code ignored;
-    if (udp_) udp_->close(ignored);
-    if (tcp_) tcp_->close(ignored);
-    if (tls_acceptor_) tls_acceptor_->close(ignored);
+    if (udp_)
+        udp_->close(ignored);
+    if (tcp_)
+        tcp_->close(ignored);
+    if (tls_acceptor_)
+        tls_acceptor_->close(ignored);
     for (auto& [session, weak] : std::map{sessions_})
-        if (const auto alive = weak.lock()) alive->close();
+        if (const auto alive = weak.lock())
+            alive->close();
 }
 
 // Guards rule 3 (drains): an answer that waited behind others may be too old to name its box.
@@ -166,13 +185,15 @@
 void DnsServer::receive() {
     udp_->async_receive_from(
         asio::buffer(datagram_), from_, [this](const error_code& error, std::size_t size) {
-            if (stopping_ || error == asio::error::operation_aborted) return;
+            if (stopping_ || error == asio::error::operation_aborted)
+                return;
             if (!error) {
                 // An answer that can't be sent at once is dropped, as any datagram may
                 // be: the resolver asks again.
                 handler_({datagram_.data(), size}, {true, client_address(from_.address())},
                          [this, to = from_, alive = alive_](DnsAnswer answer) {
-                             if (!*alive || stopping_) return;
+                             if (!*alive || stopping_)
+                                 return;
                              error_code ignored;
                              udp_->send_to(asio::buffer(due(answer)), to, 0, ignored);
                          });
@@ -202,7 +223,8 @@
 
 void DnsServer::accept(tcp::acceptor& acceptor, bool secure) {
     acceptor.async_accept([this, &acceptor, secure](const error_code& error, tcp::socket socket) {
-        if (stopping_ || error == asio::error::operation_aborted) return;
+        if (stopping_ || error == asio::error::operation_aborted)
+            return;
         if (!error) {
             admit(std::move(socket), secure);
             return accept(acceptor, secure);
@@ -210,7 +232,8 @@
         log_.line("no-descriptors", "dns accept: %s", error.message().c_str());
         auto wait = std::make_shared<asio::steady_timer>(io_, std::chrono::milliseconds{50});
         wait->async_wait([this, wait, alive = alive_, &acceptor, secure](const error_code& e) {
-            if (!e && *alive && !stopping_) accept(acceptor, secure);
+            if (!e && *alive && !stopping_)
+                accept(acceptor, secure);
         });
     });
 }
--- a/src/net/dns_server.h
+++ b/src/net/dns_server.h
@@ -48,13 +48,23 @@
     void listen_tcp(const tcp::endpoint& at);
     void listen_tls(const tcp::endpoint& at);
     // For connections from now on; without one, TLS connections are closed at once.
-    void use_certificate(std::shared_ptr<asio::ssl::context> context) { tls_ = std::move(context); }
+    void use_certificate(std::shared_ptr<asio::ssl::context> context) {
+        tls_ = std::move(context);
+    }
     void stop();
 
-    asio::ip::udp::endpoint udp_local() const { return udp_->local_endpoint(); }
-    tcp::endpoint tcp_local() const { return tcp_->local_endpoint(); }
-    tcp::endpoint tls_local() const { return tls_acceptor_->local_endpoint(); }
-    std::size_t connections() const { return sessions_.size(); }
+    asio::ip::udp::endpoint udp_local() const {
+        return udp_->local_endpoint();
+    }
+    tcp::endpoint tcp_local() const {
+        return tcp_->local_endpoint();
+    }
+    tcp::endpoint tls_local() const {
+        return tls_acceptor_->local_endpoint();
+    }
+    std::size_t connections() const {
+        return sessions_.size();
+    }
 
 private:
     struct Session;
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -14,7 +14,9 @@
 constexpr std::chrono::milliseconds kWrittenAtOnce{20};
 }  // namespace
 
-std::string_view name_of(CloseReason reason) { return kReasonNames[static_cast<std::size_t>(reason)]; }
+std::string_view name_of(CloseReason reason) {
+    return kReasonNames[static_cast<std::size_t>(reason)];
+}
 
 HttpSession::HttpSession(tcp::socket socket, HttpServer& server)
     : socket_(std::move(socket)),
@@ -22,7 +24,8 @@
       limit_(socket_.get_executor()),
       since_(std::chrono::steady_clock::now()) {
     error_code error;
-    if (const auto at = socket_.remote_endpoint(error); !error) client_ = client_address(at.address());
+    if (const auto at = socket_.remote_endpoint(error); !error)
+        client_ = client_address(at.address());
 }
 
 void HttpSession::start() {
@@ -36,17 +39,20 @@
     // A handler that was due already when the limit was set anew must not end what has begun since.
     limit_.async_wait([weak = weak_from_this(), end, set = ++limits_set_](const error_code& error) {
         const auto self = weak.lock();
-        if (!error && self && set == self->limits_set_) (self.get()->*end)();
+        if (!error && self && set == self->limits_set_)
+            (self.get()->*end)();
     });
 }
 
 // The time for a request is over. Guards one whose last bytes are in the socket: the limit's handler may come
 // before the read's. Half a request is answered, so that its client can tell; silence is not.
 void HttpSession::too_slow() {
-    if (state_ != State::reading) return;
+    if (state_ != State::reading)
+        return;
     if (!std::exchange(looked_again_, true) && peek(socket_) > 0)
         return end_after(server_.limits_.unread, &HttpSession::too_slow);
-    if (nothing_came()) return linger(CloseReason::silent);
+    if (nothing_came())
+        return linger(CloseReason::silent);
     server_.log_.line("slow-request", "half a request, not the rest of it in time");
     last_answer(http::status::request_timeout, CloseReason::slow_request);
 }
@@ -59,19 +65,24 @@
     parser_->header_limit(server_.limits_.header);
     parser_->body_limit(server_.limits_.body);
     buffered_ = buffer_.size();
-    if (unread_since_ && buffered_ == 0 && peek(socket_) < 0) unread_since_.reset();
-    if (buffered_ > 0) return on_first_byte();
+    if (unread_since_ && buffered_ == 0 && peek(socket_) < 0)
+        unread_since_.reset();
+    if (buffered_ > 0)
+        return on_first_byte();
     // Nothing is held for an idle connection, and no limit runs once it has brought a request.
     buffer_.shrink_to_fit();
     socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](const error_code& error) {
-        if (self->state_ != State::reading) return;
-        if (error) return self->close(CloseReason::broken);
+        if (self->state_ != State::reading)
+            return;
+        if (error)
+            return self->close(CloseReason::broken);
         self->on_first_byte();
     });
 }
 
 void HttpSession::on_first_byte() {
-    if (!first_) end_after(server_.limits_.half_read, &HttpSession::too_slow);
+    if (!first_)
+        end_after(server_.limits_.half_read, &HttpSession::too_slow);
     // The head by itself: read together with its body, Beast 1.74 loses the error of a length over the limit.
     http::async_read_header(socket_, buffer_, *parser_,
                             [self = shared_from_this()](const error_code& error, std::size_t consumed) {
@@ -80,8 +91,10 @@
 }
 
 void HttpSession::on_head(const error_code& error, std::size_t consumed) {
-    if (state_ != State::reading) return;
-    if (error) return unreadable(error);
+    if (state_ != State::reading)
+        return;
+    if (error)
+        return unreadable(error);
     // Guards against a request hidden in a body: a coding that is not chunked leaves the length untold.
     if (parser_->get().count(http::field::transfer_encoding) > 0 && !parser_->chunked())
         return unreadable(http::error::bad_transfer_encoding);
@@ -95,13 +108,16 @@
 // before it.
 core::Time HttpSession::arrival(std::size_t consumed) const {
     const core::Time seen = server_.loop_.earliest_arrival();
-    if (consumed <= buffered_) return std::min(buffered_since_, seen);
+    if (consumed <= buffered_)
+        return std::min(buffered_since_, seen);
     return std::min(unread_since_.value_or(seen), seen);
 }
 
 void HttpSession::on_read(const error_code& error, std::size_t consumed) {
-    if (state_ != State::reading) return;
-    if (error) return unreadable(error);
+    if (state_ != State::reading)
+        return;
+    if (error)
+        return unreadable(error);
     arrived_ = arrival(consumed);
     buffered_since_ = arrived_;  // of what came along with it
     // Nothing may be begun for a client that has left while its request waited unread.
@@ -117,13 +133,16 @@
     keep_alive_ = request.keep_alive();
     state_ = State::open;
     server_.handler_(shared_from_this(), std::move(request));
-    if (state_ == State::open) watch();
+    if (state_ == State::open)
+        watch();
 }
 
 void HttpSession::unreadable(const error_code& error) {
     // Success has the system's category too.
-    if (error == http::error::end_of_stream) return close(CloseReason::client_left);
-    if (error.category() == boost::system::system_category()) return close(CloseReason::broken);
+    if (error == http::error::end_of_stream)
+        return close(CloseReason::client_left);
+    if (error.category() == boost::system::system_category())
+        return close(CloseReason::broken);
     // Not HTTP, or over a limit: said once, as the state of the stream is not known any more.
     server_.log_.line("bad-request", "%s", error.message().c_str());
     parser_.reset();
@@ -144,8 +163,10 @@
 // Guards a last answer: closing with bytes unread would reset the connection and may take the answer along.
 // What comes after the half-close is read and thrown away: its client sees the end and asks again elsewhere.
 void HttpSession::linger(CloseReason reason) {
-    if (state_ == State::lingering || state_ == State::closed) return;
-    if (!reason_) reason_ = reason;
+    if (state_ == State::lingering || state_ == State::closed)
+        return;
+    if (!reason_)
+        reason_ = reason;
     state_ = State::lingering;
     since_ = std::chrono::steady_clock::now();
     error_code ignored;
@@ -158,7 +179,8 @@
 void HttpSession::discard() {
     socket_.async_read_some(asio::buffer(server_.discarded_),
                             [self = shared_from_this()](const error_code& error, std::size_t got) {
-                                if (self->state_ != State::lingering) return;
+                                if (self->state_ != State::lingering)
+                                    return;
                                 self->discarded_ += got;
                                 if (error || self->discarded_ > self->server_.limits_.linger_bytes)
                                     return self->linger_over();
@@ -171,7 +193,8 @@
 void HttpSession::watch() {
     if (buffer_.size() >= server_.limits_.early) {
         ++server_.counters_.full_of_early_bytes;
-        if (!unread_since_) unread_since_ = server_.loop_.earliest_arrival();
+        if (!unread_since_)
+            unread_since_ = server_.loop_.earliest_arrival();
         return end_after(server_.limits_.look_for_end, &HttpSession::look_for_end);
     }
     socket_.async_wait(tcp::socket::wait_read,
@@ -179,19 +202,25 @@
 }
 
 void HttpSession::on_watch(const error_code& error) {
-    if (state_ != State::open || error == asio::error::operation_aborted) return;
+    if (state_ != State::open || error == asio::error::operation_aborted)
+        return;
     const auto got = take_now(socket_, buffer_.prepare(server_.limits_.early - buffer_.size()));
-    if (got == 0 || (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK)) return lost();
-    if (got > 0 && buffer_.size() == 0) buffered_since_ = server_.loop_.earliest_arrival();
-    if (got > 0) buffer_.commit(static_cast<std::size_t>(got));
+    if (got == 0 || (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK))
+        return lost();
+    if (got > 0 && buffer_.size() == 0)
+        buffered_since_ = server_.loop_.earliest_arrival();
+    if (got > 0)
+        buffer_.commit(static_cast<std::size_t>(got));
     watch();
 }
 
 // As much as is read early stands behind the open request. The rest waits in the socket, so that only the
 // system can tell whether its client is still there.
 void HttpSession::look_for_end() {
-    if (state_ != State::open) return;
-    if (client_left()) return lost();
+    if (state_ != State::open)
+        return;
+    if (client_left())
+        return lost();
     end_after(server_.limits_.look_for_end, &HttpSession::look_for_end);
 }
 
@@ -199,24 +228,32 @@
     const auto self = shared_from_this();
     const auto gone = std::exchange(gone_, nullptr);
     close(CloseReason::client_left);
-    if (gone) gone();
+    if (gone)
+        gone();
 }
 
 bool HttpSession::client_left() {
-    if (state_ == State::closed) return true;
+    if (state_ == State::closed)
+        return true;
     const auto got = peek(socket_);
-    if (got < 0) return errno != EAGAIN && errno != EWOULDBLOCK;
-    if (got == 0) return true;
+    if (got < 0)
+        return errno != EAGAIN && errno != EWOULDBLOCK;
+    if (got == 0)
+        return true;
     // Its end may stand behind bytes that nobody has read yet.
     pollfd ended{socket_.native_handle(), POLLRDHUP, 0};
     return ::poll(&ended, 1, 0) > 0 && (ended.revents & (POLLRDHUP | POLLERR | POLLHUP)) != 0;
 }
 
-bool HttpSession::more_waits() { return buffer_.size() > 0 || peek(socket_) > 0; }
+bool HttpSession::more_waits() {
+    return buffer_.size() > 0 || peek(socket_) > 0;
+}
 
 void HttpSession::respond(HttpResponse response) {
-    if (state_ == State::writing) ++server_.counters_.second_answers;
-    if (state_ != State::open) return;
+    if (state_ == State::writing)
+        ++server_.counters_.second_answers;
+    if (state_ != State::open)
+        return;
     state_ = State::writing;
     gone_ = nullptr;
     // Retiring, the end is said with the last answer that is owed here.
@@ -235,13 +272,17 @@
     end_after(server_.limits_.write, &HttpSession::write_stalled);
     http::async_write_some(socket_, *serializer_,
                            [self = shared_from_this()](const error_code& error, std::size_t) {
-                               if (self->state_ != State::writing) return;
-                               if (!error && self->serializer_->is_done()) return self->written();
+                               if (self->state_ != State::writing)
+                                   return;
+                               if (!error && self->serializer_->is_done())
+                                   return self->written();
                                const auto passed = std::chrono::steady_clock::now() - self->since_;
                                // An answer that breaks off is cut short for the client to see: its length was
                                // told.
-                               if (error) return self->close(CloseReason::broken);
-                               if (passed > self->server_.limits_.whole_write) return self->write_stalled();
+                               if (error)
+                                   return self->close(CloseReason::broken);
+                               if (passed > self->server_.limits_.whole_write)
+                                   return self->write_stalled();
                                self->write_some();
                            });
 }
@@ -249,7 +290,8 @@
 void HttpSession::written() {
     serializer_.reset();
     response_.reset();
-    if (!keep_alive_) return linger(CloseReason::answered_last);
+    if (!keep_alive_)
+        return linger(CloseReason::answered_last);
     ++limits_set_;
     limit_.cancel();
     const auto began = std::exchange(since_, std::chrono::steady_clock::now());
@@ -258,18 +300,21 @@
         read_what_came(core::Time{began.time_since_epoch()});
     read();
     // The answer had promised more: what has come on that word is still served.
-    if (server_.stopping_) close_if_idle();
+    if (server_.stopping_)
+        close_if_idle();
 }
 
 void HttpSession::read_what_came(core::Time since) {
     const auto got = take_now(socket_, buffer_.prepare(server_.limits_.early));
-    if (got <= 0) return;
+    if (got <= 0)
+        return;
     buffer_.commit(static_cast<std::size_t>(got));
     buffered_since_ = since;
 }
 
 void HttpSession::close(CloseReason reason) {
-    if (state_ == State::closed) return;
+    if (state_ == State::closed)
+        return;
     const CloseReason why = reason_.value_or(reason);
     const bool by_client = why == CloseReason::client_left || why == CloseReason::broken;
     if (state_ == State::open && !by_client && why != CloseReason::shut_down)
@@ -284,19 +329,23 @@
 }
 
 bool HttpSession::nothing_came() {
-    if (buffer_.size() > 0 || (parser_ && parser_->got_some())) return false;
+    if (buffer_.size() > 0 || (parser_ && parser_->got_some()))
+        return false;
     return peek(socket_) <= 0;
 }
 
 void HttpSession::close_if_idle() {
-    if (state_ == State::reading && nothing_came()) linger(CloseReason::idle_end);
+    if (state_ == State::reading && nothing_came())
+        linger(CloseReason::idle_end);
 }
 
 // Bytes of the request that is being read, also those that nobody has read yet count.
 std::size_t HttpSession::came() {
     std::size_t bytes = buffer_.size();
-    if (parser_) bytes += parser_->get().body().size() + (parser_->is_header_done() ? 1 : 0);
-    if (bytes == 0 && !nothing_came()) bytes = 1;
+    if (parser_)
+        bytes += parser_->get().body().size() + (parser_->is_header_done() ? 1 : 0);
+    if (bytes == 0 && !nothing_came())
+        bytes = 1;
     return bytes;
 }
 
@@ -324,7 +373,8 @@
 
 HttpServer::~HttpServer() {
     for (auto& [session, weak] : std::exchange(sessions_, {}))
-        if (const auto alive = weak.lock()) alive->close(CloseReason::shut_down);
+        if (const auto alive = weak.lock())
+            alive->close(CloseReason::shut_down);
 }
 
 void HttpServer::admit(tcp::socket socket) {
@@ -352,7 +402,8 @@
         victim = alive;
         kind = gives;
     }
-    if (!victim) return false;
+    if (!victim)
+        return false;
     victim->close(CloseReason::evicted);
     return true;
 }
@@ -368,11 +419,13 @@
 }
 
 void HttpServer::stop() {
-    if (std::exchange(stopping_, true)) return;
+    if (std::exchange(stopping_, true))
+        return;
     retire();
     auto sessions = sessions_;
     for (auto& [session, weak] : sessions)
-        if (const auto alive = weak.lock()) alive->close_if_idle();
+        if (const auto alive = weak.lock())
+            alive->close_if_idle();
 }
 
 }  // namespace silverrail::net
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -65,7 +65,9 @@
     // answer to one request.
     std::uint64_t closed_unanswered = 0;
     std::uint64_t second_answers = 0;
-    std::uint64_t violations() const { return closed_unanswered + second_answers; }
+    std::uint64_t violations() const {
+        return closed_unanswered + second_answers;
+    }
 };
 
 // One connection. It lives while its operations do.
@@ -74,13 +76,19 @@
     HttpSession(tcp::socket socket, HttpServer& server);
     void start();
     // Where the client is; none if it had gone before it was taken.
-    const core::ClientAddress& client() const { return client_; }
+    const core::ClientAddress& client() const {
+        return client_;
+    }
     // The one answer to the request that is open; ignored once the client has gone.
     void respond(HttpResponse response);
     // Called once if the client goes away before its answer.
-    void when_gone(std::function<void()> action) { gone_ = std::move(action); }
+    void when_gone(std::function<void()> action) {
+        gone_ = std::move(action);
+    }
     // When the last byte of the open request came, at the earliest.
-    core::Time arrived() const { return arrived_; }
+    core::Time arrived() const {
+        return arrived_;
+    }
     // Has the client closed or reset the connection, by what the system says now?
     bool client_left();
     void close(CloseReason reason);
@@ -88,7 +96,9 @@
 
     // For the decision on who gives way when connections run short.
     members::Standing standing(std::chrono::steady_clock::time_point now);
-    std::chrono::steady_clock::time_point since() const { return since_; }
+    std::chrono::steady_clock::time_point since() const {
+        return since_;
+    }
 
 private:
     enum class State { reading, open, writing, lingering, closed };
@@ -99,8 +109,12 @@
     void on_read(const error_code& error, std::size_t consumed);
     void unreadable(const error_code& error);
     void linger(CloseReason reason);
-    void linger_over() { close(CloseReason::answered_last); }
-    void write_stalled() { close(CloseReason::write_stalled); }
+    void linger_over() {
+        close(CloseReason::answered_last);
+    }
+    void write_stalled() {
+        close(CloseReason::write_stalled);
+    }
     core::Time arrival(std::size_t consumed) const;
     void discard();
     void end_after(Limit limit, void (HttpSession::*end)());  // unless the state moves on before that
@@ -160,13 +174,25 @@
     void retire();
     // Takes what has come up to now, then nothing more; idle connections are closed, others after answering.
     void stop();
-    tcp::endpoint local() const { return listener_.local(); }
+    tcp::endpoint local() const {
+        return listener_.local();
+    }
     // Nothing is open any more and nothing can come.
-    bool done() const { return listener_.closed() && sessions_.empty(); }
-    const Listener::Counters& accepts() const { return listener_.counters(); }
-    const HttpCounters& counters() const { return counters_; }
-    const LoopWatch& loop() const { return loop_; }
-    std::size_t connections() const { return sessions_.size(); }
+    bool done() const {
+        return listener_.closed() && sessions_.empty();
+    }
+    const Listener::Counters& accepts() const {
+        return listener_.counters();
+    }
+    const HttpCounters& counters() const {
+        return counters_;
+    }
+    const LoopWatch& loop() const {
+        return loop_;
+    }
+    std::size_t connections() const {
+        return sessions_.size();
+    }
     // Frees descriptors when the process runs out of them.
     void when_out_of_descriptors(std::function<void()> action) {
         listener_.when_out_of_descriptors(std::move(action));
--- a/src/net/https_client.cpp
+++ b/src/net/https_client.cpp
@@ -13,7 +13,8 @@
 
 std::optional<Url> parse_https(std::string_view url) {
     constexpr std::string_view kScheme = "https://";
-    if (!url.starts_with(kScheme)) return std::nullopt;
+    if (!url.starts_with(kScheme))
+        return std::nullopt;
     url.remove_prefix(kScheme.size());
     const auto slash = std::min(url.find('/'), url.size());
     std::string_view host = url.substr(0, slash);
@@ -40,7 +41,8 @@
         parser.body_limit(kLongestBody);
     }
     void finish(const error_code& error) {
-        if (!done) return;
+        if (!done)
+            return;
         acme::HttpResult r;
         if (error) {
             r.error = error.message();
@@ -91,27 +93,35 @@
     x->request.set(http::field::host, url->host + (url->port == "443" ? "" : ":" + url->port));
     x->request.set(http::field::user_agent, "silverrail");
     x->request.set(http::field::connection, "close");
-    if (call.method == "POST") x->request.set(http::field::content_type, "application/jose+json");
+    if (call.method == "POST")
+        x->request.set(http::field::content_type, "application/jose+json");
     x->request.body() = std::move(call.body);
     x->request.prepare_payload();
-    if (call.method == "HEAD") x->parser.skip(true);
+    if (call.method == "HEAD")
+        x->parser.skip(true);
     x->stream.set_verify_callback(asio::ssl::host_name_verification(url->host));
     if (SSL_set_tlsext_host_name(x->stream.native_handle(), url->host.c_str()) != 1)
         return x->finish(asio::error::invalid_argument);
     x->limit.expires_after(kWhole);
     x->limit.async_wait([weak = std::weak_ptr{x}](const error_code& error) {
         const auto exchange = weak.lock();
-        if (!error && exchange) exchange->finish(asio::error::timed_out);
+        if (!error && exchange)
+            exchange->finish(asio::error::timed_out);
     });
     x->resolver.async_resolve(url->host, url->port, [x](const error_code& error, const auto& found) {
-        if (error) return x->finish(error);
-        if (!x->done) return;
+        if (error)
+            return x->finish(error);
+        if (!x->done)
+            return;
         asio::async_connect(x->stream.next_layer(), found, [x](const error_code& e, const auto&) {
-            if (e) return x->finish(e);
+            if (e)
+                return x->finish(e);
             x->stream.async_handshake(asio::ssl::stream_base::client, [x](const error_code& shaken) {
-                if (shaken) return x->finish(shaken);
+                if (shaken)
+                    return x->finish(shaken);
                 http::async_write(x->stream, x->request, [x](const error_code& written, std::size_t) {
-                    if (written) return x->finish(written);
+                    if (written)
+                        return x->finish(written);
                     http::async_read(x->stream, x->buffer, x->parser,
                                      [x](const error_code& read, std::size_t) { x->finish(read); });
                 });
--- a/src/net/line_server.cpp
+++ b/src/net/line_server.cpp
@@ -11,7 +11,9 @@
     enum class State { reading, writing, lingering, closed };
     Caller(asio::io_context& io, tcp::socket s) : socket(std::move(s)), limit(io) {}
     // Bytes that nobody has read yet: it is about to be served, and does not give way.
-    bool something_came() { return peek(socket) > 0; }
+    bool something_came() {
+        return peek(socket) > 0;
+    }
     TcpStream socket;
     asio::steady_timer limit;
     std::string line;
@@ -25,7 +27,8 @@
     : io_(io), listener_(io, at, Listener::Port::alone, log), limits_(limits), handler_(std::move(handler)) {}
 
 LineServer::~LineServer() {
-    while (!callers_.empty()) close(std::shared_ptr{callers_.front()});
+    while (!callers_.empty())
+        close(std::shared_ptr{callers_.front()});
 }
 
 void LineServer::start() {
@@ -33,7 +36,8 @@
 }
 
 void LineServer::admit(tcp::socket socket) {
-    if (callers_.size() >= limits_.connections) make_room();
+    if (callers_.size() >= limits_.connections)
+        make_room();
     error_code ignored;
     socket.non_blocking(true, ignored);
     const auto caller = std::make_shared<Caller>(io_, std::move(socket));
@@ -50,26 +54,32 @@
     if (at == callers_.end())
         at = std::find_if(callers_.begin(), callers_.end(),
                           [](const auto& c) { return c->state == State::reading && !c->something_came(); });
-    if (at == callers_.end()) at = callers_.begin();
+    if (at == callers_.end())
+        at = callers_.begin();
     close(std::shared_ptr{*at});
 }
 
 void LineServer::end_after(const std::shared_ptr<Caller>& caller, std::chrono::milliseconds limit) {
     caller->limit.expires_after(limit);
     caller->limit.async_wait([this, weak = std::weak_ptr{caller}](const error_code& error) {
-        if (error) return;
-        if (const auto alive = weak.lock()) close(alive);
+        if (error)
+            return;
+        if (const auto alive = weak.lock())
+            close(alive);
     });
 }
 
 void LineServer::read(const std::shared_ptr<Caller>& caller) {
     asio::async_read_until(caller->socket, asio::dynamic_buffer(caller->line, limits_.line), '\n',
                            [this, caller](const error_code& error, std::size_t) {
-                               if (caller->state != Caller::State::reading) return;
-                               if (!error) return on_line(caller, true);
+                               if (caller->state != Caller::State::reading)
+                                   return;
+                               if (!error)
+                                   return on_line(caller, true);
                                const bool told = error == asio::error::not_found || error == asio::error::eof;
                                // Nothing was asked: there is no line to answer.
-                               if (!told || caller->line.empty()) return close(caller);
+                               if (!told || caller->line.empty())
+                                   return close(caller);
                                on_line(caller, false);
                            });
 }
@@ -81,8 +91,10 @@
     caller->state = Caller::State::writing;
     asio::async_write(caller->socket, asio::buffer(caller->answer),
                       [this, caller](const error_code& error, std::size_t) {
-                          if (caller->state != Caller::State::writing) return;
-                          if (error) return close(caller);
+                          if (caller->state != Caller::State::writing)
+                              return;
+                          if (error)
+                              return close(caller);
                           // Closing with bytes unread would reset the connection and may take the answer
                           // along.
                           caller->state = Caller::State::lingering;
@@ -97,7 +109,8 @@
     caller->line.resize(limits_.line);
     caller->socket.async_read_some(asio::buffer(caller->line),
                                    [this, caller](const error_code& error, std::size_t got) {
-                                       if (caller->state != Caller::State::lingering) return;
+                                       if (caller->state != Caller::State::lingering)
+                                           return;
                                        caller->discarded += got;
                                        if (error || caller->discarded > limits_.linger_bytes)
                                            return close(caller);
@@ -106,7 +119,8 @@
 }
 
 void LineServer::close(const std::shared_ptr<Caller>& caller) {
-    if (std::exchange(caller->state, Caller::State::closed) == Caller::State::closed) return;
+    if (std::exchange(caller->state, Caller::State::closed) == Caller::State::closed)
+        return;
     caller->limit.cancel();
     error_code ignored;
     caller->socket.close(ignored);
--- a/src/net/line_server.h
+++ b/src/net/line_server.h
@@ -29,8 +29,12 @@
     LineServer(asio::io_context& io, const tcp::endpoint& at, LineLimits limits, Handler handler, Log& log);
     ~LineServer();
     void start();
-    tcp::endpoint local() const { return listener_.local(); }
-    std::size_t connections() const { return callers_.size(); }
+    tcp::endpoint local() const {
+        return listener_.local();
+    }
+    std::size_t connections() const {
+        return callers_.size();
+    }
     void when_out_of_descriptors(std::function<void()> action) {
         listener_.when_out_of_descriptors(std::move(action));
     }
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -23,7 +23,8 @@
     // leave those that are in the queue there.
     acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
-    if (port == Port::shared) acceptor_.set_option(ReusePort(true));
+    if (port == Port::shared)
+        acceptor_.set_option(ReusePort(true));
     acceptor_.bind(at);
 }
 
@@ -43,7 +44,8 @@
     take_ = std::move(take);
     acceptor_.listen(kBacklog);
     acceptor_.non_blocking(true);
-    if (port_ == Port::shared) lead_to_latest();
+    if (port_ == Port::shared)
+        lead_to_latest();
     accept();
 }
 
@@ -53,18 +55,22 @@
 }
 
 Listener::Trouble Listener::trouble_of(const error_code& error) {
-    if (error == asio::error::would_block || error == asio::error::try_again) return Trouble::nothing_there;
+    if (error == asio::error::would_block || error == asio::error::try_again)
+        return Trouble::nothing_there;
     // As accept(2) lists them: these pass on what has become of the connection itself.
     for (const int of_connection : {ECONNABORTED, EPROTO, EINTR, ENETDOWN, ENOPROTOOPT, EHOSTDOWN, ENONET,
                                     EHOSTUNREACH, ENETUNREACH, ETIMEDOUT})
-        if (error.value() == of_connection) return Trouble::connection;
+        if (error.value() == of_connection)
+            return Trouble::connection;
     return Trouble::resources;
 }
 
 void Listener::on_accept(const error_code& error, tcp::socket socket) {
-    if (error == asio::error::operation_aborted) return;
+    if (error == asio::error::operation_aborted)
+        return;
     // Stopped in the turn in which it was taken: it is ours, and owed what any other is.
-    if (stopping_ && error) return;
+    if (stopping_ && error)
+        return;
     if (error && trouble_of(error) == Trouble::resources) {
         out_of_resources(error);
         return pause(&Listener::accept);
@@ -75,32 +81,37 @@
         ++counters_.taken;
         take_(std::move(socket));
     }
-    if (!stopping_) accept();
+    if (!stopping_)
+        accept();
 }
 
 // Guards against a busy loop: the connection stays in the backlog while some descriptors are freed.
 void Listener::out_of_resources(const error_code& error) {
     ++counters_.pauses;
     log_.line("no-descriptors", "accept: %s", error.message().c_str());
-    if (shed_) shed_();
+    if (shed_)
+        shed_();
 }
 
 void Listener::pause(void (Listener::*then)()) {
     retry_.expires_after(kPause);
     retry_.async_wait([this, then](const error_code& error) {
-        if (!error) (this->*then)();
+        if (!error)
+            (this->*then)();
     });
 }
 
 void Listener::stop() {
-    if (std::exchange(stopping_, true)) return;
+    if (std::exchange(stopping_, true))
+        return;
     sweeps_left_ = kSweeps;
     retry_.cancel();
     sweep();
 }
 
 void Listener::sweep() {
-    if (closed()) return;
+    if (closed())
+        return;
     for (int passed_over = 0; take_ && passed_over < kMostAborted;) {
         error_code error;
         tcp::socket socket{io_};
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -27,11 +27,19 @@
     void start(Take take);
     // Takes what has come up to now, then closes: at once, or after some tries where descriptors are wanting.
     void stop();
-    bool closed() const { return !acceptor_.is_open(); }
-    tcp::endpoint local() const { return acceptor_.local_endpoint(); }
-    const Counters& counters() const { return counters_; }
+    bool closed() const {
+        return !acceptor_.is_open();
+    }
+    tcp::endpoint local() const {
+        return acceptor_.local_endpoint();
+    }
+    const Counters& counters() const {
+        return counters_;
+    }
     // Frees descriptors when the process runs out of them.
-    void when_out_of_descriptors(std::function<void()> action) { shed_ = std::move(action); }
+    void when_out_of_descriptors(std::function<void()> action) {
+        shed_ = std::move(action);
+    }
 
 private:
     // What an error of accept says: nothing waits; one connection has failed, the next may be good; this
--- a/src/net/loop_watch.cpp
+++ b/src/net/loop_watch.cpp
@@ -4,9 +4,11 @@
 
 core::Time LoopWatch::earliest_arrival() const {
     const core::Time now = clock_.now();
-    if (now - last_ > kPeriod + kLate) return last_;
+    if (now - last_ > kPeriod + kLate)
+        return last_;
     // Whatever was ready with the beat that saw the pause is handled right after it.
-    if (paused_from_ != core::Time{} && now < paused_until_ + kPeriod) return paused_from_;
+    if (paused_from_ != core::Time{} && now < paused_until_ + kPeriod)
+        return paused_from_;
     return now;
 }
 
@@ -21,7 +23,8 @@
     last_ = now;
     timer_.expires_after(kPeriod);
     timer_.async_wait([this](const error_code& error) {
-        if (!error) beat();
+        if (!error)
+            beat();
     });
 }
 
--- a/src/net/loop_watch.h
+++ b/src/net/loop_watch.h
@@ -10,12 +10,18 @@
 
 class LoopWatch {
 public:
-    explicit LoopWatch(asio::io_context& io) : timer_(io), last_(clock_.now()) { beat(); }
+    explicit LoopWatch(asio::io_context& io) : timer_(io), last_(clock_.now()) {
+        beat();
+    }
     // The earliest moment at which something can have come that is found in a socket now. No more than
     // kPeriod + kLate before the truth where the loop runs as it should.
     core::Time earliest_arrival() const;
-    std::uint64_t pauses() const { return pauses_; }
-    core::Span longest_pause() const { return longest_; }
+    std::uint64_t pauses() const {
+        return pauses_;
+    }
+    core::Span longest_pause() const {
+        return longest_;
+    }
 
 private:
     static constexpr std::chrono::milliseconds kPeriod{40};
--- a/src/net/peek.h
+++ b/src/net/peek.h
@@ -13,7 +13,8 @@
 inline ssize_t receive_now(tcp::socket& socket, void* into, std::size_t size, int flags) {
     while (true) {
         const auto got = ::recv(socket.native_handle(), into, size, flags | MSG_DONTWAIT);
-        if (got >= 0 || errno != EINTR) return got;
+        if (got >= 0 || errno != EINTR)
+            return got;
     }
 }
 
--- a/src/net/peer.cpp
+++ b/src/net/peer.cpp
@@ -19,10 +19,12 @@
 std::optional<udp::endpoint> Peer::endpoint_of(std::string_view address) {
     // The settings' own reading of host:port; here the host must be a number, so that nothing is looked up.
     const auto parsed = config::parse_endpoint(address);
-    if (!parsed || parsed->port == 0) return std::nullopt;
+    if (!parsed || parsed->port == 0)
+        return std::nullopt;
     error_code bad;
     const auto ip = asio::ip::make_address(parsed->host, bad);
-    if (bad) return std::nullopt;
+    if (bad)
+        return std::nullopt;
     return udp::endpoint{ip, parsed->port};
 }
 
@@ -30,7 +32,8 @@
 
 udp::endpoint bound(const std::string& bind) {
     const auto at = Peer::endpoint_of(bind);
-    if (!at) throw boost::system::system_error(asio::error::invalid_argument, "peers.bind: " + bind);
+    if (!at)
+        throw boost::system::system_error(asio::error::invalid_argument, "peers.bind: " + bind);
     return *at;
 }
 
@@ -48,7 +51,9 @@
       udp_(io, bound(bind)),
       acceptor_(io, tcp::endpoint{udp_.local_endpoint().address(), udp_.local_endpoint().port()}) {}
 
-Peer::~Peer() { stop(); }
+Peer::~Peer() {
+    stop();
+}
 
 void Peer::start() {
     receive();
@@ -56,13 +61,15 @@
 }
 
 void Peer::stop() {
-    if (stopped_) return;
+    if (stopped_)
+        return;
     stopped_ = true;
     error_code ignored;
     udp_.close(ignored);
     acceptor_.close(ignored);
     for (auto set : {&in_, &out_})
-        for (const auto& s : std::set{*set}) close(s);
+        for (const auto& s : std::set{*set})
+            close(s);
 }
 
 void Peer::refused(cw::Trouble trouble) {
@@ -72,19 +79,23 @@
 
 std::optional<Peer::Message> Peer::taken(std::string_view bytes, bool stream) {
     auto decoded = cw::decode(bytes, stream);
-    if (auto* m = std::get_if<cluster::Message>(&decoded)) return std::move(*m);
-    if (auto* m = std::get_if<cluster::ReplicaMessage>(&decoded)) return std::move(*m);
+    if (auto* m = std::get_if<cluster::Message>(&decoded))
+        return std::move(*m);
+    if (auto* m = std::get_if<cluster::ReplicaMessage>(&decoded))
+        return std::move(*m);
     refused(std::get<cw::Trouble>(decoded));
     return std::nullopt;
 }
 
 void Peer::receive() {
     udp_.async_receive_from(asio::buffer(datagram_), sender_, [this](const error_code& error, std::size_t n) {
-        if (error == asio::error::operation_aborted || stopped_) return;
+        if (error == asio::error::operation_aborted || stopped_)
+            return;
         if (!error) {
             ++counts_.datagrams_in;
             counts_.bytes_in += n;
-            if (const auto message = taken({datagram_.data(), n}, false)) send(handler_(*message));
+            if (const auto message = taken({datagram_.data(), n}, false))
+                send(handler_(*message));
         }
         receive();
     });
@@ -92,7 +103,8 @@
 
 void Peer::send(std::vector<Send> sends) {
     for (const auto& s : sends) {
-        if (stopped_) return;
+        if (stopped_)
+            return;
         if (s.stream)
             open_stream(s);
         else
@@ -143,21 +155,26 @@
     stream->out = cw::frame_header(body.size()) + body;
     stream->timer.expires_after(limits_.stream_time);
     stream->timer.async_wait([this, stream](const error_code& error) {
-        if (error) return;
+        if (error)
+            return;
         ++counts_.streams_timed_out;
         close(stream);
     });
     error_code error;
     // From our own address: whoever is asked can tell who asks by it.
     stream->socket.open(to->protocol() == udp::v4() ? tcp::v4() : tcp::v6(), error);
-    if (!error) stream->socket.bind(tcp::endpoint{udp_.local_endpoint().address(), 0}, error);
-    if (error) return close(stream);
+    if (!error)
+        stream->socket.bind(tcp::endpoint{udp_.local_endpoint().address(), 0}, error);
+    if (error)
+        return close(stream);
     stream->socket.async_connect(tcp::endpoint{to->address(), to->port()},
                                  [this, stream](const error_code& e) {
-                                     if (e) return close(stream);
+                                     if (e)
+                                         return close(stream);
                                      asio::async_write(stream->socket, asio::buffer(stream->out),
                                                        [this, stream](const error_code& w, std::size_t n) {
-                                                           if (w) return close(stream);
+                                                           if (w)
+                                                               return close(stream);
                                                            counts_.bytes_out += n;
                                                            read_frame(stream, false);
                                                        });
@@ -166,7 +183,8 @@
 
 void Peer::accept() {
     acceptor_.async_accept([this](const error_code& error, tcp::socket socket) {
-        if (error == asio::error::operation_aborted || stopped_) return;
+        if (error == asio::error::operation_aborted || stopped_)
+            return;
         if (!error) {
             if (in_.size() >= limits_.streams) {
                 ++counts_.streams_turned_away;
@@ -180,7 +198,8 @@
                 // A peer that stays silent, or sends half a message, is let go at the end of its time.
                 stream->timer.expires_after(limits_.stream_time);
                 stream->timer.async_wait([this, stream](const error_code& e) {
-                    if (e) return;
+                    if (e)
+                        return;
                     ++counts_.streams_timed_out;
                     close(stream);
                 });
@@ -194,7 +213,8 @@
 void Peer::read_frame(const std::shared_ptr<Stream>& stream, bool incoming) {
     asio::async_read(stream->socket, asio::buffer(stream->header),
                      [this, stream, incoming](const error_code& e, std::size_t) {
-                         if (e) return close(stream);
+                         if (e)
+                             return close(stream);
                          const auto length = cw::frame_length(stream->header.data());
                          if (length > cw::kMostFrame) {
                              refused(cw::Trouble::oversize);
@@ -203,7 +223,8 @@
                          stream->body.resize(length);
                          asio::async_read(stream->socket, asio::buffer(stream->body),
                                           [this, stream, incoming](const error_code& r, std::size_t n) {
-                                              if (r) return close(stream);
+                                              if (r)
+                                                  return close(stream);
                                               counts_.bytes_in += n + 4;
                                               on_frame(stream, incoming);
                                           });
@@ -212,7 +233,8 @@
 
 void Peer::on_frame(const std::shared_ptr<Stream>& stream, bool incoming) {
     const auto message = taken(stream->body, true);
-    if (!message) return close(stream);
+    if (!message)
+        return close(stream);
     auto sends = handler_(*message);
     if (!incoming) {
         close(stream);
@@ -228,7 +250,8 @@
             rest.push_back(std::move(s));
     }
     send(std::move(rest));
-    if (!answer) return close(stream);
+    if (!answer)
+        return close(stream);
     const auto body = encoded(answer->message);
     stream->out = cw::frame_header(body.size()) + body;
     asio::async_write(stream->socket, asio::buffer(stream->out),
--- a/src/net/peer.h
+++ b/src/net/peer.h
@@ -59,8 +59,12 @@
     void start();
     void stop();
     void send(std::vector<Send> sends);
-    udp::endpoint local() const { return udp_.local_endpoint(); }
-    const PeerCounts& counts() const { return counts_; }
+    udp::endpoint local() const {
+        return udp_.local_endpoint();
+    }
+    const PeerCounts& counts() const {
+        return counts_;
+    }
 
     // "a.b.c.d:port" or "[v6]:port"; nothing else, so that nothing is looked up.
     static std::optional<udp::endpoint> endpoint_of(std::string_view address);
--- a/src/net/prober.h
+++ b/src/net/prober.h
@@ -17,7 +17,9 @@
         std::chrono::milliseconds within{300};
     };
     Prober(asio::io_context& io, Limits limits) : io_(io), limits_(limits) {}
-    ~Prober() { stop(); }
+    ~Prober() {
+        stop();
+    }
     // False: as many as may be are under way, or the address is none. Else `done` is called once, unless
     // stopped before.
     bool look(const std::string& address, std::function<void(bool listens)> done);
--- a/src/net/sse.h
+++ b/src/net/sse.h
@@ -18,7 +18,9 @@
     // Gives each whole event to `take`. False: an event is longer than the bound; nothing more is read.
     bool feed(std::string_view bytes, const std::function<void(const Event&)>& take);
     // Whole lines read so far, comments among them.
-    std::uint64_t lines() const { return lines_; }
+    std::uint64_t lines() const {
+        return lines_;
+    }
 
 private:
     void line(std::string_view text, const std::function<void(const Event&)>& take);
--- a/src/net/upstream.cpp
+++ b/src/net/upstream.cpp
@@ -24,13 +24,16 @@
 
 // Nothing of the server's: this machine has no descriptor, buffer, port or route in this moment.
 bool is_local_trouble(const error_code& error) {
-    if (error.category() != boost::system::system_category()) return false;
+    if (error.category() != boost::system::system_category())
+        return false;
     constexpr std::array kErrors{EMFILE, ENFILE,        ENOBUFS,     ENOMEM,   EAGAIN,
                                  EINTR,  EADDRNOTAVAIL, ENETUNREACH, ENETDOWN, EPERM};
     return std::find(kErrors.begin(), kErrors.end(), error.value()) != kErrors.end();
 }
 
-std::string_view view(beast::string_view text) { return {text.data(), text.size()}; }
+std::string_view view(beast::string_view text) {
+    return {text.data(), text.size()};
+}
 
 double number(std::string_view text) {
     double value = 0;
@@ -62,14 +65,20 @@
         const std::string_view pair = text.substr(0, end);
         text.remove_prefix(std::min(end + 1, text.size()));
         const auto colon = pair.find(':');
-        if (colon == std::string_view::npos) continue;
+        if (colon == std::string_view::npos)
+            continue;
         const std::string_view name = pair.substr(0, colon);
         const double value = number(pair.substr(colon + 1));
-        if (value < 0) continue;
-        if (name == "inflight" || name == "concurrent") load.in_flight = value;
-        if (name == "util" || name == "load_share") load.utilisation = value;
-        if (name == "x0") load.hit_share = value;
-        if (name == "x1") load.link_fullness = value;
+        if (value < 0)
+            continue;
+        if (name == "inflight" || name == "concurrent")
+            load.in_flight = value;
+        if (name == "util" || name == "load_share")
+            load.utilisation = value;
+        if (name == "x0")
+            load.hit_share = value;
+        if (name == "x1")
+            load.link_fullness = value;
     }
     return load;
 }
@@ -79,27 +88,41 @@
     http::request<http::string_body> r{
         call.write ? http::verb::put : http::verb::get,
         "/obj/" + call.class_name + "/" + call.object + "/" + std::to_string(call.part), 11};
-    const auto ms = [](core::Span s) { return std::to_string(std::max<std::int64_t>(1, s / 1ms)); };
+    const auto ms = [](core::Span s) {
+        return std::to_string(std::max<std::int64_t>(1, s / 1ms));
+    };
     r.set(http::field::host, order.address);
     r.set("Call-Id", call.trace);
     r.set("Call-Ms", ms(left));
     // Guards the repeats of a keyed class: without it a box could not tell one from a new request.
-    if (!call.idempotency_key.empty()) r.set("Call-Once", call.idempotency_key);
-    if (order.source) r.set("Miss-To", order.source->address);
-    if (order.rank > 0) r.set("Store-As", std::to_string(order.rank));
-    if (oldest > core::Span{}) r.set("No-Older-Than", ms(oldest));
+    if (!call.idempotency_key.empty())
+        r.set("Call-Once", call.idempotency_key);
+    if (order.source)
+        r.set("Miss-To", order.source->address);
+    if (order.rank > 0)
+        r.set("Store-As", std::to_string(order.rank));
+    if (oldest > core::Span{})
+        r.set("No-Older-Than", ms(oldest));
     std::string handling;
     const auto say = [&handling](const char* word) {
-        if (!handling.empty()) handling += '+';
+        if (!handling.empty())
+            handling += '+';
         handling += word;
     };
-    if (order.join) say("j");
-    if (order.held_only) say("h");
-    if (order.renew) say("r");
-    if (!handling.empty()) r.set("Handling", handling);
-    if (!call.have.empty()) r.set("Have", call.have);
-    if (call.body) r.body() = *call.body;
-    if (call.write) r.prepare_payload();
+    if (order.join)
+        say("j");
+    if (order.held_only)
+        say("h");
+    if (order.renew)
+        say("r");
+    if (!handling.empty())
+        r.set("Handling", handling);
+    if (!call.have.empty())
+        r.set("Have", call.have);
+    if (call.body)
+        r.body() = *call.body;
+    if (call.write)
+        r.prepare_payload();
     return r;
 }
 
@@ -120,10 +143,18 @@
             end.made_ms = made_at(view(answer["Made-At"]));
             end.body = std::move(answer.body());
             break;
-        case 404: end.ending = Ending::miss; break;
-        case 503: end.ending = never_ran ? Ending::full : Ending::error; break;
-        case 504: end.ending = never_ran ? Ending::not_sent : Ending::error; break;
-        default: end.ending = Ending::error; break;
+        case 404:
+            end.ending = Ending::miss;
+            break;
+        case 503:
+            end.ending = never_ran ? Ending::full : Ending::error;
+            break;
+        case 504:
+            end.ending = never_ran ? Ending::not_sent : Ending::error;
+            break;
+        default:
+            end.ending = Ending::error;
+            break;
     }
     return end;
 }
@@ -132,7 +163,9 @@
     Link(asio::io_context& io, std::shared_ptr<std::size_t> open) : socket(io), count(std::move(open)) {
         ++*count;
     }
-    ~Link() { --*count; }
+    ~Link() {
+        --*count;
+    }
     Link(const Link&) = delete;
     Link& operator=(const Link&) = delete;
     void close() {
@@ -177,10 +210,12 @@
     down_ = true;
     for (auto& [key, attempt] : attempts_) {
         attempt->over = true;
-        if (attempt->link) attempt->link->close();
+        if (attempt->link)
+            attempt->link->close();
     }
     for (auto& [id, box] : boxes_)
-        for (auto& link : box->idle) link->close();
+        for (auto& link : box->idle)
+            link->close();
 }
 
 void Upstream::start(core::Order order, core::AttemptEvents& events) {
@@ -193,7 +228,8 @@
 // On a kept connection, else on a new one, else when one is free.
 void Upstream::begin(const std::shared_ptr<Attempt>& attempt) {
     attempt->link = take_idle(attempt->order.target);
-    if (attempt->link) return write(attempt);
+    if (attempt->link)
+        return write(attempt);
     if (!make_room()) {
         if (waiting_.size() >= limits_.waiting) {
             log_.line("upstream-full", "%zu sockets, %zu wait", *open_, waiting_.size());
@@ -217,7 +253,8 @@
     const tcp::endpoint endpoint{host, to->port};
     attempt->link = std::make_shared<Link>(io_, open_);
     auto& box = boxes_[attempt->order.target];
-    if (!box) box = std::make_shared<Box>();
+    if (!box)
+        box = std::make_shared<Box>();
     attempt->link->box = box;
     attempt->link->socket.open(endpoint.protocol(), error);
     if (error) {
@@ -225,12 +262,14 @@
         log_.line("no-descriptors", "connect: %s", error.message().c_str());
         shed(16);
         attempt->link->socket.open(endpoint.protocol(), error);
-        if (error) return open_again(attempt, error, Ending::not_sent);
+        if (error)
+            return open_again(attempt, error, Ending::not_sent);
     }
     attempt->link->socket.set_option(tcp::no_delay(true), error);
     attempt->limit.expires_after(limits_.connect_timeout);
     attempt->limit.async_wait([this, attempt](const error_code& e) {
-        if (e || attempt->over || !attempt->link || attempt->bytes_out) return;
+        if (e || attempt->over || !attempt->link || attempt->bytes_out)
+            return;
         end(attempt, {.ending = Ending::no_connection});
     });
     attempt->link->socket.async_connect(
@@ -238,10 +277,13 @@
 }
 
 void Upstream::connected(const std::shared_ptr<Attempt>& attempt, const error_code& error) {
-    if (attempt->over) return;
+    if (attempt->over)
+        return;
     attempt->limit.cancel();
-    if (!error) return write(attempt);
-    if (is_local_trouble(error)) return open_again(attempt, error, Ending::no_connection);
+    if (!error)
+        return write(attempt);
+    if (is_local_trouble(error))
+        return open_again(attempt, error, Ending::no_connection);
     if (error != asio::error::connection_refused && error != asio::error::operation_aborted)
         log_.line("connect-failed", "box %s: %s", attempt->order.target.address.c_str(),
                   error.message().c_str());
@@ -254,30 +296,36 @@
               attempt->order.target.address.c_str(), error.message().c_str());
     const auto pause = kFirstPause * (1 << attempt->opens_again);
     const bool in_time = clock_.now() + pause < attempt->order.give_up;
-    if (++attempt->opens_again > kOpensAgain || !in_time) return end(attempt, {.ending = ending});
+    if (++attempt->opens_again > kOpensAgain || !in_time)
+        return end(attempt, {.ending = ending});
     attempt->link->close();
     attempt->link = nullptr;
     attempt->limit.expires_after(pause);
     attempt->limit.async_wait([this, attempt](const error_code& e) {
-        if (!e && !attempt->over) begin(attempt);
+        if (!e && !attempt->over)
+            begin(attempt);
     });
 }
 
 void Upstream::write(const std::shared_ptr<Attempt>& attempt) {
     const auto oldest = attempt->events->before_first_byte(attempt->order.key);
     if (!oldest) {
-        if (!attempt->over) end(attempt, {.ending = Ending::not_sent});
+        if (!attempt->over)
+            end(attempt, {.ending = Ending::not_sent});
         return;
     }
     attempt->request = box_request(attempt->order, *oldest, attempt->order.give_up - clock_.now());
     attempt->bytes_out = true;  // from here on it may run
     http::async_write(attempt->link->socket, attempt->request,
                       [attempt, link = attempt->link](const error_code& error, std::size_t) {
-                          if (!error) attempt->events->written();
+                          if (!error)
+                              attempt->events->written();
                           attempt->all_out = !error;
-                          if (attempt->over || !error) return;
+                          if (attempt->over || !error)
+                              return;
                           // An answer may have come before the whole request was read; the read tells.
-                          if (error == asio::error::operation_aborted) return;
+                          if (error == asio::error::operation_aborted)
+                              return;
                           error_code ignored;
                           link->socket.shutdown(tcp::socket::shutdown_send, ignored);
                       });
@@ -299,11 +347,14 @@
 }
 
 void Upstream::on_head(const std::shared_ptr<Attempt>& attempt, const error_code& error) {
-    if (attempt->over) return;
-    if (error) return unreadable(attempt, error);
+    if (attempt->over)
+        return;
+    if (error)
+        return unreadable(attempt, error);
     const auto& head = attempt->parser->get();
     if (head.result_int() / 100 == 1 && head.result() != http::status::switching_protocols) {
-        if (++attempt->interim > limits_.interim) return unreadable(attempt, http::error::bad_status);
+        if (++attempt->interim > limits_.interim)
+            return unreadable(attempt, http::error::bad_status);
         return read(attempt);
     }
     // Guards the client from a 304 for a copy that it does not have.
@@ -315,13 +366,16 @@
 }
 
 void Upstream::on_answer(const std::shared_ptr<Attempt>& attempt, const error_code& error) {
-    if (attempt->over) return;
-    if (error) return unreadable(attempt, error);
+    if (attempt->over)
+        return;
+    if (error)
+        return unreadable(attempt, error);
     // An answer may come before the request is out: what follows on that connection would be read as the rest
     // of it.
     const bool keeps = attempt->parser->keep_alive() && attempt->all_out;
     auto answer = attempt->parser->release();
-    if (keeps) keep(attempt);
+    if (keeps)
+        keep(attempt);
     end(attempt, box_answer(std::move(answer)));
 }
 
@@ -334,9 +388,11 @@
 }
 
 void Upstream::end(const std::shared_ptr<Attempt>& attempt, AttemptEnd end) {
-    if (std::exchange(attempt->over, true)) return;
+    if (std::exchange(attempt->over, true))
+        return;
     attempt->limit.cancel();
-    if (attempt->link) attempt->link->close();
+    if (attempt->link)
+        attempt->link->close();
     attempt->link = nullptr;
     attempts_.erase(attempt->order.key);
     attempt->events->ended(attempt->order.key, std::move(end));
@@ -345,13 +401,15 @@
 
 void Upstream::cancel(const core::AttemptKey& key) {
     auto at = attempts_.find(key);
-    if (at == attempts_.end()) return;
+    if (at == attempts_.end())
+        return;
     const auto attempt = at->second;
     attempts_.erase(at);
     attempt->over = true;
     attempt->limit.cancel();
     std::erase(waiting_, attempt);
-    if (attempt->link) attempt->link->close();
+    if (attempt->link)
+        attempt->link->close();
     attempt->link = nullptr;
     serve_waiting();
 }
@@ -374,25 +432,30 @@
 void Upstream::watch(const std::shared_ptr<Box>& box, const std::shared_ptr<Link>& link) {
     link->socket.async_wait(tcp::socket::wait_read, [this, owner = std::weak_ptr{box},
                                                      weak = std::weak_ptr{link}](const error_code& error) {
-        if (down_ || error == asio::error::operation_aborted) return;
+        if (down_ || error == asio::error::operation_aborted)
+            return;
         const auto idle = weak.lock();
-        if (!idle || !idle->idle) return;
+        if (!idle || !idle->idle)
+            return;
         idle->close();
-        if (const auto at = owner.lock()) at->idle.remove(idle);
+        if (const auto at = owner.lock())
+            at->idle.remove(idle);
         serve_waiting();
     });
 }
 
 std::shared_ptr<Upstream::Link> Upstream::take_idle(const core::CacheId& id) {
     auto at = boxes_.find(id);
-    if (at == boxes_.end()) return nullptr;
+    if (at == boxes_.end())
+        return nullptr;
     auto& idle = at->second->idle;
     // The last used of those that have rested: the longer one is idle, the likelier its box closes it.
     const core::Time rested = clock_.now() - limits_.rest;
     while (true) {
         const auto from =
             std::find_if(idle.rbegin(), idle.rend(), [&](const auto& l) { return l->idle_since <= rested; });
-        if (from == idle.rend()) return nullptr;
+        if (from == idle.rend())
+            return nullptr;
         const auto link = *from;
         idle.erase(std::next(from).base());
         link->idle = false;
@@ -409,7 +472,8 @@
 // Guards against what piles up as boxes come and go: nothing of a box that went is kept but what is in use.
 void Upstream::forget(const core::CacheId& id) {
     const auto at = boxes_.find(id);
-    if (at == boxes_.end()) return;
+    if (at == boxes_.end())
+        return;
     const auto box = at->second;
     boxes_.erase(at);
     box->gone = true;
@@ -421,13 +485,15 @@
 }
 
 bool Upstream::make_room() {
-    if (*open_ >= limits_.sockets) shed(1);
+    if (*open_ >= limits_.sockets)
+        shed(1);
     return *open_ < limits_.sockets;
 }
 
 void Upstream::limit_sockets(std::size_t most) {
     limits_.sockets = most;
-    if (*open_ > most) shed(*open_ - most);
+    if (*open_ > most)
+        shed(*open_ - most);
     serve_waiting();
 }
 
@@ -438,7 +504,8 @@
             if (!box->idle.empty() &&
                 (!longest || box->idle.front()->idle_since < longest->idle.front()->idle_since))
                 longest = box.get();
-        if (!longest) return;
+        if (!longest)
+            return;
         longest->idle.front()->idle = false;
         longest->idle.front()->close();
         longest->idle.pop_front();
@@ -449,7 +516,8 @@
     while (!waiting_.empty() && make_room()) {
         const auto attempt = waiting_.front();
         waiting_.pop_front();
-        if (!attempt->over) begin(attempt);
+        if (!attempt->over)
+            begin(attempt);
     }
 }
 
@@ -465,7 +533,8 @@
     std::erase_if(boxes_, [](const auto& e) { return e.second->idle.empty() && e.second.use_count() == 1; });
     sweeper_.expires_after(std::chrono::seconds{1});
     sweeper_.async_wait([this](const error_code& error) {
-        if (!error) sweep();
+        if (!error)
+            sweep();
     });
 }
 
--- a/src/net/upstream.h
+++ b/src/net/upstream.h
@@ -44,8 +44,12 @@
     void limit_sockets(std::size_t most);
     // Closes up to `count` idle connections, longest idle first.
     void shed(std::size_t count);
-    std::size_t sockets() const { return *open_; }
-    std::size_t boxes() const { return boxes_.size(); }
+    std::size_t sockets() const {
+        return *open_;
+    }
+    std::size_t boxes() const {
+        return boxes_.size();
+    }
 
 private:
     struct Link;
--- a/src/state/failure_trigger.h
+++ b/src/state/failure_trigger.h
@@ -18,7 +18,9 @@
     explicit FailureTrigger(FailureTriggerSettings settings) : settings_(settings) {}
     // One more answer; times do not run backwards. True: now.
     bool answered(bool failed, std::int64_t at);
-    double share() const { return all_ ? static_cast<double>(failed_) / static_cast<double>(all_) : 0; }
+    double share() const {
+        return all_ ? static_cast<double>(failed_) / static_cast<double>(all_) : 0;
+    }
 
 private:
     // The window moves by a tenth of itself.
--- a/src/state/in_force.cpp
+++ b/src/state/in_force.cpp
@@ -22,13 +22,15 @@
             [&](auto& body) {
                 using T = std::decay_t<decltype(body)>;
                 T::fields(body, [&](const char*, auto& value, Pack) {
-                    if constexpr (std::is_same_v<std::decay_t<decltype(value)>, Text>) f(value);
+                    if constexpr (std::is_same_v<std::decay_t<decltype(value)>, Text>)
+                        f(value);
                 });
             },
             record_.body);
     };
     over_texts([&](Text& t) { bytes += t.size(); });
-    if (bytes == 0) return;
+    if (bytes == 0)
+        return;
     texts_ = std::make_unique<char[]>(bytes);
     char* to = texts_.get();
     over_texts([&](Text& t) {
@@ -61,7 +63,8 @@
                        forget(s, record.at);
                    },
                    [&](const List& list) {
-                       if (list.complete) s.boxes.clear();
+                       if (list.complete)
+                           s.boxes.clear();
                    },
                    [&](const Entry& entry) { on_entry(s, record, entry); },
                    [&](const Purge&) {
@@ -69,7 +72,8 @@
                        forget(s, record.at);
                    },
                    [&](const Taken& taken) {
-                       if (taken.call == 0) return;
+                       if (taken.call == 0)
+                           return;
                        if (s.calls.size() >= kMostCalls) {
                            s.calls.erase(s.calls.begin());
                            ++given_up_;
@@ -80,7 +84,8 @@
                    },
                    [&](const Sent& sent) {
                        const auto call = s.calls.find(sent.call);
-                       if (call == s.calls.end()) return;
+                       if (call == s.calls.end())
+                           return;
                        if (call->second.out.size() < kMostOut)
                            call->second.out.emplace_back(record);
                        else
@@ -88,11 +93,13 @@
                    },
                    [&](const Ended& ended) {
                        const auto call = s.calls.find(ended.call);
-                       if (call == s.calls.end()) return;
+                       if (call == s.calls.end())
+                           return;
                        std::erase_if(call->second.out, [&](const Kept& k) {
                            return std::get<Sent>(k.record().body).attempt == ended.attempt;
                        });
-                       if (call->second.closed && call->second.out.empty()) s.calls.erase(call);
+                       if (call->second.closed && call->second.out.empty())
+                           s.calls.erase(call);
                    },
                    [&](const Abandoned& abandoned) { close(s, abandoned.call, record); },
                    [&](const Answered& answered) { close(s, answered.call, record); },
@@ -103,7 +110,8 @@
 
 void InForce::close(Source& s, std::uint64_t call, const Record& record) {
     const auto at = s.calls.find(call);
-    if (at == s.calls.end()) return;
+    if (at == s.calls.end())
+        return;
     if (at->second.out.empty())
         s.calls.erase(at);
     else if (!at->second.closed)
@@ -113,7 +121,8 @@
 void InForce::on_entry(Source& s, const Record& record, const Entry& entry) {
     const auto at = s.boxes.find(entry.id);
     if (entry.condition == kGone) {
-        if (at != s.boxes.end()) s.boxes.erase(at);
+        if (at != s.boxes.end())
+            s.boxes.erase(at);
     } else if (at != s.boxes.end()) {
         at->second = Kept{record};
     } else if (s.boxes.size() < kMostBoxes) {
@@ -124,7 +133,8 @@
 }
 
 void InForce::forget(Source& s, std::int64_t now) {
-    while (!s.purges.empty() && s.purges.front().record().at < now - kPurgeKept) s.purges.pop_front();
+    while (!s.purges.empty() && s.purges.front().record().at < now - kPurgeKept)
+        s.purges.pop_front();
     while (s.purges.size() > kMostPurges) {
         s.purges.pop_front();
         ++given_up_;
@@ -136,22 +146,29 @@
 
 void InForce::each(const std::function<void(const Record&)>& f) const {
     for (const auto& [number, s] : sources_) {
-        if (s.start) f(s.start.record());
-        if (s.clock) f(s.clock.record());
+        if (s.start)
+            f(s.start.record());
+        if (s.clock)
+            f(s.clock.record());
         if (!s.boxes.empty()) {
             Record list;
             list.at = s.boxes.begin()->second.record().at;
-            for (const auto& [id, box] : s.boxes) list.at = std::max(list.at, box.record().at);
+            for (const auto& [id, box] : s.boxes)
+                list.at = std::max(list.at, box.record().at);
             list.source = number;
             list.body = List{s.boxes.size(), true};
             f(list);
-            for (const auto& [id, box] : s.boxes) f(box.record());
+            for (const auto& [id, box] : s.boxes)
+                f(box.record());
         }
-        for (const Kept& purge : s.purges) f(purge.record());
+        for (const Kept& purge : s.purges)
+            f(purge.record());
         for (const auto& [id, call] : s.calls) {
             f(call.taken.record());
-            for (const Kept& sent : call.out) f(sent.record());
-            if (call.closed) f(call.closed.record());
+            for (const Kept& sent : call.out)
+                f(sent.record());
+            if (call.closed)
+                f(call.closed.record());
         }
     }
 }
@@ -168,14 +185,16 @@
 
 const InForce::OpenCall* InForce::call(std::uint32_t source, std::uint64_t call) const {
     const auto s = sources_.find(source);
-    if (s == sources_.end()) return nullptr;
+    if (s == sources_.end())
+        return nullptr;
     const auto at = s->second.calls.find(call);
     return at == s->second.calls.end() ? nullptr : &at->second;
 }
 
 std::size_t InForce::open_calls() const {
     std::size_t n = 0;
-    for (const auto& [number, s] : sources_) n += s.calls.size();
+    for (const auto& [number, s] : sources_)
+        n += s.calls.size();
     return n;
 }
 
--- a/src/state/in_force.h
+++ b/src/state/in_force.h
@@ -22,8 +22,12 @@
 public:
     Kept() = default;
     explicit Kept(const Record& record);
-    const Record& record() const { return record_; }
-    explicit operator bool() const { return held_; }
+    const Record& record() const {
+        return record_;
+    }
+    explicit operator bool() const {
+        return held_;
+    }
 
 private:
     std::unique_ptr<char[]> texts_;
@@ -53,8 +57,12 @@
     // The records, in an order that `take` reads back to the same state.
     void each(const std::function<void(const Record&)>& f) const;
 
-    bool knows(std::uint32_t source) const { return sources_.contains(source); }
-    std::size_t sources() const { return sources_.size(); }
+    bool knows(std::uint32_t source) const {
+        return sources_.contains(source);
+    }
+    std::size_t sources() const {
+        return sources_.size();
+    }
     // Unix ns of a steady time of that router, by its newest clock; the time as it is where none was seen.
     std::int64_t unix_ns(std::uint32_t source, std::int64_t at) const;
     const Start* start(std::uint32_t source) const;
@@ -62,7 +70,9 @@
     const OpenCall* call(std::uint32_t source, std::uint64_t call) const;
     std::size_t open_calls() const;
     std::size_t boxes(std::uint32_t source) const;
-    std::uint64_t given_up() const { return given_up_; }
+    std::uint64_t given_up() const {
+        return given_up_;
+    }
 
 private:
     struct Source {
--- a/src/state/records.h
+++ b/src/state/records.h
@@ -373,7 +373,9 @@
 }
 
 // Absent figures are the same as each other; everything else by value.
-inline bool same(double a, double b) { return a == b || (std::isnan(a) && std::isnan(b)); }
+inline bool same(double a, double b) {
+    return a == b || (std::isnan(a) && std::isnan(b));
+}
 template <class T>
 bool same(const T& a, const T& b) {
     return a == b;
--- a/src/state/retention.h
+++ b/src/state/retention.h
@@ -28,7 +28,9 @@
     // be written, keep the bound: the oldest first, and no more than needed.
     std::vector<std::string> give_up(std::vector<File> closed, std::uint64_t open_bytes) const;
     // A single file may hold no more than this, or the bound could not be kept by giving up others.
-    std::uint64_t most_of_one() const { return settings_.most_bytes; }
+    std::uint64_t most_of_one() const {
+        return settings_.most_bytes;
+    }
 
 private:
     RetentionSettings settings_;
--- a/src/state/selection.cpp
+++ b/src/state/selection.cpp
@@ -16,10 +16,14 @@
 }
 
 bool is(const Story& s, std::string_view outcome) {
-    if (outcome == "open") return s.closed_at == kNoTime;
-    if (outcome == "abandoned") return s.closed_at != kNoTime && s.abandoned;
-    if (outcome == "turned_away") return s.turned_away();
-    if (const auto kind = number_of(kAnswerWords, outcome)) return s.answered() && s.kind == *kind;
+    if (outcome == "open")
+        return s.closed_at == kNoTime;
+    if (outcome == "abandoned")
+        return s.closed_at != kNoTime && s.abandoned;
+    if (outcome == "turned_away")
+        return s.turned_away();
+    if (const auto kind = number_of(kAnswerWords, outcome))
+        return s.answered() && s.kind == *kind;
     const auto ending = number_of(kEndingWords, outcome);
     return ending && std::any_of(s.attempts.begin(), s.attempts.end(), [&](const AttemptStory& a) {
                return a.ended_at != kNoTime && a.ending == *ending;
@@ -27,7 +31,8 @@
 }
 
 bool has_trace(const Story& s, const std::string& wanted) {
-    if (!s.trace.empty()) return s.trace.text() == wanted;
+    if (!s.trace.empty())
+        return s.trace.text() == wanted;
     std::uint64_t number = 0;
     const auto [end, error] = std::from_chars(wanted.data(), wanted.data() + wanted.size(), number, 16);
     return wanted.size() == 16 && error == std::errc{} && end == wanted.data() + wanted.size() &&
@@ -45,8 +50,10 @@
 }
 
 bool Selection::wants(const Story& s, std::string_view class_name) const {
-    if (!classes.empty() && !holds(classes, class_name)) return false;
-    if (!objects.empty() && (s.taken_at == kNoTime || !holds(objects, s.taken.object))) return false;
+    if (!classes.empty() && !holds(classes, class_name))
+        return false;
+    if (!objects.empty() && (s.taken_at == kNoTime || !holds(objects, s.taken.object)))
+        return false;
     if (!traces.empty() &&
         (s.taken_at == kNoTime ||
          std::none_of(traces.begin(), traces.end(), [&](const auto& t) { return has_trace(s, t); })))
--- a/src/state/selection.h
+++ b/src/state/selection.h
@@ -36,10 +36,18 @@
 class WantedCalls {
 public:
     static constexpr std::size_t kMost = 50'000'000;
-    void want(std::uint32_t source, std::uint64_t call) { keys_.insert(key(source, call)); }
-    bool wants(std::uint32_t source, std::uint64_t call) const { return keys_.contains(key(source, call)); }
-    bool full() const { return keys_.size() >= kMost; }
-    std::size_t size() const { return keys_.size(); }
+    void want(std::uint32_t source, std::uint64_t call) {
+        keys_.insert(key(source, call));
+    }
+    bool wants(std::uint32_t source, std::uint64_t call) const {
+        return keys_.contains(key(source, call));
+    }
+    bool full() const {
+        return keys_.size() >= kMost;
+    }
+    std::size_t size() const {
+        return keys_.size();
+    }
 
 private:
     static std::uint64_t key(std::uint32_t source, std::uint64_t call) {
--- a/src/state/skew.cpp
+++ b/src/state/skew.cpp
@@ -56,10 +56,12 @@
 void Skew::heard(std::uint32_t source, std::uint64_t key, std::int64_t unix_ns) {
     // Spread, whatever the caller's keys are like.
     key = (key ^ key >> 31) * 0x9e3779b97f4a7c15U;
-    if (key > threshold_) return;
+    if (key > threshold_)
+        return;
     Heard& h = sources_[source];
     h.at.try_emplace(key, unix_ns);  // told again after a reconnect: the first time counts
-    if (h.at.size() > kMostEvents) thin(threshold_ / 2);
+    if (h.at.size() > kMostEvents)
+        thin(threshold_ / 2);
 }
 
 void Skew::thin(std::uint64_t threshold) {
@@ -71,7 +73,8 @@
 void Skew::copied(std::uint32_t source, std::int64_t seen_unix_ns, std::int64_t made_unix_ns) {
     auto& buckets = sources_[source].buckets;
     const std::int64_t number = seen_unix_ns / kBucketNs;
-    if (buckets.size() >= kMostBuckets && !buckets.contains(number)) return;
+    if (buckets.size() >= kMostBuckets && !buckets.contains(number))
+        return;
     Heard::Bucket& b = buckets[number];
     const std::int64_t wait = seen_unix_ns - made_unix_ns;
     if (b.count++ == 0 || wait < b.least) {
@@ -87,7 +90,8 @@
         std::size_t shared = 0;
         for (const auto& [other, o] : sources_)
             if (other != source)
-                for (const auto& [key, at] : h.at) shared += o.at.contains(key);
+                for (const auto& [key, at] : h.at)
+                    shared += o.at.contains(key);
         if (!best || shared > most) {
             best = source;
             most = shared;
@@ -127,7 +131,8 @@
 std::optional<SkewEstimate> Skew::line_through(Shared shared) {
     SkewEstimate e;
     const std::size_t all = shared.times.size();
-    if (all < kLeastShared) return std::nullopt;
+    if (all < kLeastShared)
+        return std::nullopt;
     const auto [first, last] = std::minmax_element(shared.times.begin(), shared.times.end());
     e.at_unix_ns = *first + (*last - *first) / 2;
     const auto span = static_cast<double>(*last - *first);
@@ -141,18 +146,21 @@
     Line line{median(std::move(shared.add)), 0, 0, 0};
     for (int round = 0; round < 8; ++round) {
         std::vector<double> rests;
-        for (const Point& p : points) rests.push_back(std::abs(p.y - line.offset - line.slope * p.x));
+        for (const Point& p : points)
+            rests.push_back(std::abs(p.y - line.offset - line.slope * p.x));
         // 1.4826 times the median deviation is the standard deviation of what is about normal.
         const double bound = std::max(1e6, 3.5 * 1.4826 * median(std::move(rests)));
         const std::size_t before = points.size();
         std::erase_if(points,
                       [&](const Point& p) { return std::abs(p.y - line.offset - line.slope * p.x) > bound; });
         line = fit(points, with_slope);
-        if (points.size() == before && round > 1) break;
+        if (points.size() == before && round > 1)
+            break;
     }
     e.shared = points.size();
     e.trimmed = all - points.size();
-    if (e.shared < kLeastShared) return std::nullopt;
+    if (e.shared < kLeastShared)
+        return std::nullopt;
     e.offset_ns = line.offset;
     e.drift = line.slope;
     e.uncertainty_ns = 2 * std::hypot(line.error, line.slope_error * span / 2);
@@ -161,7 +169,8 @@
 
 std::optional<SkewEstimate> Skew::estimate(std::uint32_t source, std::uint32_t reference,
                                            std::string& why) const {
-    if (source == reference) return SkewEstimate{};
+    if (source == reference)
+        return SkewEstimate{};
     const auto mine = sources_.find(source);
     const auto theirs = sources_.find(reference);
     if (mine == sources_.end() || theirs == sources_.end()) {
--- a/src/state/stories.cpp
+++ b/src/state/stories.cpp
@@ -5,7 +5,8 @@
 namespace silverrail::state {
 
 std::unique_ptr<Story> Stories::fresh() {
-    if (spare_.empty()) return std::make_unique<Story>();
+    if (spare_.empty())
+        return std::make_unique<Story>();
     auto story = std::move(spare_.back());
     spare_.pop_back();
     auto attempts = std::move(story->attempts);
@@ -21,7 +22,8 @@
 }
 
 Story& Stories::story(std::uint32_t source, std::uint64_t call) {
-    if (Story* s = find(source, call)) return *s;
+    if (Story* s = find(source, call))
+        return *s;
     if (open_.size() >= kMostOpen) {
         // Its end has been lost; which one goes does not matter to the sums, but it is told.
         ++given_up_;
@@ -37,8 +39,10 @@
 
 AttemptStory* Stories::attempt(Story& s, std::uint64_t number) {
     for (AttemptStory& a : s.attempts)
-        if (a.number == number) return &a;
-    if (s.attempts.size() >= kMostAttempts) return nullptr;
+        if (a.number == number)
+            return &a;
+    if (s.attempts.size() >= kMostAttempts)
+        return nullptr;
     s.attempts.emplace_back().number = number;
     return &s.attempts.back();
 }
@@ -46,9 +50,11 @@
 void Stories::drop_if_over(Key key) {
     const auto at = open_.find(key);
     const Story& s = *at->second;
-    if (s.closed_at == kNoTime) return;
+    if (s.closed_at == kNoTime)
+        return;
     for (const AttemptStory& a : s.attempts)
-        if (a.ended_at == kNoTime) return;
+        if (a.ended_at == kNoTime)
+            return;
     over_(s);
     spare_.push_back(std::move(at->second));
     open_.erase(at);
@@ -72,7 +78,8 @@
         s.taken.trace = s.taken.client = s.taken.have = {};
     } else if (const auto* sent = std::get_if<Sent>(&record.body)) {
         AttemptStory* a = attempt(story(source, sent->call), sent->attempt);
-        if (!a) return;
+        if (!a)
+            return;
         a->sent_at = record.at;
         a->target = sent->target;
         a->fills = sent->fills;
@@ -124,11 +131,13 @@
 void Stories::end() {
     // In the order in which they came, so that the same trace gives the same listing.
     std::vector<const Story*> rest;
-    for (const auto& [key, s] : open_) rest.push_back(s.get());
+    for (const auto& [key, s] : open_)
+        rest.push_back(s.get());
     std::sort(rest.begin(), rest.end(), [](const Story* a, const Story* b) {
         return std::pair{a->source, a->call} < std::pair{b->source, b->call};
     });
-    for (const Story* s : rest) over_(*s);
+    for (const Story* s : rest)
+        over_(*s);
     open_.clear();
 }
 
--- a/src/state/stories.h
+++ b/src/state/stories.h
@@ -20,8 +20,12 @@
     ShortText(Text text) : size_(static_cast<std::uint8_t>(std::min(text.size(), sizeof bytes_))) {
         std::copy_n(text.data(), size_, bytes_);
     }
-    Text text() const { return {bytes_, size_}; }
-    bool empty() const { return size_ == 0; }
+    Text text() const {
+        return {bytes_, size_};
+    }
+    bool empty() const {
+        return size_ == 0;
+    }
 
 private:
     char bytes_[23]{};
@@ -68,8 +72,12 @@
     std::int64_t made_unix_ms = 0;
     ShortText box;
 
-    bool answered() const { return closed_at != kNoTime && !abandoned; }
-    bool turned_away() const { return call == 0; }
+    bool answered() const {
+        return closed_at != kNoTime && !abandoned;
+    }
+    bool turned_away() const {
+        return call == 0;
+    }
     std::int64_t took() const {
         return closed_at == kNoTime || taken_at == kNoTime ? kNoTime : closed_at - taken_at;
     }
@@ -86,8 +94,12 @@
     void take(const Record& record, bool held);
     // Tells of those that are still open.
     void end();
-    std::size_t open() const { return open_.size(); }
-    std::uint64_t given_up() const { return given_up_; }  // past the bound, told early
+    std::size_t open() const {
+        return open_.size();
+    }
+    std::uint64_t given_up() const {
+        return given_up_;
+    }  // past the bound, told early
 
 private:
     struct Key {
@@ -96,7 +108,9 @@
         bool operator==(const Key&) const = default;
     };
     struct Hash {
-        std::size_t operator()(const Key& k) const { return k.call * 0x9e3779b97f4a7c15U ^ k.source; }
+        std::size_t operator()(const Key& k) const {
+            return k.call * 0x9e3779b97f4a7c15U ^ k.source;
+        }
     };
     Story& story(std::uint32_t source, std::uint64_t call);
     Story* find(std::uint32_t source, std::uint64_t call);
--- a/src/state/tally.cpp
+++ b/src/state/tally.cpp
@@ -17,22 +17,27 @@
 }
 
 double Times::quantile(double share) const {
-    if (count_ == 0) return 0;
+    if (count_ == 0)
+        return 0;
     const auto wanted = static_cast<std::uint64_t>(std::ceil(share * static_cast<double>(count_)));
     std::uint64_t seen = 0;
     for (auto&& bin : boost::histogram::indexed(histogram_, boost::histogram::coverage::all)) {
         seen += *bin;
-        if (seen >= std::max<std::uint64_t>(1, wanted)) return std::min(bin.bin().upper(), max_) / 1e6;
+        if (seen >= std::max<std::uint64_t>(1, wanted))
+            return std::min(bin.bin().upper(), max_) / 1e6;
     }
     return max_ / 1e6;
 }
 
 std::string_view reason(const Story& s) {
-    if (s.turned_away()) return "at the door";
+    if (s.turned_away())
+        return "at the door";
     const AttemptStory* last = nullptr;
     for (const AttemptStory& a : s.attempts)
-        if (a.ended_at != kNoTime && (!last || a.ended_at >= last->ended_at)) last = &a;
-    if (!last) return s.timed_out ? "deadline, no attempt ended" : "no attempt";
+        if (a.ended_at != kNoTime && (!last || a.ended_at >= last->ended_at))
+            last = &a;
+    if (!last)
+        return s.timed_out ? "deadline, no attempt ended" : "no attempt";
     return word(kEndingWords, last->ending);
 }
 
@@ -47,18 +52,23 @@
             found = counts.try_emplace(counts.size() < kMostSources ? std::string{key} : "(others)").first;
         ++found->second;
     };
-    if (!s.before && s.taken_at != kNoTime) ++c.calls;
+    if (!s.before && s.taken_at != kNoTime)
+        ++c.calls;
     for (const AttemptStory& a : s.attempts) {
-        if (a.ended_at == kNoTime) continue;
-        if (a.ending < c.endings.size()) ++c.endings[a.ending];
-        if (a.note < c.notes.size()) ++c.notes[a.note];
+        if (a.ended_at == kNoTime)
+            continue;
+        if (a.ending < c.endings.size())
+            ++c.endings[a.ending];
+        if (a.note < c.notes.size())
+            ++c.notes[a.note];
         const auto note = word(kNoteWords, a.note);
         if (word(kEndingWords, a.ending) == "good" && (note == "filled" || note == "filled_by_origin") &&
             !a.source.empty())
             bump(c.fills, a.source.text());
     }
     ++c.attempts[std::min<std::size_t>(s.attempts.size(), c.attempts.size() - 1)];
-    if (s.turned_away()) ++c.outcomes[7];
+    if (s.turned_away())
+        ++c.outcomes[7];
     if (s.closed_at == kNoTime) {
         ++c.outcomes[6];
         return;
@@ -67,17 +77,20 @@
         ++c.outcomes[5];
         return;
     }
-    if (s.kind < 5) ++c.outcomes[s.kind];
+    if (s.kind < 5)
+        ++c.outcomes[s.kind];
     const std::int64_t took = s.took();
     if (s.kind <= 1) {
         c.bytes += s.bytes;
         if (took != kNoTime) {
             c.served.add(took);
             const std::int64_t aim = aim_(s.source, s.taken.class_index, s.taken.size_kb);
-            if (aim > 0 && took > aim) ++c.late;
+            if (aim > 0 && took > aim)
+                ++c.late;
         }
     } else if (s.kind >= 3) {
-        if (took != kNoTime) c.turned_down.add(took);
+        if (took != kNoTime)
+            c.turned_down.add(took);
         bump(c.refusals, reason(s));
         if (s.hold_off > 0) {
             ++c.hold_offs;
--- a/src/state/tally.h
+++ b/src/state/tally.h
@@ -16,11 +16,17 @@
 public:
     Times();
     void add(std::int64_t ns);
-    std::uint64_t count() const { return count_; }
+    std::uint64_t count() const {
+        return count_;
+    }
     // The time, in ms, that a share of them did not exceed; 0 where there are none.
     double quantile(double share) const;
-    double mean_ms() const { return count_ ? sum_ / static_cast<double>(count_) / 1e6 : 0; }
-    double max_ms() const { return max_ / 1e6; }
+    double mean_ms() const {
+        return count_ ? sum_ / static_cast<double>(count_) / 1e6 : 0;
+    }
+    double max_ms() const {
+        return max_ / 1e6;
+    }
 
 private:
     using Axis = boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>;
@@ -63,7 +69,9 @@
         std::function<std::int64_t(std::uint32_t source, std::uint64_t class_index, double size_kb)>;
     explicit Tally(AimOf aim) : aim_(std::move(aim)) {}
     void take(const Story& story, const std::string& class_name);
-    const std::map<std::string, ClassTally, std::less<>>& classes() const { return classes_; }
+    const std::map<std::string, ClassTally, std::less<>>& classes() const {
+        return classes_;
+    }
 
 private:
     static constexpr std::size_t kMostClasses = 1000;  // further ones go under "(others)"
--- a/src/state/words.h
+++ b/src/state/words.h
@@ -27,7 +27,8 @@
 template <std::size_t N>
 std::optional<std::uint8_t> number_of(const std::array<std::string_view, N>& words, std::string_view text) {
     for (std::size_t i = 0; i < N; ++i)
-        if (words[i] == text) return static_cast<std::uint8_t>(i);
+        if (words[i] == text)
+            return static_cast<std::uint8_t>(i);
     return std::nullopt;
 }
 
--- a/src/store/ban_file.cpp
+++ b/src/store/ban_file.cpp
@@ -30,12 +30,17 @@
     File(const std::string& name, int flags)
         : fd_(::open(name.c_str(), flags | O_CLOEXEC | O_NOFOLLOW, 0600)) {}
     ~File() {
-        if (fd_ >= 0) ::close(fd_);
+        if (fd_ >= 0)
+            ::close(fd_);
     }
     File(const File&) = delete;
     File& operator=(const File&) = delete;
-    int fd() const { return fd_; }
-    explicit operator bool() const { return fd_ >= 0; }
+    int fd() const {
+        return fd_;
+    }
+    explicit operator bool() const {
+        return fd_ >= 0;
+    }
 
 private:
     int fd_;
@@ -43,8 +48,10 @@
 
 bool lock(int fd) {
     for (int i = 0; i < kTries; ++i) {
-        if (::flock(fd, LOCK_EX | LOCK_NB) == 0) return true;
-        if (errno != EWOULDBLOCK && errno != EINTR) return false;
+        if (::flock(fd, LOCK_EX | LOCK_NB) == 0)
+            return true;
+        if (errno != EWOULDBLOCK && errno != EINTR)
+            return false;
         ::usleep(kBetweenTries);
     }
     return false;
@@ -52,15 +59,20 @@
 
 members::Bans::Read load(const std::string& name) {
     const File file{name, O_RDONLY};
-    if (!file && errno == ENOENT) return {};
-    if (!file) throw failed(name, "open");
+    if (!file && errno == ENOENT)
+        return {};
+    if (!file)
+        throw failed(name, "open");
     std::string text(kMostBytes, '\0');
     std::size_t got = 0;
     while (got < text.size()) {
         const auto n = ::read(file.fd(), text.data() + got, text.size() - got);
-        if (n < 0 && errno == EINTR) continue;
-        if (n < 0) throw failed(name, "read");
-        if (n == 0) break;
+        if (n < 0 && errno == EINTR)
+            continue;
+        if (n < 0)
+            throw failed(name, "read");
+        if (n == 0)
+            break;
         got += static_cast<std::size_t>(n);
     }
     text.resize(got);
@@ -71,7 +83,8 @@
 
 members::Bans BanFile::read() const {
     const auto found = load(file_);
-    if (found.trouble == members::Bans::Trouble::damaged) throw std::runtime_error(file_ + ": damaged");
+    if (found.trouble == members::Bans::Trouble::damaged)
+        throw std::runtime_error(file_ + ": damaged");
     if (found.trouble == members::Bans::Trouble::other_version)
         throw std::runtime_error(file_ + ": of a version that is not known here");
     return found.bans;
@@ -80,12 +93,15 @@
 members::Bans BanFile::change(const members::Bans& own, const std::function<void(members::Bans&)>& change) {
     const std::string lock_name = file_ + ".lock";
     const File guard{lock_name, O_RDWR | O_CREAT};
-    if (!guard) throw failed(lock_name, "open");
-    if (!lock(guard.fd())) throw failed(lock_name, "lock");
+    if (!guard)
+        throw failed(lock_name, "open");
+    if (!lock(guard.fd()))
+        throw failed(lock_name, "lock");
     auto found = load(file_);
     if (found.trouble == members::Bans::Trouble::other_version)
         throw std::runtime_error(file_ + ": of a version that is not known here");
-    if (found.trouble == members::Bans::Trouble::damaged) found.bans = own;
+    if (found.trouble == members::Bans::Trouble::damaged)
+        found.bans = own;
     change(found.bans);
     replace_file(file_, found.bans.text());
     seen_ = stamp();
@@ -98,8 +114,9 @@
 }
 
 BanFile::Stamp BanFile::stamp() const {
-    struct stat s {};
-    if (::stat(file_.c_str(), &s) != 0) return {};
+    struct stat s{};
+    if (::stat(file_.c_str(), &s) != 0)
+        return {};
     return {s.st_ino, s.st_size, s.st_mtim.tv_sec, s.st_mtim.tv_nsec};
 }
 
--- a/src/store/presence.cpp
+++ b/src/store/presence.cpp
@@ -13,7 +13,7 @@
 constexpr int kPlaces = 8;
 
 struct flock byte_at(int place) {
-    struct flock lock {};
+    struct flock lock{};
     lock.l_type = F_WRLCK;
     lock.l_whence = SEEK_SET;
     lock.l_start = place;
@@ -24,11 +24,15 @@
 }  // namespace
 
 Presence::Presence(const std::string& file) {
-    const auto failed = [&file] { return std::system_error(errno, std::generic_category(), file); };
+    const auto failed = [&file] {
+        return std::system_error(errno, std::generic_category(), file);
+    };
     file_ = ::open(file.c_str(), O_RDWR | O_CREAT | O_CLOEXEC | O_NOFOLLOW, 0600);
-    if (file_ < 0) throw failed();
+    if (file_ < 0)
+        throw failed();
     for (int place = 0; place < kPlaces && place_ < 0; ++place)
-        if (lock(place)) place_ = place;
+        if (lock(place))
+            place_ = place;
     if (place_ < 0) {
         const auto error = failed();
         ::close(file_);
@@ -36,7 +40,9 @@
     }
 }
 
-Presence::~Presence() { ::close(file_); }
+Presence::~Presence() {
+    ::close(file_);
+}
 
 bool Presence::lock(int place) {
     auto wanted = byte_at(place);
@@ -48,7 +54,8 @@
     for (int place = 0; place < kPlaces; ++place) {
         auto held = byte_at(place);
         // Its own lock is no conflict. What can't be told counts as free.
-        if (place != place_ && ::fcntl(file_, F_OFD_GETLK, &held) == 0 && held.l_type != F_UNLCK) ++count;
+        if (place != place_ && ::fcntl(file_, F_OFD_GETLK, &held) == 0 && held.l_type != F_UNLCK)
+            ++count;
     }
     return count;
 }
--- a/src/store/read_file.cpp
+++ b/src/store/read_file.cpp
@@ -17,11 +17,14 @@
 public:
     explicit Descriptor(int fd) : fd_(fd) {}
     ~Descriptor() {
-        if (fd_ >= 0) ::close(fd_);
+        if (fd_ >= 0)
+            ::close(fd_);
     }
     Descriptor(const Descriptor&) = delete;
     Descriptor& operator=(const Descriptor&) = delete;
-    int get() const { return fd_; }
+    int get() const {
+        return fd_;
+    }
 
 private:
     int fd_;
@@ -35,14 +38,18 @@
 
 std::string read_file(const std::string& path, std::size_t most) {
     const Descriptor file{::open(path.c_str(), O_RDONLY | O_CLOEXEC)};
-    if (file.get() < 0) fail(path);
+    if (file.get() < 0)
+        fail(path);
     std::string bytes;
     std::array<char, 64 * 1024> chunk{};
     while (bytes.size() < most) {
         const auto got = ::read(file.get(), chunk.data(), std::min(chunk.size(), most - bytes.size()));
-        if (got < 0 && errno == EINTR) continue;
-        if (got < 0) fail(path);
-        if (got == 0) break;
+        if (got < 0 && errno == EINTR)
+            continue;
+        if (got < 0)
+            fail(path);
+        if (got == 0)
+            break;
         bytes.append(chunk.data(), static_cast<std::size_t>(got));
     }
     return bytes;
--- a/src/store/replica_store.cpp
+++ b/src/store/replica_store.cpp
@@ -20,7 +20,9 @@
         if (sqlite3_prepare_v2(store.db_.get(), sql, -1, &s_, nullptr) != SQLITE_OK)
             store.fail(sqlite3_errmsg(store.db_.get()));
     }
-    ~Statement() { sqlite3_finalize(s_); }
+    ~Statement() {
+        sqlite3_finalize(s_);
+    }
     Statement(const Statement&) = delete;
     Statement& operator=(const Statement&) = delete;
     Statement& text(int at, const std::string& value) {
@@ -38,10 +40,13 @@
     // True: a row is there.
     bool step() {
         const int code = sqlite3_step(s_);
-        if (code != SQLITE_ROW && code != SQLITE_DONE) store_.fail(sqlite3_errmsg(store_.db_.get()));
+        if (code != SQLITE_ROW && code != SQLITE_DONE)
+            store_.fail(sqlite3_errmsg(store_.db_.get()));
         return code == SQLITE_ROW;
     }
-    void again() { sqlite3_reset(s_); }
+    void again() {
+        sqlite3_reset(s_);
+    }
     std::string bytes(int column) const {
         const auto* data = static_cast<const char*>(sqlite3_column_blob(s_, column));
         return data ? std::string(data, static_cast<std::size_t>(sqlite3_column_bytes(s_, column)))
@@ -56,10 +61,13 @@
     sqlite3_stmt* s_ = nullptr;
 };
 
-void ReplicaStore::fail(const std::string& what) const { throw std::runtime_error(file_ + ": " + what); }
+void ReplicaStore::fail(const std::string& what) const {
+    throw std::runtime_error(file_ + ": " + what);
+}
 
 void ReplicaStore::run(const char* sql) {
-    if (sqlite3_exec(db_.get(), sql, nullptr, nullptr, nullptr) != SQLITE_OK) fail(sqlite3_errmsg(db_.get()));
+    if (sqlite3_exec(db_.get(), sql, nullptr, nullptr, nullptr) != SQLITE_OK)
+        fail(sqlite3_errmsg(db_.get()));
 }
 
 ReplicaStore::ReplicaStore(std::string file, const std::string& origin)
@@ -68,7 +76,8 @@
     const int opened =
         sqlite3_open_v2(file_.c_str(), &db, SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE, nullptr);
     db_.reset(db);
-    if (opened != SQLITE_OK) fail(db ? sqlite3_errmsg(db) : "no memory");
+    if (opened != SQLITE_OK)
+        fail(db ? sqlite3_errmsg(db) : "no memory");
     // Locked from the first read on until the process ends, however it ends.
     if (sqlite3_exec(db, "PRAGMA locking_mode=EXCLUSIVE; PRAGMA cache_size=-512; BEGIN IMMEDIATE; COMMIT;",
                      nullptr, nullptr, nullptr) == SQLITE_BUSY)
@@ -80,11 +89,13 @@
     const auto application = pragma("PRAGMA application_id");
     const bool empty = pragma("SELECT count(*) FROM sqlite_master") == "0";
     if (!empty || application != "0") {
-        if (application != std::to_string(kApplication)) fail("not a store of this program");
+        if (application != std::to_string(kApplication))
+            fail("not a store of this program");
         const auto version = pragma("PRAGMA user_version");
         if (version != std::to_string(kVersion))
             fail("of version " + version + ", which this program does not know");
-        if (const auto found = pragma("PRAGMA quick_check(1)"); found != "ok") fail("damaged: " + found);
+        if (const auto found = pragma("PRAGMA quick_check(1)"); found != "ok")
+            fail("damaged: " + found);
     }
     run("PRAGMA journal_mode=WAL; PRAGMA synchronous=NORMAL; PRAGMA journal_size_limit=1048576;");
     if (empty) {
@@ -102,7 +113,8 @@
         run("COMMIT;");
     }
     origin_ = pragma("SELECT origin FROM meta");
-    if (origin_.empty() || origin_.size() > cluster::kLongestOrigin) fail("damaged: no origin");
+    if (origin_.empty() || origin_.size() > cluster::kLongestOrigin)
+        fail("damaged: no origin");
 }
 
 ReplicaStore::~ReplicaStore() = default;
@@ -112,7 +124,8 @@
     Statement s{*this, "SELECT key, entry FROM entries"};
     while (s.step()) {
         auto entry = cluster::wire::decode_entry(s.bytes(1));
-        if (!entry) fail("damaged: the entry of " + s.bytes(0));
+        if (!entry)
+            fail("damaged: the entry of " + s.bytes(0));
         out.emplace(s.bytes(0), std::move(*entry));
     }
     return out;
@@ -139,7 +152,8 @@
 }
 
 void ReplicaStore::write(const cluster::Replica& replica, const cluster::Replica::Changes& changes) {
-    if (!changes.all && changes.keys.empty() && changes.origins.empty()) return;
+    if (!changes.all && changes.keys.empty() && changes.origins.empty())
+        return;
     const auto& entries = replica.entries();
     const auto& origins = replica.origins();
     Statement put{*this, "INSERT OR REPLACE INTO entries VALUES(?, ?)"};
@@ -175,15 +189,20 @@
         };
         if (changes.all) {
             run("DELETE FROM entries; DELETE FROM origins; DELETE FROM log;");
-            for (const auto& [key, entry] : entries) write_key(key);
+            for (const auto& [key, entry] : entries)
+                write_key(key);
             for (const auto& [name, origin] : origins) {
                 write_origin(name);
-                for (const auto& [key, number] : origin.where) write_log(name, key);
+                for (const auto& [key, number] : origin.where)
+                    write_log(name, key);
             }
         } else {
-            for (const auto& key : changes.keys) write_key(key);
-            for (const auto& name : changes.origins) write_origin(name);
-            for (const auto& [name, key] : changes.log) write_log(name, key);
+            for (const auto& key : changes.keys)
+                write_key(key);
+            for (const auto& name : changes.origins)
+                write_origin(name);
+            for (const auto& [name, key] : changes.log)
+                write_log(name, key);
         }
         run("COMMIT;");
     } catch (...) {
--- a/src/store/replica_store.h
+++ b/src/store/replica_store.h
@@ -33,7 +33,9 @@
     ReplicaStore& operator=(const ReplicaStore&) = delete;
 
     // The origin under which this store's changes are numbered.
-    const std::string& origin() const { return origin_; }
+    const std::string& origin() const {
+        return origin_;
+    }
     // Everything in it. Throws as the constructor does.
     std::map<std::string, cluster::Entry> entries();
     std::map<std::string, cluster::Replica::Origin> origins();
--- a/src/trace/bytes.h
+++ b/src/trace/bytes.h
@@ -29,8 +29,12 @@
 
 class MemorySink : public ByteSink {
 public:
-    void write(View bytes) override { bytes_.append(bytes); }
-    Bytes& bytes() { return bytes_; }
+    void write(View bytes) override {
+        bytes_.append(bytes);
+    }
+    Bytes& bytes() {
+        return bytes_;
+    }
 
 private:
     Bytes bytes_;
@@ -39,7 +43,9 @@
 class MemorySource : public ByteSource {
 public:
     explicit MemorySource(Bytes bytes) : bytes_(std::move(bytes)) {}
-    std::uint64_t size() const override { return bytes_.size(); }
+    std::uint64_t size() const override {
+        return bytes_.size();
+    }
     void read(std::uint64_t offset, std::size_t bytes, Bytes& to) const override {
         to = offset < bytes_.size() ? bytes_.substr(offset, bytes) : Bytes{};
     }
--- a/src/trace/chunk.cpp
+++ b/src/trace/chunk.cpp
@@ -15,7 +15,9 @@
 constexpr std::uint64_t kTypeColumn = 0;
 constexpr std::uint64_t kSourceColumn = 1;
 constexpr std::uint64_t kTimeColumn = 2;
-constexpr std::uint64_t column_of(std::size_t type, std::size_t place) { return 64 + type * 64 + place * 2; }
+constexpr std::uint64_t column_of(std::size_t type, std::size_t place) {
+    return 64 + type * 64 + place * 2;
+}
 
 enum Codec : int { kRaw = 0, kNumbers = 1 };
 constexpr int kZstd = 0x80;
@@ -48,8 +50,10 @@
 // Small whole numbers of a type come as they are, wherever they would be picked or stepped otherwise.
 template <class T>
 constexpr Pack pack_of(Pack wanted) {
-    if constexpr (std::is_same_v<T, Text> || std::is_same_v<T, double>) return Pack::pick;
-    if constexpr (std::is_same_v<T, bool> || std::is_same_v<T, std::uint8_t>) return Pack::plain;
+    if constexpr (std::is_same_v<T, Text> || std::is_same_v<T, double>)
+        return Pack::pick;
+    if constexpr (std::is_same_v<T, bool> || std::is_same_v<T, std::uint8_t>)
+        return Pack::plain;
     return wanted;
 }
 
@@ -69,7 +73,8 @@
 }  // namespace
 
 void Summary::name(std::string_view box) {
-    if (box.empty()) return;
+    if (box.empty())
+        return;
     const auto bit = checksum(box, kBoxSeed) & 255;
     boxes[bit / 64] |= std::uint64_t{1} << (bit % 64);
 }
@@ -79,7 +84,8 @@
 }
 
 std::uint64_t call_key(std::uint64_t trace_id, std::string_view trace) {
-    if (!trace.empty()) return checksum(trace, kCallSeed);
+    if (!trace.empty())
+        return checksum(trace, kCallSeed);
     return checksum({reinterpret_cast<const char*>(&trace_id), sizeof trace_id}, kCallSeed);
 }
 std::uint64_t object_key(std::uint64_t object) {
@@ -126,7 +132,8 @@
     } else if (const auto* answered = std::get_if<state::Answered>(&record.body)) {
         summary_.outcomes |= std::uint64_t{1} << std::min<int>(15, answered->kind);
     } else if (const auto* entry = std::get_if<state::Entry>(&record.body)) {
-        if (!held) summary_.name(entry->id);
+        if (!held)
+            summary_.name(entry->id);
     }
 }
 
@@ -212,9 +219,11 @@
             }
     put_varint(raw, static_cast<std::uint64_t>(scale));
     if (scale == 1)
-        for (const std::uint64_t v : values) put_varint(raw, v);
+        for (const std::uint64_t v : values)
+            put_varint(raw, v);
     else
-        for (const std::uint64_t v : values) put_varint(raw, zigzag(unzigzag(v) / scale));
+        for (const std::uint64_t v : values)
+            put_varint(raw, zigzag(unzigzag(v) / scale));
     column(head, body, id, kNumbers, values.size(), raw, level);
 }
 
@@ -223,7 +232,8 @@
     Bytes body;
     written_ = 0;
     column(columns, body, kTypeColumn, kRaw, types_.size(), types_, level);
-    if (any_source_) column(columns, body, kSourceColumn, kRaw, types_.size(), sources_, level);
+    if (any_source_)
+        column(columns, body, kSourceColumn, kRaw, types_.size(), sources_, level);
     numbers(columns, body, kTimeColumn, times_, true, level);
     for (std::size_t type = 0; type < columns_.size(); ++type)
         state::with_type(type, [&]<class T>(T none) {
@@ -232,12 +242,14 @@
                 using F = std::decay_t<decltype(value)>;
                 const std::uint64_t id = column_of(type, place);
                 Packing& p = columns_[type][place++];
-                if (!p.any) return;  // absent: all are the default
+                if (!p.any)
+                    return;  // absent: all are the default
                 const Pack pack = pack_of<F>(wanted);
                 if (pack == Pack::fixed) {
                     Bytes raw;
                     raw.reserve(p.values.size() * 8);
-                    for (const std::uint64_t v : p.values) put_u64(raw, v);
+                    for (const std::uint64_t v : p.values)
+                        put_u64(raw, v);
                     return column(columns, body, id, kRaw, p.values.size(), raw, level);
                 }
                 if (pack == Pack::pick) {
@@ -251,7 +263,8 @@
                     return numbers(columns, body, id, p.values, true, level);
                 }
                 if constexpr (kSigned<F>)
-                    for (std::uint64_t& v : p.values) v = zigzag(static_cast<std::int64_t>(v));
+                    for (std::uint64_t& v : p.values)
+                        v = zigzag(static_cast<std::int64_t>(v));
                 numbers(columns, body, id, p.values, kSigned<F>, level);
             });
         });
@@ -259,7 +272,8 @@
     parts.summary = summary_;
     put_summary(parts.head, summary_);
     Filter filter{keys_.size()};
-    for (const std::uint64_t key : keys_) filter.add(key);
+    for (const std::uint64_t key : keys_)
+        filter.add(key);
     put_varint(parts.head, filter.bits().size());
     parts.head += filter.bits();
     put_varint(parts.head, written_);
@@ -273,7 +287,8 @@
     last_.clear();
     keys_.clear();
     for (auto& type : columns_)
-        for (Packing& p : type) p.clear();
+        for (Packing& p : type)
+            p.clear();
     return parts;
 }
 
@@ -285,7 +300,8 @@
     put_varint(to, s.types);
     put_varint(to, s.classes);
     put_varint(to, s.outcomes);
-    for (const std::uint64_t word : s.boxes) put_u64(to, word);
+    for (const std::uint64_t word : s.boxes)
+        put_u64(to, word);
 }
 
 bool get_summary(View& from, Summary& s) {
@@ -296,7 +312,8 @@
         !get_varint(from, s.outcomes))
         return false;
     for (std::uint64_t& word : s.boxes)
-        if (!get_u64(from, word)) return false;
+        if (!get_u64(from, word))
+            return false;
     s.first_unix_ns = unzigzag(first);
     s.last_unix_ns = unzigzag(last);
     return s.held <= s.records && s.records <= kMostRecords;
@@ -330,17 +347,20 @@
 
 std::unique_ptr<ChunkView> ChunkView::open(View head) {
     std::unique_ptr<ChunkView> view{new ChunkView};
-    if (!view->read_head(head)) return nullptr;
+    if (!view->read_head(head))
+        return nullptr;
     return view;
 }
 
 bool ChunkView::read_head(View head) {
     std::uint64_t bits = 0;
-    if (!get_summary(head, summary_) || !get_varint(head, bits) || bits > head.size()) return false;
+    if (!get_summary(head, summary_) || !get_varint(head, bits) || bits > head.size())
+        return false;
     filter_ = Filter{Bytes{head.substr(0, bits)}};
     head.remove_prefix(bits);
     std::uint64_t columns = 0;
-    if (!get_varint(head, columns) || columns > kMostColumns) return false;
+    if (!get_varint(head, columns) || columns > kMostColumns)
+        return false;
     for (std::uint64_t i = 0; i < columns; ++i) {
         std::uint64_t id = 0;
         std::uint64_t codec = 0;
@@ -348,11 +368,13 @@
         if (!get_varint(head, id) || !get_varint(head, codec) || !get_varint(head, c.count) ||
             !get_varint(head, c.raw) || !get_varint(head, c.stored))
             return false;
-        if (c.raw > kMostColumn || c.stored > kMostBody || codec > 0xff) return false;
+        if (c.raw > kMostColumn || c.stored > kMostBody || codec > 0xff)
+            return false;
         c.codec = static_cast<int>(codec);
         c.offset = body_bytes_;
         body_bytes_ += c.stored;
-        if (body_bytes_ > kMostBody || !places_.try_emplace(id, c).second) return false;
+        if (body_bytes_ > kMostBody || !places_.try_emplace(id, c).second)
+            return false;
     }
     return true;  // what a later minor version adds behind is passed over
 }
@@ -377,7 +399,9 @@
     return bytes;
 }
 
-bool ChunkView::may_hold(std::uint64_t key) const { return filter_.may_hold(key); }
+bool ChunkView::may_hold(std::uint64_t key) const {
+    return filter_.may_hold(key);
+}
 
 bool ChunkView::unpack(std::uint64_t id, Bytes& raw, int& codec) {
     const Column& c = places_.at(id);
@@ -385,10 +409,12 @@
     codec = c.codec & ~kZstd;
     if (c.codec & kZstd) {
         auto expanded = zstd_.expanded(stored, c.raw);
-        if (!expanded) return false;
+        if (!expanded)
+            return false;
         raw = std::move(*expanded);
     } else {
-        if (c.raw != c.stored) return false;
+        if (c.raw != c.stored)
+            return false;
         raw = stored;
     }
     return true;
@@ -398,18 +424,22 @@
     Bytes raw;
     int codec = 0;
     std::uint64_t scale = 0;
-    if (!unpack(id, raw, codec) || codec != kNumbers) return false;
+    if (!unpack(id, raw, codec) || codec != kNumbers)
+        return false;
     const std::uint64_t count = places_.at(id).count;
     View rest = raw;
-    if (!get_varint(rest, scale) || scale == 0 || scale > 1'000'000'000 || count > rest.size()) return false;
+    if (!get_varint(rest, scale) || scale == 0 || scale > 1'000'000'000 || count > rest.size())
+        return false;
     to.resize(count);
     for (std::uint64_t& v : to)
-        if (!get_varint(rest, v)) return false;
+        if (!get_varint(rest, v))
+            return false;
     if (scale > 1) {
         const auto by = static_cast<std::int64_t>(scale);
         for (std::uint64_t& v : to) {
             std::int64_t whole = 0;
-            if (!zigzagged || __builtin_mul_overflow(unzigzag(v), by, &whole)) return false;
+            if (!zigzagged || __builtin_mul_overflow(unzigzag(v), by, &whole))
+                return false;
             v = zigzag(whole);
         }
     }
@@ -424,28 +454,36 @@
     bad_ = true;
     if (body_.size() < body_bytes_ || !places_.contains(kTypeColumn) || !places_.contains(kTimeColumn))
         return false;
-    if (!unpack(kTypeColumn, types_, codec) || codec != kRaw || types_.size() != n) return false;
-    if (!numbers(kTimeColumn, times_, true) || times_.size() != n) return false;
+    if (!unpack(kTypeColumn, types_, codec) || codec != kRaw || types_.size() != n)
+        return false;
+    if (!numbers(kTimeColumn, times_, true) || times_.size() != n)
+        return false;
     sources_.clear();
     if (places_.contains(kSourceColumn)) {
         Bytes raw;
-        if (!unpack(kSourceColumn, raw, codec) || codec != kRaw) return false;
+        if (!unpack(kSourceColumn, raw, codec) || codec != kRaw)
+            return false;
         View rest = raw;
         sources_.resize(n);
         for (std::uint64_t& v : sources_)
-            if (!get_varint(rest, v) || v > 0xffffffffu) return false;
-        if (!rest.empty()) return false;
+            if (!get_varint(rest, v) || v > 0xffffffffu)
+                return false;
+        if (!rest.empty())
+            return false;
     }
     columns_.clear();
     columns_.resize(state::kTypes);
     std::array<std::size_t, kMostTypes> rows{};
     for (const char type : types_)
-        if (static_cast<unsigned char>(type) < kMostTypes) ++rows[static_cast<unsigned char>(type)];
+        if (static_cast<unsigned char>(type) < kMostTypes)
+            ++rows[static_cast<unsigned char>(type)];
     for (std::size_t type = 0; type < state::kTypes; ++type) {
-        if (rows[type] == 0 || !(wanted >> type & 1)) continue;
+        if (rows[type] == 0 || !(wanted >> type & 1))
+            continue;
         columns_[type] = std::make_unique<TypeColumns>();
         columns_[type]->rows = rows[type];
-        if (!prepare(type)) return false;
+        if (!prepare(type))
+            return false;
     }
     last_.clear();
     at_ = 0;
@@ -464,47 +502,58 @@
             using F = std::decay_t<decltype(value)>;
             const std::uint64_t id = column_of(type, place);
             auto& field = columns.fields[place++];
-            if (!good || !places_.contains(id)) return;
+            if (!good || !places_.contains(id))
+                return;
             const Pack pack = pack_of<F>(wanted);
             int codec = 0;
             if (pack == Pack::fixed) {
                 Bytes raw;
                 good = unpack(id, raw, codec) && codec == kRaw && raw.size() == columns.rows * 8;
-                if (!good) return;
+                if (!good)
+                    return;
                 field.values.resize(columns.rows);
-                for (std::size_t i = 0; i < columns.rows; ++i) field.values[i] = u64_at(raw.data() + i * 8);
+                for (std::size_t i = 0; i < columns.rows; ++i)
+                    field.values[i] = u64_at(raw.data() + i * 8);
                 return;
             }
             const bool zigzagged = pack == Pack::step || (pack == Pack::plain && kSigned<F>);
             good = numbers(id, field.values, zigzagged) && field.values.size() == columns.rows;
-            if (!good) return;
+            if (!good)
+                return;
             if (pack == Pack::step) {
                 std::uint64_t last = 0;
-                for (std::uint64_t& v : field.values) v = last += static_cast<std::uint64_t>(unzigzag(v));
+                for (std::uint64_t& v : field.values)
+                    v = last += static_cast<std::uint64_t>(unzigzag(v));
             } else if (zigzagged) {
-                for (std::uint64_t& v : field.values) v = static_cast<std::uint64_t>(unzigzag(v));
+                for (std::uint64_t& v : field.values)
+                    v = static_cast<std::uint64_t>(unzigzag(v));
             }
-            if (pack != Pack::pick) return;
+            if (pack != Pack::pick)
+                return;
             good = places_.contains(id + 1) && unpack(id + 1, field.words, codec) && codec == kRaw;
-            if (!good) return;
+            if (!good)
+                return;
             View rest = field.words;
             std::size_t words = 0;
             if constexpr (std::is_same_v<F, Text>) {
                 field.texts.emplace_back();
                 for (std::uint64_t size = 0; good && !rest.empty();) {
                     good = get_varint(rest, size) && size <= rest.size();
-                    if (!good) return;
+                    if (!good)
+                        return;
                     field.texts.push_back(rest.substr(0, size));
                     rest.remove_prefix(size);
                 }
                 words = field.texts.size();
             } else {
                 field.numbers.push_back(0);
-                for (std::uint64_t v = 0; get_u64(rest, v);) field.numbers.push_back(v);
+                for (std::uint64_t v = 0; get_u64(rest, v);)
+                    field.numbers.push_back(v);
                 good = rest.empty();
                 words = field.numbers.size();
             }
-            for (const std::uint64_t v : field.values) good = good && v < words;
+            for (const std::uint64_t v : field.values)
+                good = good && v < words;
         });
     });
     return good;
@@ -521,7 +570,8 @@
             ++unknown_;
             continue;
         }
-        if (!(wanted_ >> type & 1)) continue;
+        if (!(wanted_ >> type & 1))
+            continue;
         held = i < summary_.held;
         TypeColumns& columns = *columns_[type];
         const std::size_t row = columns.row++;
--- a/src/trace/chunk.h
+++ b/src/trace/chunk.h
@@ -60,7 +60,9 @@
     std::unordered_map<std::uint64_t, std::uint64_t> numbers;
     struct Hash {
         using is_transparent = void;
-        std::size_t operator()(std::string_view text) const { return checksum(text); }
+        std::size_t operator()(std::string_view text) const {
+            return checksum(text);
+        }
     };
     std::unordered_map<std::string, std::uint64_t, Hash, std::equal_to<>> texts;
     void clear();
@@ -73,8 +75,12 @@
     ~ChunkBuilder();
     // All `held` ones come before all others.
     void add(const Record& record, std::int64_t unix_ns, bool held);
-    const Summary& summary() const { return summary_; }
-    std::size_t records() const { return types_.size(); }
+    const Summary& summary() const {
+        return summary_;
+    }
+    std::size_t records() const {
+        return types_.size();
+    }
     // Head and body, and an empty builder. Level 1 to 19 is zstd's.
     struct Parts {
         Summary summary;
@@ -109,9 +115,13 @@
     // Absent: not a head that this version can read.
     static std::unique_ptr<ChunkView> open(View head);
     ~ChunkView();
-    const Summary& summary() const { return summary_; }
+    const Summary& summary() const {
+        return summary_;
+    }
     bool may_hold(std::uint64_t key) const;
-    std::uint64_t body_bytes() const { return body_bytes_; }
+    std::uint64_t body_bytes() const {
+        return body_bytes_;
+    }
     // What each column takes in the file, by `type.field`; dictionaries end in `.words`.
     std::map<std::string, std::uint64_t> column_bytes() const;
 
@@ -121,8 +131,12 @@
     bool load(Bytes body, Types wanted = kAllTypes);
     // The next wanted record. False: there is none, or what comes can't be read (then `bad()`).
     bool next(Record& record, bool& held);
-    bool bad() const { return bad_; }
-    std::uint64_t unknown() const { return unknown_; }  // passed over so far
+    bool bad() const {
+        return bad_;
+    }
+    std::uint64_t unknown() const {
+        return unknown_;
+    }  // passed over so far
 
 private:
     struct Column;
--- a/src/trace/codec.h
+++ b/src/trace/codec.h
@@ -46,7 +46,8 @@
     v = 0;
     for (unsigned shift = 0, i = 0; i < from.size() && shift < 64; ++i, shift += 7) {
         const auto byte = static_cast<unsigned char>(from[i]);
-        if (shift == 63 && byte > 1) return false;
+        if (shift == 63 && byte > 1)
+            return false;
         v |= static_cast<std::uint64_t>(byte & 0x7f) << shift;
         if (byte < 0x80) {
             from.remove_prefix(i + 1);
@@ -56,7 +57,8 @@
     return false;
 }
 inline bool get_u64(View& from, std::uint64_t& v) {
-    if (from.size() < 8) return false;
+    if (from.size() < 8)
+        return false;
     v = u64_at(from.data());
     from.remove_prefix(8);
     return true;
@@ -88,7 +90,9 @@
     explicit Filter(Bytes bits) : bits_(std::move(bits)) {}
     void add(std::uint64_t key);
     bool may_hold(std::uint64_t key) const;  // true where there are no bits
-    const Bytes& bits() const { return bits_; }
+    const Bytes& bits() const {
+        return bits_;
+    }
 
 private:
     template <class F>
--- a/src/trace/file.cpp
+++ b/src/trace/file.cpp
@@ -80,18 +80,21 @@
 }
 
 void Writer::flush() {
-    if (builder_.records() == builder_.summary().held) return;
+    if (builder_.records() == builder_.summary().held)
+        return;
     auto parts = builder_.finish(limits_.level);
     began_ = false;
     const Bytes bytes = block(kChunkKind, parts.head, parts.body);
     const std::uint64_t offset = bytes_;
     put(bytes);
-    if (limits_.index) index_.push_back({offset, bytes.size(), parts.summary});
+    if (limits_.index)
+        index_.push_back({offset, bytes.size(), parts.summary});
 }
 
 void Writer::close() {
     flush();
-    if (limits_.index) put(index_at(bytes_, index_));
+    if (limits_.index)
+        put(index_at(bytes_, index_));
 }
 
 Bytes index_at(std::uint64_t offset, const std::vector<Placed>& chunks) {
@@ -125,24 +128,28 @@
     source_.read(0, kHeaderBytes, header);
     if (header.size() < kMagic.size() || View{header}.substr(0, kMagic.size()) != kMagic)
         throw Unreadable("not a trace: it does not begin with SLTRACE");
-    if (header.size() < kHeaderBytes) throw Unreadable("not a trace: it ends inside its header");
+    if (header.size() < kHeaderBytes)
+        throw Unreadable("not a trace: it ends inside its header");
     const bool whole = u64_at(header.data() + 24) == checksum(View{header}.substr(0, 24));
     const std::uint16_t major = u16_at(header.data() + 8);
     if (major != kMajor && whole)
         throw Unreadable("a trace of major version " + std::to_string(major) + "; this program reads " +
                          std::to_string(kMajor));
-    if (!whole) note(0, kHeaderBytes, "header: checksum does not fit; its flags are not believed");
+    if (!whole)
+        note(0, kHeaderBytes, "header: checksum does not fit; its flags are not believed");
     minor_ = u16_at(header.data() + 10);
     // Without flags that can be believed, nothing may be taken for a whole recording.
     flags_ = whole ? u32_at(header.data() + 12) : std::uint32_t{kCut};
     created_unix_ns_ = static_cast<std::int64_t>(u64_at(header.data() + 16));
     indexed_ = read_index();
-    if (!indexed_) scan();
+    if (!indexed_)
+        scan();
 }
 
 void Reader::note(std::uint64_t offset, std::uint64_t bytes, std::string what) {
     for (const Damage& d : damage_)
-        if (d.offset == offset && d.what == what) return;
+        if (d.offset == offset && d.what == what)
+            return;
     if (damage_.size() >= kMostDamage) {
         damage_.back().bytes += bytes;
         damage_.back().what = "and more";
@@ -153,20 +160,24 @@
 
 bool Reader::block_at(std::uint64_t offset, Block& block, std::string* why) const {
     const auto no = [why](const char* text) {
-        if (why) *why = text;
+        if (why)
+            *why = text;
         return false;
     };
     Bytes frame;
     source_.read(offset, kFrameBytes, frame);
-    if (frame.size() < kFrameBytes) return no("ends inside a block's frame");
+    if (frame.size() < kFrameBytes)
+        return no("ends inside a block's frame");
     const std::uint32_t head = u32_at(frame.data() + 4);
     const std::uint32_t body = u32_at(frame.data() + 8);
-    if (head > kMostIndex || body > kMostBody) return no("no block begins here");
+    if (head > kMostIndex || body > kMostBody)
+        return no("no block begins here");
     block.body_offset = offset + kFrameBytes + head;
     block.body_bytes = body;
     block.bytes = kFrameBytes + head + std::uint64_t{body} + 8;
     source_.read(offset + kFrameBytes, head, block.head);
-    if (block.head.size() < head) return no("ends inside a block's head, or no block begins here");
+    if (block.head.size() < head)
+        return no("ends inside a block's head, or no block begins here");
     if (u64_at(frame.data() + 16) != checksum(block.head, checksum(View{frame}.substr(0, 16))))
         return no("a block's head does not fit its checksum");
     block.kind = frame.substr(0, 4);
@@ -175,7 +186,8 @@
 
 bool Reader::read_index() {
     const std::uint64_t size = source_.size();
-    if (size < kHeaderBytes + kTrailerBytes) return false;
+    if (size < kHeaderBytes + kTrailerBytes)
+        return false;
     Bytes trailer;
     source_.read(size - kTrailerBytes, kTrailerBytes, trailer);
     if (trailer.size() < kTrailerBytes || View{trailer}.substr(16) != kEndMagic ||
@@ -183,13 +195,16 @@
         return false;
     const std::uint64_t offset = u64_at(trailer.data());
     Block index;
-    if (offset >= size || !block_at(offset, index, nullptr) || index.kind != kIndexKind) return false;
+    if (offset >= size || !block_at(offset, index, nullptr) || index.kind != kIndexKind)
+        return false;
     Bytes end;
     source_.read(index.body_offset + index.body_bytes, 8, end);
-    if (index.body_bytes != 0 || end.size() < 8 || u64_at(end.data()) != checksum({})) return false;
+    if (index.body_bytes != 0 || end.size() < 8 || u64_at(end.data()) != checksum({}))
+        return false;
     View rest = index.head;
     std::uint64_t count = 0;
-    if (!get_varint(rest, count) || count > rest.size()) return false;
+    if (!get_varint(rest, count) || count > rest.size())
+        return false;
     std::vector<Chunk> chunks(count);
     for (Chunk& c : chunks)
         if (!get_varint(rest, c.offset) || !get_varint(rest, c.bytes) || !get_summary(rest, c.summary) ||
@@ -218,7 +233,8 @@
             }
             const auto view = block.kind == kChunkKind ? ChunkView::open(block.head) : nullptr;
             after_loss = after_loss || (block.kind == kChunkKind && !view);
-            if (block.kind == kChunkKind && !view) note(at, block.bytes, "a chunk's head can't be read");
+            if (block.kind == kChunkKind && !view)
+                note(at, block.bytes, "a chunk's head can't be read");
             if (view && size - at < block.bytes)
                 note(at, size - at,
                      "ends inside a chunk of " + std::to_string(view->summary().records) + " records");
@@ -234,13 +250,16 @@
             source_.read(from, 1 << 20, window);
             for (std::size_t i = window.find("SL"); i != Bytes::npos; i = window.find("SL", i + 1)) {
                 const View kind = View{window}.substr(i, 4);
-                if (kind != kChunkKind && kind != kIndexKind) continue;
+                if (kind != kChunkKind && kind != kIndexKind)
+                    continue;
                 Block found;
-                if (!block_at(from + i, found, nullptr)) continue;
+                if (!block_at(from + i, found, nullptr))
+                    continue;
                 next = from + i;
                 break;
             }
-            if (window.size() < (1 << 20)) break;
+            if (window.size() < (1 << 20))
+                break;
             from += window.size() - 3;
         }
         note(at, next - at, why);
@@ -260,7 +279,8 @@
         return nullptr;
     }
     auto view = ChunkView::open(block.head);
-    if (!view) note(c.offset, c.bytes, "a chunk's head can't be read");
+    if (!view)
+        note(c.offset, c.bytes, "a chunk's head can't be read");
     return view;
 }
 
@@ -274,7 +294,8 @@
              std::string{what} + ", " + std::to_string(c.summary.records) + " records lost");
         return nullptr;
     };
-    if (all.size() < kFrameBytes + 8 || all.size() != c.bytes) return lost("a chunk is cut off");
+    if (all.size() < kFrameBytes + 8 || all.size() != c.bytes)
+        return lost("a chunk is cut off");
     const std::uint64_t head = u32_at(all.data() + 4);
     const std::uint64_t body = u32_at(all.data() + 8);
     if (View{all}.substr(0, 4) != kChunkKind || kFrameBytes + head + body + 8 != all.size())
@@ -286,7 +307,8 @@
     if (u64_at(all.data() + kFrameBytes + head + body) != checksum(body_bytes))
         return lost("a chunk's body does not fit its checksum");
     auto view = ChunkView::open(head_bytes);
-    if (!view || !view->load(Bytes{body_bytes}, wanted)) return lost("a chunk's columns can't be read");
+    if (!view || !view->load(Bytes{body_bytes}, wanted))
+        return lost("a chunk's columns can't be read");
     return view;
 }
 
@@ -301,7 +323,8 @@
         if (overlaps && (!pass_.worth || pass_.worth(s, may_hold)))
             view_ = reader_.load(chunk_, pass_.wanted);
         if (view_) {
-            if (resume_) in_force_ = {};
+            if (resume_)
+                in_force_ = {};
             loss_ = loss_ || reader_.chunks_[chunk_].after_loss;
             return true;
         }
@@ -322,13 +345,16 @@
             return true;
         }
         while (view_->next(record, held)) {
-            if (held && !resume_) continue;
+            if (held && !resume_)
+                continue;
             at_ = record.at;
-            if (pass_.track || kClocks >> record.body.index() & 1) in_force_.take(record);
+            if (pass_.track || kClocks >> record.body.index() & 1)
+                in_force_.take(record);
             return true;
         }
         const Chunk& c = reader_.chunks_[chunk_];
-        if (view_->bad()) reader_.note(c.offset, c.bytes, "a chunk's columns can't be read");
+        if (view_->bad())
+            reader_.note(c.offset, c.bytes, "a chunk's columns can't be read");
         reader_.unknown_ += view_->unknown();
         resume_ = false;
         view_ = nullptr;
@@ -342,7 +368,8 @@
     Record record;
     bool held = false;
     while (cursor.next(record, held))
-        if (!f(record, held, cursor.in_force())) return;
+        if (!f(record, held, cursor.in_force()))
+            return;
 }
 
 }  // namespace silverrail::trace
--- a/src/trace/file.h
+++ b/src/trace/file.h
@@ -57,10 +57,18 @@
     // Flushes, and writes the index. Nothing may be added any more.
     void close();
 
-    std::uint64_t bytes() const { return bytes_; }
-    std::uint64_t records() const { return records_; }
-    const state::InForce& in_force() const { return in_force_; }
-    state::InForce release() { return std::move(in_force_); }  // for the next writer; this one is done
+    std::uint64_t bytes() const {
+        return bytes_;
+    }
+    std::uint64_t records() const {
+        return records_;
+    }
+    const state::InForce& in_force() const {
+        return in_force_;
+    }
+    state::InForce release() {
+        return std::move(in_force_);
+    }  // for the next writer; this one is done
 
 private:
     void begin();
@@ -92,13 +100,27 @@
     struct Chunk : Placed {
         bool after_loss = false;  // what stood before it could not be found
     };
-    const std::vector<Chunk>& chunks() const { return chunks_; }
-    std::uint32_t flags() const { return flags_; }
-    std::uint16_t minor() const { return minor_; }
-    std::int64_t created_unix_ns() const { return created_unix_ns_; }
-    bool indexed() const { return indexed_; }  // false: its writer did not end in good order
-    const std::vector<Damage>& damage() const { return damage_; }
-    std::uint64_t unknown() const { return unknown_; }
+    const std::vector<Chunk>& chunks() const {
+        return chunks_;
+    }
+    std::uint32_t flags() const {
+        return flags_;
+    }
+    std::uint16_t minor() const {
+        return minor_;
+    }
+    std::int64_t created_unix_ns() const {
+        return created_unix_ns_;
+    }
+    bool indexed() const {
+        return indexed_;
+    }  // false: its writer did not end in good order
+    const std::vector<Damage>& damage() const {
+        return damage_;
+    }
+    std::uint64_t unknown() const {
+        return unknown_;
+    }
 
     // Opens a chunk. Absent: it is damaged, which is noted. Only columns of `wanted` types are unpacked.
     std::unique_ptr<ChunkView> load(std::size_t chunk, Types wanted = kAllTypes);
@@ -126,7 +148,9 @@
     public:
         Cursor(Reader& reader, Pass pass) : reader_(reader), pass_(std::move(pass)) {}
         bool next(Record& record, bool& held);
-        const state::InForce& in_force() const { return in_force_; }
+        const state::InForce& in_force() const {
+            return in_force_;
+        }
 
     private:
         bool open_next();
--- a/src/trace/json.cpp
+++ b/src/trace/json.cpp
@@ -15,9 +15,13 @@
 
 namespace {
 
-Json::Value number(std::int64_t v) { return Json::Value{Json::Int64{v}}; }
+Json::Value number(std::int64_t v) {
+    return Json::Value{Json::Int64{v}};
+}
 
-double ms(std::int64_t ns) { return static_cast<double>(ns) / 1e6; }
+double ms(std::int64_t ns) {
+    return static_cast<double>(ns) / 1e6;
+}
 
 std::string ms_text(std::int64_t ns) {
     char text[32];
@@ -30,7 +34,8 @@
 }
 
 std::string_view outcome_word(const Story& s) {
-    if (s.closed_at == kNoTime) return "open";
+    if (s.closed_at == kNoTime)
+        return "open";
     return s.abandoned ? std::string_view{"abandoned"} : word(kAnswerWords, s.kind);
 }
 
@@ -54,7 +59,8 @@
         std::memcpy(b.data(), bytes.data(), b.size());
         return ip::address_v6{b}.to_string();
     }
-    if (bytes.size() == 8) return "~" + hex(u64_at(bytes.data()));
+    if (bytes.size() == 8)
+        return "~" + hex(u64_at(bytes.data()));
     return {};
 }
 
@@ -64,7 +70,8 @@
     const auto rest = static_cast<long long>(unix_ns - second * 1'000'000'000);
     const std::time_t t = second;
     std::tm parts{};
-    if (!::gmtime_r(&t, &parts)) return std::to_string(unix_ns);
+    if (!::gmtime_r(&t, &parts))
+        return std::to_string(unix_ns);
     char text[64];
     std::snprintf(text, sizeof text, "%04d-%02d-%02dT%02d:%02d:%02d.%06lldZ", parts.tm_year + 1900,
                   parts.tm_mon + 1, parts.tm_mday, parts.tm_hour, parts.tm_min, parts.tm_sec, rest / 1000);
@@ -75,7 +82,8 @@
     const auto digits = [&text](std::size_t at, std::size_t n) -> int {
         int v = 0;
         for (std::size_t i = at; i < at + n; ++i) {
-            if (i >= text.size() || text[i] < '0' || text[i] > '9') return -1;
+            if (i >= text.size() || text[i] < '0' || text[i] > '9')
+                return -1;
             v = v * 10 + (text[i] - '0');
         }
         return v;
@@ -91,7 +99,8 @@
     const std::chrono::year_month_day date{std::chrono::year{year},
                                            std::chrono::month{static_cast<unsigned>(month)},
                                            std::chrono::day{static_cast<unsigned>(day)}};
-    if (!date.ok()) return std::nullopt;
+    if (!date.ok())
+        return std::nullopt;
     std::int64_t ns = 0;
     std::size_t at = 19;
     if (text[at] == '.') {
@@ -99,17 +108,21 @@
         std::int64_t unit = 100'000'000;
         for (; at < text.size() && text[at] >= '0' && text[at] <= '9'; ++at, unit /= 10)
             ns += (text[at] - '0') * unit;
-        if (at == from) return std::nullopt;
+        if (at == from)
+            return std::nullopt;
     }
     std::int64_t zone = 0;
-    if (at >= text.size()) return std::nullopt;
+    if (at >= text.size())
+        return std::nullopt;
     if (text[at] == 'Z' || text[at] == 'z') {
-        if (at + 1 != text.size()) return std::nullopt;
+        if (at + 1 != text.size())
+            return std::nullopt;
     } else {
         if ((text[at] != '+' && text[at] != '-') || text.size() != at + 6 || text[at + 3] != ':')
             return std::nullopt;
         const int h = digits(at + 1, 2), m = digits(at + 4, 2);
-        if (h < 0 || h > 23 || m < 0 || m > 59) return std::nullopt;
+        if (h < 0 || h > 23 || m < 0 || m > 59)
+            return std::nullopt;
         zone = (text[at] == '-' ? -1 : 1) * (h * 3600 + m * 60);
     }
     const auto days = std::chrono::sys_days{date}.time_since_epoch().count();
@@ -133,7 +146,8 @@
                 } else if constexpr (std::is_same_v<F, bool>) {
                     out[name] = value;
                 } else if constexpr (std::is_same_v<F, double>) {
-                    if (!std::isnan(value)) out[name] = value;
+                    if (!std::isnan(value))
+                        out[name] = value;
                 } else if constexpr (std::is_same_v<F, std::uint8_t>) {
                     if (n == "ending")
                         out[name] = std::string{word(kEndingWords, value)};
@@ -150,7 +164,8 @@
                     else
                         out[name] = value;
                 } else if constexpr (std::is_same_v<F, std::int64_t>) {
-                    if (value != kNoTime) out[name] = number(value);
+                    if (value != kNoTime)
+                        out[name] = number(value);
                 } else {
                     if (n == "object" || n == "trace_id" || n == "seed")
                         out[name] = hex(value);
@@ -177,7 +192,8 @@
         out["class"] = names.class_name(s.source, s.taken.class_index);
         out["object"] = hex(s.taken.object);
         out["part"] = Json::Value{Json::UInt64{s.taken.part}};
-        if (s.taken.group_known) out["lot"] = Json::Value{Json::UInt64{s.taken.group}};
+        if (s.taken.group_known)
+            out["lot"] = Json::Value{Json::UInt64{s.taken.group}};
         out["size_kb"] = s.taken.size_kb;
         out["wait_ms"] = ms(s.taken.wait);
         out["write"] = s.taken.write;
@@ -194,28 +210,36 @@
                 j["source"] = std::string{a.source.text()};
                 j["rank"] = a.rank;
                 j["held_only"] = a.held_only;
-                if (a.oldest > 0) j["oldest_ms"] = ms(a.oldest);
+                if (a.oldest > 0)
+                    j["oldest_ms"] = ms(a.oldest);
             }
-            if (a.timeout > 0) j["timeout_ms"] = ms(a.timeout);
+            if (a.timeout > 0)
+                j["timeout_ms"] = ms(a.timeout);
         }
-        if (a.first_byte_at != kNoTime) j["first_byte"] = std::string{word(kVerdictWords, a.verdict)};
+        if (a.first_byte_at != kNoTime)
+            j["first_byte"] = std::string{word(kVerdictWords, a.verdict)};
         if (a.ended_at != kNoTime) {
             j["ending"] = std::string{word(kEndingWords, a.ending)};
             j["took_ms"] = ms(a.took);
-            if (a.note) j["note"] = std::string{word(kNoteWords, a.note)};
-            if (a.source_wait > 0) j["source_wait_ms"] = ms(a.source_wait);
+            if (a.note)
+                j["note"] = std::string{word(kNoteWords, a.note)};
+            if (a.source_wait > 0)
+                j["source_wait_ms"] = ms(a.source_wait);
         }
         out["attempts"].append(std::move(j));
     }
     if (s.closed_at != kNoTime) {
         out["closed"] = time_text(names.unix_ns(s.source, s.closed_at));
-        if (s.taken_at != kNoTime) out["took_ms"] = ms(s.took());
+        if (s.taken_at != kNoTime)
+            out["took_ms"] = ms(s.took());
     }
     if (s.answered()) {
         out["timed_out"] = s.timed_out;
         out["bytes"] = Json::Value{Json::UInt64{s.bytes}};
-        if (s.hold_off > 0) out["hold_off_ms"] = ms(s.hold_off);
-        if (!s.box.empty()) out["named"] = std::string{s.box.text()};
+        if (s.hold_off > 0)
+            out["hold_off_ms"] = ms(s.hold_off);
+        if (!s.box.empty())
+            out["named"] = std::string{s.box.text()};
     }
     return out;
 }
@@ -229,23 +253,31 @@
                std::to_string(s.taken.part) + " id " + trace_text(s);
         if (const std::string client = address_text(s.client.text()); !client.empty())
             out += " from " + client;
-        if (s.before) out += " (open at the begin)";
+        if (s.before)
+            out += " (open at the begin)";
     } else {
         out += " call " + std::to_string(s.call);
     }
     out += ": ";
     out += outcome_word(s);
-    if (s.turned_away()) out += " at the door";
-    if (s.answered() && s.bytes > 0) out += ", " + std::to_string(s.bytes) + " bytes";
-    if (s.answered() && s.hold_off > 0) out += ", come back in " + ms_text(s.hold_off);
-    if (s.answered() && s.timed_out) out += ", past its deadline";
-    if (!s.box.empty()) out += ", named " + std::string{s.box.text()};
-    if (s.took() != kNoTime) out += ", after " + ms_text(s.took());
+    if (s.turned_away())
+        out += " at the door";
+    if (s.answered() && s.bytes > 0)
+        out += ", " + std::to_string(s.bytes) + " bytes";
+    if (s.answered() && s.hold_off > 0)
+        out += ", come back in " + ms_text(s.hold_off);
+    if (s.answered() && s.timed_out)
+        out += ", past its deadline";
+    if (!s.box.empty())
+        out += ", named " + std::string{s.box.text()};
+    if (s.took() != kNoTime)
+        out += ", after " + ms_text(s.took());
     out += '\n';
     for (const AttemptStory& a : s.attempts) {
         out += "    attempt " + std::to_string(a.number);
         if (a.sent_at != kNoTime) {
-            if (seen) out += " +" + ms_text(a.sent_at - s.taken_at);
+            if (seen)
+                out += " +" + ms_text(a.sent_at - s.taken_at);
             out += " to " + std::string{a.target.text()};
             if (!a.fills)
                 out += ", a plain look";
@@ -253,8 +285,10 @@
                 out += ", no fill";
             else
                 out += ", fill from " + std::string{a.source.text()} + " at rank " + std::to_string(a.rank);
-            if (a.oldest > 0) out += ", no older than " + ms_text(a.oldest);
-            if (a.timeout > 0) out += ", for " + ms_text(a.timeout);
+            if (a.oldest > 0)
+                out += ", no older than " + ms_text(a.oldest);
+            if (a.timeout > 0)
+                out += ", for " + ms_text(a.timeout);
         }
         if (a.first_byte_at != kNoTime && a.verdict != FirstByte::written)
             out += ", " + std::string{word(kVerdictWords, a.verdict)} + " at its first byte";
@@ -264,9 +298,11 @@
         }
         out += ": ";
         out += word(kEndingWords, a.ending);
-        if (a.note) out += " (" + std::string{word(kNoteWords, a.note)} + ")";
+        if (a.note)
+            out += " (" + std::string{word(kNoteWords, a.note)} + ")";
         out += " after " + ms_text(a.took);
-        if (a.source_wait > 0) out += ", waited " + ms_text(a.source_wait) + " for the source";
+        if (a.source_wait > 0)
+            out += ", waited " + ms_text(a.source_wait) + " for the source";
         out += '\n';
     }
     return out;
--- a/src/trace/observe.cpp
+++ b/src/trace/observe.cpp
@@ -6,13 +6,17 @@
 
 namespace {
 
-std::int64_t ns(core::Time t) { return t.time_since_epoch().count(); }
+std::int64_t ns(core::Time t) {
+    return t.time_since_epoch().count();
+}
 
 // 16 lower-case hex digits are kept as their number, anything else as it is.
 bool as_number(std::string_view trace, std::uint64_t& number) {
-    if (trace.size() != 16) return false;
+    if (trace.size() != 16)
+        return false;
     for (const char c : trace)
-        if (!((c >= '0' && c <= '9') || (c >= 'a' && c <= 'f'))) return false;
+        if (!((c >= '0' && c <= '9') || (c >= 'a' && c <= 'f')))
+            return false;
     const auto [end, error] = std::from_chars(trace.data(), trace.data() + trace.size(), number, 16);
     return error == std::errc{} && end == trace.data() + trace.size();
 }
@@ -22,7 +26,8 @@
 void Observing::put_taken(const core::Call& call, std::uint64_t id, std::size_t class_index, core::Time now) {
     state::Taken t;
     t.call = id;
-    if (!as_number(call.trace, t.trace_id)) t.trace = call.trace;
+    if (!as_number(call.trace, t.trace_id))
+        t.trace = call.trace;
     if (!left_out_.clients)
         t.client = {reinterpret_cast<const char*>(call.client.bytes.data()), call.client.size};
     t.front = static_cast<std::uint8_t>(call.front);
@@ -33,7 +38,8 @@
     t.part = call.part;
     t.size_kb = call.size_kb;
     t.wait = (call.deadline - now).count();
-    if (!left_out_.tags) t.have = call.have;
+    if (!left_out_.tags)
+        t.have = call.have;
     t.write = call.write;
     t.body_bytes = call.body ? call.body->size() : 0;
     t.referred = call.referred;
@@ -51,7 +57,8 @@
         e.condition = static_cast<std::uint8_t>(c.condition);
         e.weight = c.weight;
         e.cell = static_cast<std::int64_t>(c.cell);
-        if (c.up_since) e.up_since = ns(*c.up_since);
+        if (c.up_since)
+            e.up_since = ns(*c.up_since);
         if (change && i < change->boxes.size()) {
             e.address = change->boxes[i].address;
             e.started_unix_ms = change->boxes[i].started_ms;
@@ -128,7 +135,8 @@
                               origin.purge ? origin.purge->issued_ms : 0, purge->age.count()});
     }
     sent_call_ = 0;
-    for (const auto& action : actions) put_action(action, origin, now);
+    for (const auto& action : actions)
+        put_action(action, origin, now);
 }
 
 void Observing::turned_away(const core::Call& call, std::size_t class_index, core::Time now) {
@@ -153,7 +161,8 @@
     a.hold_off = answer.hold_off.count();
     a.bytes = answer.body.size();
     a.made_unix_ms = answer.made_ms;
-    if (!left_out_.tags) a.tag = answer.tag;
+    if (!left_out_.tags)
+        a.tag = answer.tag;
     a.box = answer.box_address;
     put(now, a);
 }
--- a/src/trace/queue.cpp
+++ b/src/trace/queue.cpp
@@ -13,7 +13,9 @@
 constexpr std::size_t kFront = 4 + 8 + 4 + 4;  // size, time, source, type; then the fields
 constexpr std::size_t kAlign = 8;
 
-std::size_t rounded(std::size_t n) { return (n + kAlign - 1) / kAlign * kAlign; }
+std::size_t rounded(std::size_t n) {
+    return (n + kAlign - 1) / kAlign * kAlign;
+}
 
 template <class T>
 void put(char*& to, const T& value) {
@@ -50,13 +52,15 @@
 
 bool RecordQueue::push(const state::Record& record) {
     const std::size_t bytes = bytes_of(record);
-    if (bytes > ring_.size() / 4) return false;
+    if (bytes > ring_.size() / 4)
+        return false;
     std::size_t head = head_.load(std::memory_order_relaxed);
     const std::size_t to_end = ring_.size() - (head & mask_);
     const std::size_t needed = bytes <= to_end ? bytes : to_end + bytes;
     if (head + needed - tail_seen_ > ring_.size()) {
         tail_seen_ = tail_.load(std::memory_order_acquire);
-        if (head + needed - tail_seen_ > ring_.size()) return false;
+        if (head + needed - tail_seen_ > ring_.size())
+            return false;
     }
     if (bytes > to_end) {
         std::memcpy(ring_.data() + (head & mask_), &kSkip, sizeof kSkip);
@@ -72,7 +76,8 @@
             T::fields(body, [&to](const char*, const auto& value, Pack) {
                 if constexpr (std::is_same_v<std::decay_t<decltype(value)>, Text>) {
                     put(to, static_cast<std::uint32_t>(value.size()));
-                    if (!value.empty()) std::memcpy(to, value.data(), value.size());
+                    if (!value.empty())
+                        std::memcpy(to, value.data(), value.size());
                     to += value.size();
                 } else {
                     put(to, value);
@@ -87,10 +92,12 @@
 bool RecordQueue::pop(state::Record& record) {
     std::size_t tail = tail_.load(std::memory_order_relaxed) + reading_;
     // Only now may the maker write over what the last record's texts pointed to.
-    if (reading_) tail_.store(tail, std::memory_order_release);
+    if (reading_)
+        tail_.store(tail, std::memory_order_release);
     reading_ = 0;
     const std::size_t head = head_.load(std::memory_order_acquire);
-    if (tail == head) return false;
+    if (tail == head)
+        return false;
     const char* from = ring_.data() + (tail & mask_);
     std::uint32_t bytes = got<std::uint32_t>(from);
     if (bytes == kSkip) {
--- a/src/trace/queue.h
+++ b/src/trace/queue.h
@@ -17,7 +17,9 @@
     bool push(const state::Record& record);
     // By the writer. The record's texts live until the next call. False: there is none.
     bool pop(state::Record& record);
-    std::size_t capacity() const { return ring_.size(); }
+    std::size_t capacity() const {
+        return ring_.size();
+    }
 
 private:
     static std::size_t bytes_of(const state::Record& record);
--- a/src/trace/recorder.cpp
+++ b/src/trace/recorder.cpp
@@ -37,19 +37,23 @@
     std::error_code error;
     for (fs::directory_iterator at{path_, error}, end; !error && at != end; at.increment(error)) {
         const std::string name = at->path().filename().string();
-        if (!name.starts_with(prefix_) || !name.ends_with(".slt")) continue;
+        if (!name.starts_with(prefix_) || !name.ends_with(".slt"))
+            continue;
         std::error_code gone;
         const auto bytes = at->file_size(gone);
-        if (!gone) files.push_back({name, bytes});
+        if (!gone)
+            files.push_back({name, bytes});
     }
-    if (error && error != std::errc::no_such_file_or_directory) throw IoError(path_ + ": " + error.message());
+    if (error && error != std::errc::no_such_file_or_directory)
+        throw IoError(path_ + ": " + error.message());
     return files;
 }
 
 void DiskFolder::remove(const std::string& name) {
     std::error_code error;
     fs::remove(fs::path{path_} / name, error);
-    if (error) throw IoError(path_ + "/" + name + ": " + error.message());
+    if (error)
+        throw IoError(path_ + "/" + name + ": " + error.message());
 }
 
 // ---- flight ------------------------------------------------------------------------------------
@@ -76,13 +80,16 @@
         MemorySink sink;
         Writer header{sink, cut_ ? std::uint32_t{kCut} : 0u, created_unix_ns};
         Bytes all = std::move(sink.bytes());
-        for (const Bytes& block : blocks_) all += block;
+        for (const Bytes& block : blocks_)
+            all += block;
         const MemorySource source{all};
         Reader reader{source};
         all += index_at(all.size(), {reader.chunks().begin(), reader.chunks().end()});
         return all;
     }
-    bool empty() const { return blocks_.empty(); }
+    bool empty() const {
+        return blocks_.empty();
+    }
 
 private:
     std::size_t most_;
@@ -120,7 +127,9 @@
     ::pthread_sigmask(SIG_SETMASK, &before, nullptr);
 }
 
-Recorder::~Recorder() { stop(); }
+Recorder::~Recorder() {
+    stop();
+}
 
 void Recorder::take(const state::Record& record) {
     if (const auto* answered = std::get_if<state::Answered>(&record.body))
@@ -130,9 +139,12 @@
     const auto count = [](std::atomic<std::uint64_t>& n) {
         n.store(n.load(std::memory_order_relaxed) + 1, std::memory_order_relaxed);  // one thread writes it
     };
-    if (gap_ > 0 && queue_.push({record.at, 0, state::Gap{gap_, gap_from_, gap_to_}})) gap_ = 0;
-    if (gap_ == 0 && queue_.push(record)) return count(records_);
-    if (gap_++ == 0) gap_from_ = record.at;
+    if (gap_ > 0 && queue_.push({record.at, 0, state::Gap{gap_, gap_from_, gap_to_}}))
+        gap_ = 0;
+    if (gap_ == 0 && queue_.push(record))
+        return count(records_);
+    if (gap_++ == 0)
+        gap_from_ = record.at;
     gap_to_ = record.at;
     count(dropped_);
 }
@@ -141,10 +153,13 @@
     take({at, 0, state::Clock{offset, 0}});
 }
 
-void Recorder::dump() { dump_wanted_.store(true, std::memory_order_relaxed); }
+void Recorder::dump() {
+    dump_wanted_.store(true, std::memory_order_relaxed);
+}
 
 void Recorder::stop() {
-    if (!thread_.joinable()) return;
+    if (!thread_.joinable())
+        return;
     {
         const std::lock_guard lock{mutex_};
         stopping_ = true;
@@ -154,7 +169,9 @@
 }
 
 Recorder::Counts Recorder::counts() const {
-    const auto of = [](const std::atomic<std::uint64_t>& n) { return n.load(std::memory_order_relaxed); };
+    const auto of = [](const std::atomic<std::uint64_t>& n) {
+        return n.load(std::memory_order_relaxed);
+    };
     return {of(records_), of(dropped_), of(lost_), of(bytes_), of(files_), of(dumps_), of(write_errors_)};
 }
 
@@ -165,7 +182,8 @@
 
 void Recorder::notice(std::string text) {
     const std::lock_guard lock{mutex_};
-    if (notices_.size() < kMostNotices) notices_.push_back(std::move(text));
+    if (notices_.size() < kMostNotices)
+        notices_.push_back(std::move(text));
 }
 
 // ---- the writer thread -------------------------------------------------------------------------
@@ -187,7 +205,8 @@
 bool Recorder::drain() {
     state::Record record;
     for (std::size_t n = 0; n < kAtOnce; ++n) {
-        if (!queue_.pop(record)) return false;
+        if (!queue_.pop(record))
+            return false;
         write(record);
     }
     return true;
@@ -230,18 +249,23 @@
     ++write_errors_;
     lost_ += unwritten_;
     // The gap that the lost chunk told of is still to be told of.
-    if (lost_here_ == 0 && told_here_ == 0) lost_from_ = lost_to_;
+    if (lost_here_ == 0 && told_here_ == 0)
+        lost_from_ = lost_to_;
     lost_here_ += unwritten_ + std::exchange(told_here_, 0);
     unwritten_ = 0;
-    if (writer_) in_force_ = writer_->release();
+    if (writer_)
+        in_force_ = writer_->release();
     writer_ = nullptr;
     sink_ = nullptr;
     retry_at_ = SteadyClock::now() + settings_.retry;
-    if (!std::exchange(failing_, true)) notice("can't be written, tried again every second: " + why);
+    if (!std::exchange(failing_, true))
+        notice("can't be written, tried again every second: " + why);
 }
 
 // Everything up to here is out.
-void Recorder::written() { unwritten_ = told_here_ = 0; }
+void Recorder::written() {
+    unwritten_ = told_here_ = 0;
+}
 
 void Recorder::write(const state::Record& record) {
     if (!writer_) {
@@ -254,12 +278,15 @@
                     told_here_ = std::exchange(lost_here_, 0);
                     writer_->add({lost_to_, 0, state::Gap{told_here_, lost_from_, lost_to_}});
                 }
-            } catch (const IoError& e) { failed(e.what()); }
+            } catch (const IoError& e) {
+                failed(e.what());
+            }
         }
         if (!writer_) {
             // Lost, but what is in force goes on being known.
             in_force_.take(record);
-            if (lost_here_++ == 0) lost_from_ = record.at;
+            if (lost_here_++ == 0)
+                lost_from_ = record.at;
             lost_to_ = record.at;
             ++lost_;
             return;
@@ -270,8 +297,11 @@
     try {
         lost_to_ = record.at;
         writer_->add(record);
-        if (writer_->bytes() != before) written();
-    } catch (const IoError& e) { failed(e.what()); }
+        if (writer_->bytes() != before)
+            written();
+    } catch (const IoError& e) {
+        failed(e.what());
+    }
 }
 
 void Recorder::housekeep() {
@@ -287,11 +317,16 @@
             bytes_ += writer_->bytes() - counted_bytes_;
             counted_bytes_ = writer_->bytes();
         }
-        if (writer_ && !flight_ && retention_.rotate(writer_->bytes(), ns(now - file_begun_))) end_file();
-    } catch (const IoError& e) { failed(e.what()); }
-    if (!flight_ && std::exchange(look_at_folder_, false)) try {
+        if (writer_ && !flight_ && retention_.rotate(writer_->bytes(), ns(now - file_begun_)))
+            end_file();
+    } catch (const IoError& e) {
+        failed(e.what());
+    }
+    if (!flight_ && std::exchange(look_at_folder_, false))
+        try {
             auto files = folder_->list();
-            if (writer_) std::erase_if(files, [this](const auto& f) { return f.name == file_; });
+            if (writer_)
+                std::erase_if(files, [this](const auto& f) { return f.name == file_; });
             for (const auto& name : retention_.give_up(std::move(files), writer_ ? writer_->bytes() : 0))
                 folder_->remove(name);
             not_removed_ = false;
@@ -308,7 +343,8 @@
 }
 
 void Recorder::write_flight() {
-    if (flight_->empty()) return notice("nothing to dump yet");
+    if (flight_->empty())
+        return notice("nothing to dump yet");
     const std::string name = next_name("flight-");
     try {
         const Bytes bytes = flight_->file(identity_.incarnation_unix_ns);
@@ -318,7 +354,8 @@
         bytes_ += bytes.size();
         notice("dumped " + std::to_string(bytes.size()) + " bytes to " + name);
         auto files = folder_->list();
-        for (const auto& old : retention_.give_up(std::move(files), 0)) folder_->remove(old);
+        for (const auto& old : retention_.give_up(std::move(files), 0))
+            folder_->remove(old);
     } catch (const IoError& e) {
         ++write_errors_;
         notice(std::string{"could not be dumped: "} + e.what());
@@ -327,7 +364,8 @@
 
 // Closes the open file; the next record begins another.
 void Recorder::end_file() {
-    if (!writer_) return;
+    if (!writer_)
+        return;
     try {
         writer_->flush();
         written();
@@ -337,7 +375,9 @@
         in_force_ = writer_->release();
         writer_ = nullptr;
         sink_ = nullptr;
-    } catch (const IoError& e) { failed(e.what()); }
+    } catch (const IoError& e) {
+        failed(e.what());
+    }
 }
 
 }  // namespace silverrail::trace
