--- a/src/trace/replay.cpp
+++ b/src/trace/replay.cpp
@@ -13,9 +13,13 @@
 
 constexpr std::size_t kMostClasses = 65536;  // calls whose class is remembered, for naming a difference
 
-Time time_of(std::int64_t ns) { return Time{Span{ns}}; }
+Time time_of(std::int64_t ns) {
+    return Time{Span{ns}};
+}
 
-std::optional<double> figure(double v) { return std::isnan(v) ? std::nullopt : std::optional{v}; }
+std::optional<double> figure(double v) {
+    return std::isnan(v) ? std::nullopt : std::optional{v};
+}
 
 std::uint64_t call_of(const Action& action) {
     return std::visit(
@@ -35,28 +39,38 @@
 }
 
 std::string words(const Action* action) {
-    if (!action) return "nothing";
+    if (!action)
+        return "nothing";
     struct {
         std::string operator()(const Send& s) const {
             std::string text = "send to " + s.target.address;
             if (s.fill) {
                 text += s.fill->source == s.target ? ", no fill" : ", filled from " + s.fill->source.address;
                 text += ", rank " + std::to_string(static_cast<int>(s.fill->rank));
-                if (s.fill->oldest > Span{}) text += ", no older than " + milliseconds(s.fill->oldest);
-                if (s.fill->join) text += ", join";
-                if (s.fill->renew) text += ", renew";
-                if (s.fill->held_only) text += ", held only";
+                if (s.fill->oldest > Span{})
+                    text += ", no older than " + milliseconds(s.fill->oldest);
+                if (s.fill->join)
+                    text += ", join";
+                if (s.fill->renew)
+                    text += ", renew";
+                if (s.fill->held_only)
+                    text += ", held only";
             } else {
                 text += ", a plain look";
             }
-            if (s.timeout > Span{}) text += ", for " + milliseconds(s.timeout);
+            if (s.timeout > Span{})
+                text += ", for " + milliseconds(s.timeout);
             return text;
         }
         std::string operator()(const Cancel& c) const {
             return "cancel attempt " + std::to_string(c.attempt);
         }
-        std::string operator()(const Refuse& r) const { return "refuse for " + milliseconds(r.retry_after); }
-        std::string operator()(const Fail&) const { return "fail"; }
+        std::string operator()(const Refuse& r) const {
+            return "refuse for " + milliseconds(r.retry_after);
+        }
+        std::string operator()(const Fail&) const {
+            return "fail";
+        }
         std::string operator()(const SetTimer& t) const {
             return "timer " + std::to_string(static_cast<std::uint64_t>(t.id)) + " after " +
                    milliseconds(t.after);
@@ -66,7 +80,8 @@
 }
 
 bool same_fill(const std::optional<Fill>& a, const std::optional<Fill>& b) {
-    if (a.has_value() != b.has_value()) return false;
+    if (a.has_value() != b.has_value())
+        return false;
     return !a || (a->source == b->source && a->rank == b->rank && a->oldest == b->oldest &&
                   a->join == b->join && a->renew == b->renew && a->held_only == b->held_only);
 }
@@ -81,28 +96,38 @@
     if (then_sends && now_sends) {
         const Send& a = std::get<Send>(then);
         const Send& b = std::get<Send>(now);
-        if (a.request != b.request || a.target != b.target) return Difference::other_target;
-        if (!same_fill(a.fill, b.fill)) return Difference::other_fill;
-        if (a.timeout != b.timeout) return Difference::other_timeout;
+        if (a.request != b.request || a.target != b.target)
+            return Difference::other_target;
+        if (!same_fill(a.fill, b.fill))
+            return Difference::other_fill;
+        if (a.timeout != b.timeout)
+            return Difference::other_timeout;
         return std::nullopt;
     }
-    if (then_sends && turns_away(now)) return Difference::stops_instead;
-    if (now_sends && turns_away(then)) return Difference::sends_instead;
+    if (then_sends && turns_away(now))
+        return Difference::stops_instead;
+    if (now_sends && turns_away(then))
+        return Difference::sends_instead;
     if (then.index() != now.index()) {
-        if (turns_away(then) && turns_away(now)) return Difference::other_refusal;
+        if (turns_away(then) && turns_away(now))
+            return Difference::other_refusal;
         return Difference::other_count;
     }
     if (const auto* a = std::get_if<Cancel>(&then)) {
         const Cancel& b = std::get<Cancel>(now);
-        if (a->request != b.request || a->attempt != b.attempt) return Difference::other_cancel;
+        if (a->request != b.request || a->attempt != b.attempt)
+            return Difference::other_cancel;
     } else if (const auto* r = std::get_if<Refuse>(&then)) {
         const Refuse& b = std::get<Refuse>(now);
-        if (r->request != b.request || r->retry_after != b.retry_after) return Difference::other_refusal;
+        if (r->request != b.request || r->retry_after != b.retry_after)
+            return Difference::other_refusal;
     } else if (const auto* f = std::get_if<Fail>(&then)) {
-        if (f->request != std::get<Fail>(now).request) return Difference::other_refusal;
+        if (f->request != std::get<Fail>(now).request)
+            return Difference::other_refusal;
     } else if (const auto* t = std::get_if<SetTimer>(&then)) {
         const SetTimer& b = std::get<SetTimer>(now);
-        if (t->id != b.id || t->after != b.after) return Difference::other_timer;
+        if (t->id != b.id || t->after != b.after)
+            return Difference::other_timer;
     }
     return std::nullopt;
 }
@@ -125,7 +150,8 @@
 Replay::Replay(SettingsOf settings_of, bool go_on) : settings_of_(std::move(settings_of)), go_on_(go_on) {}
 
 bool Replay::take(const state::Record& record) {
-    if (stopped_ || (first_ && !go_on_)) return false;
+    if (stopped_ || (first_ && !go_on_))
+        return false;
     if (const auto* start = std::get_if<state::Start>(&record.body)) {
         if (const auto before = routers_.find(record.source); before != routers_.end())
             compare(record.source, before->second);
@@ -137,15 +163,21 @@
     }
     const auto at = routers_.find(record.source);
     if (at == routers_.end()) {
-        if (std::holds_alternative<state::Clock>(record.body)) return true;
+        if (std::holds_alternative<state::Clock>(record.body))
+            return true;
         stopped_ = "it begins after its router's start: what the module knew then is not in it";
         return false;
     }
     Router& r = at->second;
-    const auto say = [&r](Action action) { r.recorded.push_back(std::move(action)); };
-    const auto id = [](std::uint64_t call) { return RequestId{call}; };
+    const auto say = [&r](Action action) {
+        r.recorded.push_back(std::move(action));
+    };
+    const auto id = [](std::uint64_t call) {
+        return RequestId{call};
+    };
     if (const auto* t = std::get_if<state::Taken>(&record.body)) {
-        if (t->call == 0) return true;  // the module was not told
+        if (t->call == 0)
+            return true;  // the module was not told
         if (t->class_index >= r.settings.classes.size()) {
             stopped_ = "a call of a class that the settings do not know";
             return false;
@@ -160,7 +192,8 @@
         q.deadline = time_of(record.at + t->wait);
         q.referred = t->referred;
         compare(record.source, r);
-        if (r.classes.size() >= kMostClasses) r.classes.erase(r.classes.begin());
+        if (r.classes.size() >= kMostClasses)
+            r.classes.erase(r.classes.begin());
         r.classes[t->call] = t->class_index;
         tell(record.source, r, q, record.at, t->call);
     } else if (const auto* e = std::get_if<state::Ended>(&record.body)) {
@@ -181,15 +214,18 @@
         tell(record.source, r, Timer{TimerId{f->timer}}, record.at, 0);
     } else if (const auto* p = std::get_if<state::Purge>(&record.body)) {
         winchflow::Purge purge{std::nullopt, GroupId{p->group}, Span{p->age}};
-        if (!p->whole_group) purge.object = ObjectId{p->object};
+        if (!p->whole_group)
+            purge.object = ObjectId{p->object};
         tell(record.source, r, purge, record.at, 0);
     } else if (const auto* l = std::get_if<state::List>(&record.body)) {
         compare(record.source, r);
         r.list = {l->complete, {}};
         r.entries = l->entries;
-        if (r.entries == 0) tell(record.source, r, std::exchange(r.list, {}), record.at, 0);
+        if (r.entries == 0)
+            tell(record.source, r, std::exchange(r.list, {}), record.at, 0);
     } else if (const auto* n = std::get_if<state::Entry>(&record.body)) {
-        if (r.entries == 0) return true;
+        if (r.entries == 0)
+            return true;
         ListedCache c;
         c.id.address = n->id;
         c.condition = static_cast<Condition>(n->condition);
@@ -197,9 +233,11 @@
         c.cell = CellId{n->cell};
         c.zone = n->zone;
         c.kind = n->kind;
-        if (n->up_since != state::kNoTime) c.up_since = time_of(n->up_since);
+        if (n->up_since != state::kNoTime)
+            c.up_since = time_of(n->up_since);
         r.list.caches.push_back(std::move(c));
-        if (--r.entries == 0) tell(record.source, r, std::exchange(r.list, {}), record.at, 0);
+        if (--r.entries == 0)
+            tell(record.source, r, std::exchange(r.list, {}), record.at, 0);
     } else if (const auto* s = std::get_if<state::Sent>(&record.body)) {
         Send send{id(s->call), CacheId{std::string{s->target}}, Span{s->timeout}, std::nullopt};
         if (s->fills)
@@ -230,12 +268,14 @@
 
 void Replay::end(bool whole) {
     for (auto& [source, r] : routers_)
-        if (whole) compare(source, r);
+        if (whole)
+            compare(source, r);
 }
 
 void Replay::tell(std::uint32_t source, Router& r, const Event& event, std::int64_t at, std::uint64_t call) {
     compare(source, r);
-    if (first_ && !go_on_) return;
+    if (first_ && !go_on_)
+        return;
     ++events_;
     r.at = at;
     r.call = call;
@@ -277,7 +317,8 @@
     const std::string name =
         class_index < r.settings.classes.size() ? r.settings.classes[class_index].name : "(none)";
     ++sums_[{name, d}];
-    if (!first_) first_ = Found{d, events_, r.at, source, call, class_index, words(then), words(now)};
+    if (!first_)
+        first_ = Found{d, events_, r.at, source, call, class_index, words(then), words(now)};
 }
 
 }  // namespace silverrail::trace
--- a/src/trace/replay.h
+++ b/src/trace/replay.h
@@ -51,14 +51,26 @@
     // `whole`: the trace ended in good order. Otherwise what was said to its last event may be cut off.
     void end(bool whole = true);
 
-    std::uint64_t events() const { return events_; }
-    std::uint64_t decisions() const { return decisions_; }
-    std::uint64_t differences() const { return differences_; }
-    const std::optional<Found>& first() const { return first_; }
+    std::uint64_t events() const {
+        return events_;
+    }
+    std::uint64_t decisions() const {
+        return decisions_;
+    }
+    std::uint64_t differences() const {
+        return differences_;
+    }
+    const std::optional<Found>& first() const {
+        return first_;
+    }
     // By class and kind; class names as the settings give them.
-    const std::map<std::pair<std::string, Difference>, std::uint64_t>& sums() const { return sums_; }
+    const std::map<std::pair<std::string, Difference>, std::uint64_t>& sums() const {
+        return sums_;
+    }
     // Absent: it can go on. Else why nothing after this point can be compared.
-    const std::optional<std::string>& stopped() const { return stopped_; }
+    const std::optional<std::string>& stopped() const {
+        return stopped_;
+    }
 
 private:
     struct Router {
--- a/src/trace/synth.cpp
+++ b/src/trace/synth.cpp
@@ -40,13 +40,16 @@
 class World {
 public:
     using Action = std::function<void()>;
-    Ns now() const { return now_; }
+    Ns now() const {
+        return now_;
+    }
     std::uint64_t at(Ns when, Action action) {
         queue_.emplace(std::pair{std::max(when, now_), ++last_}, std::move(action));
         return last_;
     }
     bool step(Ns until) {
-        if (queue_.empty() || queue_.begin()->first.first > until) return false;
+        if (queue_.empty() || queue_.begin()->first.first > until)
+            return false;
         auto node = queue_.extract(queue_.begin());
         now_ = node.key().first;
         node.mapped()();
@@ -64,12 +67,22 @@
 public:
     SkewedClock(const World& world, Ns begin_unix, Ns steady_base, Ns ahead, double drift)
         : world_(world), begin_unix_(begin_unix), steady_base_(steady_base), ahead_(ahead), drift_(drift) {}
-    Ns steady() const { return (steady_base_ + run(world_.now())) / 1000 * 1000; }
-    Ns unix_ns() const { return begin_unix_ + ahead_ + run(world_.now()); }
+    Ns steady() const {
+        return (steady_base_ + run(world_.now())) / 1000 * 1000;
+    }
+    Ns unix_ns() const {
+        return begin_unix_ + ahead_ + run(world_.now());
+    }
     // By the clock of the origin, which is right.
-    Ns true_unix_ns() const { return begin_unix_ + world_.now(); }
-    Time now() const override { return Time{Span{steady()}}; }
-    std::int64_t unix_ms() const override { return unix_ns() / kMs; }
+    Ns true_unix_ns() const {
+        return begin_unix_ + world_.now();
+    }
+    Time now() const override {
+        return Time{Span{steady()}};
+    }
+    std::int64_t unix_ms() const override {
+        return unix_ns() / kMs;
+    }
     // The true time at which this clock shows that steady one.
     Ns true_time(Time t) const {
         const auto mine = static_cast<double>(t.time_since_epoch().count() - steady_base_);
@@ -77,7 +90,9 @@
     }
 
 private:
-    Ns run(Ns t) const { return t + static_cast<Ns>(static_cast<double>(t) * drift_); }
+    Ns run(Ns t) const {
+        return t + static_cast<Ns>(static_cast<double>(t) * drift_);
+    }
     const World& world_;
     Ns begin_unix_;
     Ns steady_base_;
@@ -93,11 +108,14 @@
         live_.insert(handle);
         world_.at(clock_.true_time(when),
                   [this, handle, alive = std::weak_ptr{alive_}, action = std::move(action)] {
-                      if (alive.lock() && live_.erase(handle)) action();
+                      if (alive.lock() && live_.erase(handle))
+                          action();
                   });
         return handle;
     }
-    void cancel(Handle handle) override { live_.erase(handle); }
+    void cancel(Handle handle) override {
+        live_.erase(handle);
+    }
 
 private:
     World& world_;
@@ -127,20 +145,28 @@
         after(key, box, 80'000 + below(400'000), [this, order = std::move(order), &events, box] {
             if (!events.before_first_byte(order.key))
                 return end(events, order.key, box, {.ending = Ending::not_sent});
-            if (boxes_.dead[box]) return end(events, order.key, box, {.ending = Ending::no_connection});
+            if (boxes_.dead[box])
+                return end(events, order.key, box, {.ending = Ending::no_connection});
             run(order, events, box);
         });
     }
-    void cancel(const AttemptKey& key) override { out_.erase(key); }
+    void cancel(const AttemptKey& key) override {
+        out_.erase(key);
+    }
     void forget(const core::CacheId&) override {}
 
 private:
-    Ns below(Ns n) { return static_cast<Ns>(random_() % static_cast<std::uint64_t>(n)); }
-    double chance() { return static_cast<double>(random_() >> 11) * 0x1p-53; }
+    Ns below(Ns n) {
+        return static_cast<Ns>(random_() % static_cast<std::uint64_t>(n));
+    }
+    double chance() {
+        return static_cast<double>(random_() >> 11) * 0x1p-53;
+    }
     void after(const AttemptKey& key, const std::string& box, Ns span, World::Action action) {
         world_.at(world_.now() + span,
                   [this, key, box, alive = std::weak_ptr{alive_}, action = std::move(action)] {
-                      if (!alive.lock()) return;
+                      if (!alive.lock())
+                          return;
                       if (out_.contains(key))
                           action();
                       else
@@ -150,7 +176,8 @@
     void end(core::AttemptEvents& events, const AttemptKey& key, const std::string& box,
              core::AttemptEnd how) {
         --boxes_.held[box];
-        if (out_.erase(key)) events.ended(key, std::move(how));
+        if (out_.erase(key))
+            events.ended(key, std::move(how));
     }
     void run(const core::Order& order, core::AttemptEvents& events, const std::string& box) {
         const core::Call& call = *order.call;
@@ -197,7 +224,8 @@
     // A copy is there once the object was asked for at that box; small and old ones fall out by chance.
     bool seen(const std::string& box, const core::Call& call) {
         const auto key = checksum(box, static_cast<std::uint64_t>(call.object_id) ^ call.part);
-        if (copies_.size() > 200'000) copies_.clear();
+        if (copies_.size() > 200'000)
+            copies_.clear();
         return !copies_.insert(key).second && chance() > 0.05;
     }
     World& world_;
@@ -253,32 +281,44 @@
     }
     void hear(const core::PurgeNotice& purge) {
         world_.at(world_.now() + 99 * kMs + below(220 * kMs), [this, purge] {
-            if (!dead_) engine_.apply(purge);
+            if (!dead_)
+                engine_.apply(purge);
         });
     }
     void hear(const core::BoxChange& change) {
         world_.at(world_.now() + 200 * kMs + below(1500 * kMs), [this, change] {
-            if (!dead_) engine_.apply(change);
+            if (!dead_)
+                engine_.apply(change);
         });
     }
     std::int64_t incarnation_unix_ns = 0;
     std::uint64_t calls = 0;
 
 private:
-    void take(const state::Record& record) override { writer_.add(record); }
-    Ns offset() const { return clock_.unix_ns() - clock_.steady(); }
-    Ns below(Ns n) { return static_cast<Ns>(random_() % static_cast<std::uint64_t>(n)); }
-    double chance() { return static_cast<double>(random_() >> 11) * 0x1p-53; }
+    void take(const state::Record& record) override {
+        writer_.add(record);
+    }
+    Ns offset() const {
+        return clock_.unix_ns() - clock_.steady();
+    }
+    Ns below(Ns n) {
+        return static_cast<Ns>(random_() % static_cast<std::uint64_t>(n));
+    }
+    double chance() {
+        return static_cast<double>(random_() >> 11) * 0x1p-53;
+    }
     void tick() {
         world_.at(world_.now() + kSecond, [this] {
-            if (dead_) return;
+            if (dead_)
+                return;
             writer_.add({clock_.steady(), 0, state::Clock{offset(), 0}});
             tick();
         });
     }
     void arrive() {
         world_.at(world_.now() + static_cast<Ns>(-std::log(1 - chance()) / plan_.rate * 1e9), [this] {
-            if (dead_) return;
+            if (dead_)
+                return;
             ask();
             arrive();
         });
@@ -307,14 +347,17 @@
         const Ns wait = (index == 0 ? 5000 : index == 1 ? 2500 : 3000) * kMs;
         call.deadline = clock_.now() + Span{wait - below(40) * 1000};
         call.write = index == 2;
-        if (call.write) call.body = body_;
-        if (index == 1 && chance() < 0.2) call.have = "4be0c1927d55a6f3";
+        if (call.write)
+            call.body = body_;
+        if (index == 1 && chance() < 0.2)
+            call.have = "4be0c1927d55a6f3";
         call.client = client(mixed(random_() % kClients));
         ++calls;
         const auto id = engine_.take(std::move(call), std::make_shared<IgnoredReply>());
         if (id && chance() < 0.004)
             world_.at(world_.now() + below(300 * kMs), [this, id = *id] {
-                if (!dead_) engine_.abandon(id);
+                if (!dead_)
+                    engine_.abandon(id);
             });
     }
     // Two thirds IPv4, the rest IPv6, some of these IPv4 mapped.
@@ -380,7 +423,9 @@
     boxes.plan.push_back({"o-head", "127.0.2.9:4100", "store", 60, 9, 0});
 
     std::mt19937_64 random{plan.seed};
-    const auto even = [&random] { return static_cast<double>(random() >> 11) * 0x1p-52 - 1; };  // -1 to 1
+    const auto even = [&random] {
+        return static_cast<double>(random() >> 11) * 0x1p-52 - 1;
+    };  // -1 to 1
     Log log{0};
     std::vector<std::unique_ptr<Run>> runs;
     std::vector<SynthTruth> truth;
@@ -406,7 +451,8 @@
         t.incarnation_unix_ns = runs.back()->incarnation_unix_ns;
         truth.push_back(t);
     };
-    for (int r = 0; r < plan.routers; ++r) begin(r, 1);
+    for (int r = 0; r < plan.routers; ++r)
+        begin(r, 1);
     const auto span = static_cast<Ns>(plan.seconds * 1e9);
     if (plan.restart) {
         world.at(span / 2, [&runs] { runs[1]->die(); });
@@ -421,16 +467,20 @@
         else
             p.object = winchflow::ObjectId{mixed(rank * 4 + random() % 2)};
         p.issued_ms = (plan.begin_unix_ns + world.now()) / kMs;
-        if (p.object) p.group = winchflow::GroupId{static_cast<std::uint64_t>(*p.object) & 255};
-        for (auto& run : runs) run->hear(p);
+        if (p.object)
+            p.group = winchflow::GroupId{static_cast<std::uint64_t>(*p.object) & 255};
+        for (auto& run : runs)
+            run->hear(p);
         world.at(world.now() + static_cast<Ns>(-std::log(1 - (even() + 1) / 2.0000001) / plan.purges * 1e9),
                  purge);
     };
-    if (plan.purges > 0) world.at(kSecond, purge);
+    if (plan.purges > 0)
+        world.at(kSecond, purge);
     const std::function<void(std::size_t)> trouble = [&](std::size_t box) {
         const auto tell = [&, box](Condition condition) {
             core::BoxChange change{false, {lab::known(boxes.plan[box], condition)}};
-            for (auto& run : runs) run->hear(change);
+            for (auto& run : runs)
+                run->hear(change);
         };
         if (box % 2 == 0) {
             tell(Condition::draining);
--- a/src/trace/tools.cpp
+++ b/src/trace/tools.cpp
@@ -38,13 +38,15 @@
 
 std::uint64_t records_of(const Reader& reader) {
     std::uint64_t n = 0;
-    for (const auto& c : reader.chunks()) n += c.summary.records - c.summary.held;
+    for (const auto& c : reader.chunks())
+        n += c.summary.records - c.summary.held;
     return n;
 }
 
 std::int64_t add_clamped(std::int64_t a, std::int64_t b) {
     std::int64_t out = 0;
-    if (!__builtin_add_overflow(a, b, &out)) return out;
+    if (!__builtin_add_overflow(a, b, &out))
+        return out;
     return b > 0 ? std::numeric_limits<std::int64_t>::max() : std::numeric_limits<std::int64_t>::min();
 }
 
@@ -52,18 +54,21 @@
 
 winchflow::Settings settings_of(std::string_view config_json) {
     const auto json = config::parse_json(config_json);
-    if (!json) throw config::ConfigError("the start's settings are not JSON");
+    if (!json)
+        throw config::ConfigError("the start's settings are not JSON");
     return config::parse_config(*json).settings;
 }
 
 void Routers::take(const Record& record) {
     const auto* start = std::get_if<Start>(&record.body);
-    if (!start) return;
+    if (!start)
+        return;
     Router& r = routers_[record.source];
     std::string& read = read_from_[record.source];
     r.name = start->router;
     r.incarnation_unix_ns = start->incarnation_unix_ns;
-    if (r.settings_read && read == start->settings) return;
+    if (r.settings_read && read == start->settings)
+        return;
     read = start->settings;
     r.settings = {};
     r.settings_read = false;
@@ -83,13 +88,15 @@
     const auto at = routers_.find(source);
     if (at != routers_.end() && class_index < at->second.settings.classes.size())
         return at->second.settings.classes[class_index].name;
-    if (at != routers_.end() && at->second.settings_read) return "(unknown class)";
+    if (at != routers_.end() && at->second.settings_read)
+        return "(unknown class)";
     return "class-" + std::to_string(class_index);
 }
 
 std::int64_t Routers::aim(std::uint32_t source, std::uint64_t class_index, double size_kb) const {
     const auto at = routers_.find(source);
-    if (at == routers_.end() || class_index >= at->second.settings.classes.size()) return 0;
+    if (at == routers_.end() || class_index >= at->second.settings.classes.size())
+        return 0;
     const winchflow::Settings& s = at->second.settings;
     const winchflow::ClassSettings& c = s.classes[class_index];
     const double work_ns = s.flow_kb_per_s > 0 ? size_kb / s.flow_kb_per_s * 1e9 : 0;
@@ -105,17 +112,21 @@
     InForce clocks;
     const Names names{[&](std::uint32_t s) { return routers.name(s); },
                       [&](std::uint32_t s, std::uint64_t c) { return routers.class_name(s, c); },
-                      [&](std::uint32_t s, std::int64_t at) { return clocks.unix_ns(s, at); }};
+                      [&](std::uint32_t s, std::int64_t at) {
+                          return clocks.unix_ns(s, at);
+                      }};
     std::uint64_t shown = 0;
     Stories stories{[&](const Story& s) {
         const std::int64_t begun =
             s.taken_at == kNoTime ? selection.from_unix_ns : clocks.unix_ns(s.source, s.taken_at);
         const std::int64_t closed =
             s.closed_at == kNoTime ? selection.to_unix_ns : clocks.unix_ns(s.source, s.closed_at);
-        if (begun >= selection.to_unix_ns || closed < selection.from_unix_ns) return;
+        if (begun >= selection.to_unix_ns || closed < selection.from_unix_ns)
+            return;
         const std::string name =
             s.taken_at == kNoTime ? "(taken earlier)" : routers.class_name(s.source, s.taken.class_index);
-        if (!selection.wants(s, name)) return;
+        if (!selection.wants(s, name))
+            return;
         ++shown;
         f(s, names);
     }};
@@ -144,7 +155,8 @@
     reader.each(pass, [&](const Record& r, bool held, const InForce&) {
         pace.step();
         routers.take(r);
-        if (std::holds_alternative<Start>(r.body) || std::holds_alternative<Clock>(r.body)) clocks.take(r);
+        if (std::holds_alternative<Start>(r.body) || std::holds_alternative<Clock>(r.body))
+            clocks.take(r);
         stories.take(r, held);
         return true;
     });
@@ -170,8 +182,10 @@
             const std::uint64_t key = s.turned_away() ? kDoor | door[s.source]++ : s.call;
             const std::string name =
                 s.taken_at == kNoTime ? "(taken earlier)" : routers.class_name(s.source, s.taken.class_index);
-            if (!selection.wants(s, name)) return;
-            if (wanted.full()) throw ToolError("over 50 million calls are wanted: cut by time first");
+            if (!selection.wants(s, name))
+                return;
+            if (wanted.full())
+                throw ToolError("over 50 million calls are wanted: cut by time first");
             wanted.want(s.source, key);
             ++result.calls;
         }};
@@ -184,14 +198,19 @@
     }
     std::map<std::uint32_t, std::uint64_t> door;
     const auto keeps = [&](const Record& r) {
-        if (selection.all_calls()) return true;
-        if (std::holds_alternative<Fired>(r.body) || std::holds_alternative<TimerSet>(r.body)) return false;
+        if (selection.all_calls())
+            return true;
+        if (std::holds_alternative<Fired>(r.body) || std::holds_alternative<TimerSet>(r.body))
+            return false;
         const auto call = call_of(r.body);
-        if (!call) return true;
-        if (*call != 0) return wanted.wants(r.source, *call);
+        if (!call)
+            return true;
+        if (*call != 0)
+            return wanted.wants(r.source, *call);
         std::uint64_t& place = door[r.source];
         const bool kept = wanted.wants(r.source, kDoor | place);
-        if (std::holds_alternative<Answered>(r.body)) ++place;
+        if (std::holds_alternative<Answered>(r.body))
+            ++place;
         return kept;
     };
     Writer writer{to, reader.flags() | kCut, reader.created_unix_ns()};
@@ -206,8 +225,10 @@
         }
         // A clock's own record is put by the clock that it tells.
         std::int64_t unix_ns = before.unix_ns(r.source, r.at);
-        if (const auto* start = std::get_if<Start>(&r.body)) unix_ns = r.at + start->offset;
-        if (const auto* clock = std::get_if<Clock>(&r.body)) unix_ns = r.at + clock->offset;
+        if (const auto* start = std::get_if<Start>(&r.body))
+            unix_ns = r.at + start->offset;
+        if (const auto* clock = std::get_if<Clock>(&r.body))
+            unix_ns = r.at + clock->offset;
         if (unix_ns < selection.from_unix_ns) {
             before.take(r);
             return true;
@@ -219,12 +240,14 @@
         if (!std::exchange(open, true)) {
             InForce kept;
             before.each([&](const Record& held_one) {
-                if (keeps(held_one)) kept.take(held_one);
+                if (keeps(held_one))
+                    kept.take(held_one);
             });
             writer.open_with(kept);
         }
         before.take(r);
-        if (!keeps(r)) return true;
+        if (!keeps(r))
+            return true;
         writer.add(r);
         ++result.records;
         return true;
@@ -254,8 +277,10 @@
         : inputs_(inputs), given_(given) {}
 
     void look() {
-        for (std::size_t i = 0; i < inputs_.size(); ++i) look(i);
-        if (runs_.empty()) throw ToolError("no router's start is told in any file");
+        for (std::size_t i = 0; i < inputs_.size(); ++i)
+            look(i);
+        if (runs_.empty())
+            throw ToolError("no router's start is told in any file");
     }
 
     void estimate() {
@@ -327,7 +352,8 @@
             if (!advance(streams[i], [&](const Record& r) {
                     if (std::holds_alternative<Start>(r.body) && !begin.knows(r.source))
                         fresh.insert(r.source);
-                    if (fresh.contains(r.source)) begin.take(r);
+                    if (fresh.contains(r.source))
+                        begin.take(r);
                 }))
                 continue;
             due.push(i);
@@ -341,13 +367,16 @@
             writer.add(streams[i].record);
             ++records;
             pace.step();
-            if (advance(streams[i], [](const Record&) {})) due.push(i);
+            if (advance(streams[i], [](const Record&) {}))
+                due.push(i);
         }
         writer.close();
         return records;
     }
 
-    std::vector<MergedSource> sources() && { return std::move(sources_); }
+    std::vector<MergedSource> sources() && {
+        return std::move(sources_);
+    }
 
 private:
     struct Stream {
@@ -368,16 +397,20 @@
             if (const auto* start = std::get_if<Start>(&r.body)) {
                 const std::uint32_t n = number_of(*start);
                 auto& files = sources_[n].files;
-                if (files.empty() || files.back() != inputs_[file].name) files.push_back(inputs_[file].name);
+                if (files.empty() || files.back() != inputs_[file].name)
+                    files.push_back(inputs_[file].name);
                 of_file_[{file, r.source}] = n;
-                if (!held) began[n] = r.at;
+                if (!held)
+                    began[n] = r.at;
                 return true;
             }
             const auto at = of_file_.find({file, r.source});
-            if (at == of_file_.end() || held) return true;
+            if (at == of_file_.end() || held)
+                return true;
             if (const auto* p = std::get_if<Purge>(&r.body)) {
                 const auto start = began.find(at->second);
-                if (start != began.end() && r.at < start->second + kSettled) return true;
+                if (start != began.end() && r.at < start->second + kSettled)
+                    return true;
                 skew_.heard(at->second, purge_key(*p), unix_ns);
             } else if (const auto* a = std::get_if<Answered>(&r.body); a && a->made_unix_ms > 0) {
                 skew_.copied(at->second, unix_ns, a->made_unix_ms * 1'000'000);
@@ -390,7 +423,8 @@
         const auto [at, fresh] = runs_.try_emplace(Run{start.router, start.incarnation_unix_ns},
                                                    static_cast<std::uint32_t>(sources_.size()));
         if (fresh) {
-            if (sources_.size() >= InForce::kMostSources) throw ToolError("over 256 router runs");
+            if (sources_.size() >= InForce::kMostSources)
+                throw ToolError("over 256 router runs");
             MergedSource s;
             s.router = start.router;
             s.incarnation_unix_ns = start.incarnation_unix_ns;
@@ -408,7 +442,8 @@
             auto at = s.clocks.find(r.source);
             if (const auto* start = std::get_if<Start>(&r.body))
                 at = s.clocks.insert_or_assign(r.source, std::pair{number_of(*start), start->offset}).first;
-            if (at == s.clocks.end()) continue;  // of no router that is told of
+            if (at == s.clocks.end())
+                continue;  // of no router that is told of
             const std::uint32_t number = at->second.first;
             std::int64_t& offset = at->second.second;
             const SkewEstimate& e = sources_[number].estimate;
@@ -420,10 +455,13 @@
                 s.unix_ns = r.at + clock.offset;
             };
             s.unix_ns = r.at + offset + e.correction_ns(r.at + offset);
-            if (auto* start = std::get_if<Start>(&r.body)) correct(*start);
-            if (auto* clock = std::get_if<Clock>(&r.body)) correct(*clock);
+            if (auto* start = std::get_if<Start>(&r.body))
+                correct(*start);
+            if (auto* clock = std::get_if<Clock>(&r.body))
+                correct(*clock);
             r.source = number;
-            if (!held) return true;
+            if (!held)
+                return true;
             held_one(r);
         }
         return false;
@@ -463,14 +501,16 @@
         scratch_.assign(1, domain);
         scratch_ += name;
         const auto at = known_.find(scratch_);
-        if (at != known_.end()) return at->second;
+        if (at != known_.end())
+            return at->second;
         unsigned char out[EVP_MAX_MD_SIZE];
         unsigned int size = 0;
         if (!HMAC(EVP_sha256(), key_.data(), static_cast<int>(key_.size()),
                   reinterpret_cast<const unsigned char*>(scratch_.data()), scratch_.size(), out, &size))
             throw ToolError("HMAC failed");
         const std::uint64_t v = u64_at(reinterpret_cast<const char*>(out));
-        if (known_.size() >= kMostKnown) known_.clear();  // only a memory of what can be computed again
+        if (known_.size() >= kMostKnown)
+            known_.clear();  // only a memory of what can be computed again
         known_.emplace(scratch_, v);
         return v;
     }
@@ -488,18 +528,21 @@
 // An IPv4 address inside an IPv6 one is the same client as by itself.
 View plain_address(View bytes) {
     static constexpr char kMapped[] = {0, 0, 0, 0, 0, 0, 0, 0, 0, 0, '\xff', '\xff'};
-    if (bytes.size() == 16 && bytes.substr(0, 12) == View{kMapped, 12}) return bytes.substr(12);
+    if (bytes.size() == 16 && bytes.substr(0, 12) == View{kMapped, 12})
+        return bytes.substr(12);
     return bytes;
 }
 
 }  // namespace
 
 StripResult strip(Reader& reader, const StripOptions& options, ByteSink& to, const Progress& progress) {
-    if (options.key.size() < 16) throw ToolError("the key has under 16 bytes");
+    if (options.key.size() < 16)
+        throw ToolError("the key has under 16 bytes");
     const std::int64_t shift = options.shift_ns;
     // Ids of objects place them: with other ones the module would decide otherwise.
     std::uint32_t flags = reader.flags() | kStripped;
-    if (options.objects) flags |= kCut;
+    if (options.objects)
+        flags |= kCut;
     Writer writer{to, flags, reader.created_unix_ns() + shift};
     Pseudonyms names{options.key};
     StripResult result;
@@ -524,26 +567,33 @@
                 t->trace_id = t->trace.empty() ? names.of('t', t->trace_id) : names.of('T', t->trace);
             t->trace = {};
             t->have = {};
-            if (options.objects) t->object = names.of('o', t->object);
+            if (options.objects)
+                t->object = names.of('o', t->object);
         } else if (auto* a = std::get_if<Answered>(&r.body)) {
             a->tag = {};
-            if (a->made_unix_ms > 0) a->made_unix_ms += shift / 1'000'000;
+            if (a->made_unix_ms > 0)
+                a->made_unix_ms += shift / 1'000'000;
         } else if (auto* p = std::get_if<Purge>(&r.body)) {
-            if (options.objects && !p->whole_group) p->object = names.of('o', p->object);
-            if (p->issued_unix_ms > 0) p->issued_unix_ms += shift / 1'000'000;
+            if (options.objects && !p->whole_group)
+                p->object = names.of('o', p->object);
+            if (p->issued_unix_ms > 0)
+                p->issued_unix_ms += shift / 1'000'000;
         } else if (auto* s = std::get_if<Start>(&r.body)) {
             s->offset += shift;
             s->incarnation_unix_ns += shift;
         } else if (auto* c = std::get_if<Clock>(&r.body)) {
             c->offset += shift;
         } else if (auto* e = std::get_if<Entry>(&r.body)) {
-            if (e->started_unix_ms > 0) e->started_unix_ms += shift / 1'000'000;
+            if (e->started_unix_ms > 0)
+                e->started_unix_ms += shift / 1'000'000;
         }
         if (held) {
-            if (!open) begin.take(r);
+            if (!open)
+                begin.take(r);
             return true;
         }
-        if (!std::exchange(open, true)) writer.open_with(begin);
+        if (!std::exchange(open, true))
+            writer.open_with(begin);
         writer.add(r);
         ++result.records;
         return true;
@@ -557,11 +607,14 @@
 
 void Summarizer::add(Reader& reader, const Progress& progress) {
     const auto tally = [this] {
-        return Tally{[this](std::uint32_t s, std::uint64_t c, double kb) { return routers_.aim(s, c, kb); }};
+        return Tally{[this](std::uint32_t s, std::uint64_t c, double kb) {
+            return routers_.aim(s, c, kb);
+        }};
     };
     // By its begin; the one without an interval has all.
     std::map<std::int64_t, std::size_t> places;
-    for (std::size_t i = 0; i < result_.intervals.size(); ++i) places[result_.intervals[i].from_unix_ns] = i;
+    for (std::size_t i = 0; i < result_.intervals.size(); ++i)
+        places[result_.intervals[i].from_unix_ns] = i;
     const auto of = [&](std::int64_t unix_ns) -> Tally& {
         const std::int64_t from = every_ns_ > 0 ? unix_ns - (unix_ns % every_ns_ + every_ns_) % every_ns_ : 0;
         auto at = places.find(from);
@@ -598,11 +651,15 @@
             routers_.take(r);
             names.clear();
         }
-        if (std::holds_alternative<Start>(r.body) || std::holds_alternative<Clock>(r.body)) clocks.take(r);
+        if (std::holds_alternative<Start>(r.body) || std::holds_alternative<Clock>(r.body))
+            clocks.take(r);
         stories.take(r, held);
-        if (held) return true;
-        if (std::holds_alternative<List>(r.body)) ++result_.lists;
-        if (std::holds_alternative<Purge>(r.body)) ++result_.purges;
+        if (held)
+            return true;
+        if (std::holds_alternative<List>(r.body))
+            ++result_.lists;
+        if (std::holds_alternative<Purge>(r.body))
+            ++result_.purges;
         if (const auto* gap = std::get_if<Gap>(&r.body)) {
             ++result_.gaps;
             result_.missing += gap->records;
@@ -625,7 +682,8 @@
 template <class Counts>
 Json::Value counts_json(const Counts& counts) {
     Json::Value out{Json::objectValue};
-    for (const auto& [name, n] : counts) out[name] = Json::Value{Json::UInt64{n}};
+    for (const auto& [name, n] : counts)
+        out[name] = Json::Value{Json::UInt64{n}};
     return out;
 }
 template <std::size_t N>
@@ -633,7 +691,8 @@
                         const std::array<std::string_view, N>& words) {
     Json::Value out{Json::objectValue};
     for (std::size_t i = 0; i < N; ++i)
-        if (counts[i]) out[std::string{words[i]}] = Json::Value{Json::UInt64{counts[i]}};
+        if (counts[i])
+            out[std::string{words[i]}] = Json::Value{Json::UInt64{counts[i]}};
     return out;
 }
 
@@ -662,7 +721,8 @@
     out["served"] = json_of(c.served);
     out["turned_down"] = json_of(c.turned_down);
     Json::Value attempts{Json::arrayValue};
-    for (const auto n : c.attempts) attempts.append(Json::Value{Json::UInt64{n}});
+    for (const auto n : c.attempts)
+        attempts.append(Json::Value{Json::UInt64{n}});
     out["calls_by_attempts"] = attempts;
     out["notes"] = counts_json(c.notes, kNoteWords);
     out["endings"] = counts_json(c.endings, kEndingWords);
@@ -688,9 +748,11 @@
     out["intervals"] = Json::Value{Json::arrayValue};
     for (const auto& i : result.intervals) {
         Json::Value interval;
-        if (i.from_unix_ns != 0) interval["from"] = time_text(i.from_unix_ns);
+        if (i.from_unix_ns != 0)
+            interval["from"] = time_text(i.from_unix_ns);
         interval["classes"] = Json::Value{Json::objectValue};
-        for (const auto& [name, c] : i.tally.classes()) interval["classes"][name] = json_of(c);
+        for (const auto& [name, c] : i.tally.classes())
+            interval["classes"][name] = json_of(c);
         out["intervals"].append(std::move(interval));
     }
     return out;
@@ -706,9 +768,11 @@
     using ull = unsigned long long;
     put("%s to %s: %llu records, %llu list changes, %llu purges\n", time_text(result.first_unix_ns).c_str(),
         time_text(result.last_unix_ns).c_str(), ull{result.records}, ull{result.lists}, ull{result.purges});
-    if (result.gaps) put("%llu gaps, %llu records missing\n", ull{result.gaps}, ull{result.missing});
+    if (result.gaps)
+        put("%llu gaps, %llu records missing\n", ull{result.gaps}, ull{result.missing});
     for (const auto& i : result.intervals) {
-        if (i.from_unix_ns != 0) put("\nfrom %s\n", time_text(i.from_unix_ns).c_str());
+        if (i.from_unix_ns != 0)
+            put("\nfrom %s\n", time_text(i.from_unix_ns).c_str());
         put("%-16s %9s %9s %9s %7s %7s %7s %7s | %8s %8s %8s | %6s\n", "class", "calls", "served",
             "unchanged", "refused", "failed", "aband.", "open", "p50 ms", "p90 ms", "p99 ms", "late");
         for (const auto& [name, c] : i.tally.classes())
@@ -720,20 +784,24 @@
             put("%s: %llu bytes", name.c_str(), ull{c.bytes});
             out += "; calls by attempts";
             for (std::size_t n = 0; n < c.attempts.size(); ++n)
-                if (c.attempts[n]) put(" %zu:%llu", n, ull{c.attempts[n]});
+                if (c.attempts[n])
+                    put(" %zu:%llu", n, ull{c.attempts[n]});
             const auto list = [&](const char* title, const auto& counts, const auto& words) {
                 bool any = false;
                 for (std::size_t n = 0; n < counts.size(); ++n)
                     if (counts[n]) {
-                        if (!std::exchange(any, true)) put("; %s", title);
+                        if (!std::exchange(any, true))
+                            put("; %s", title);
                         put(" %s:%llu", std::string{words[n]}.c_str(), ull{counts[n]});
                     }
             };
             list("endings", c.endings, kEndingWords);
             list("notes", c.notes, kNoteWords);
             const auto named = [&](const char* title, const auto& counts) {
-                if (!counts.empty()) put("; %s", title);
-                for (const auto& [what, n] : counts) put(" %s:%llu", what.c_str(), ull{n});
+                if (!counts.empty())
+                    put("; %s", title);
+                for (const auto& [what, n] : counts)
+                    put(" %s:%llu", what.c_str(), ull{n});
             };
             named("fills", c.fills);
             named("turned down", c.refusals);
--- a/src/trace/tools.h
+++ b/src/trace/tools.h
@@ -38,7 +38,9 @@
         winchflow::Settings settings;
         bool settings_read = false;
     };
-    const std::map<std::uint32_t, Router>& all() const { return routers_; }
+    const std::map<std::uint32_t, Router>& all() const {
+        return routers_;
+    }
 
 private:
     std::map<std::uint32_t, Router> routers_;
@@ -111,7 +113,9 @@
     Summarizer(const Summarizer&) = delete;  // its tallies ask its routers
     Summarizer& operator=(const Summarizer&) = delete;
     void add(Reader& reader, const Progress& progress = {});
-    const SummaryResult& result() const { return result_; }
+    const SummaryResult& result() const {
+        return result_;
+    }
 
 private:
     std::int64_t every_ns_;
--- a/tests/cluster/failover_test.cpp
+++ b/tests/cluster/failover_test.cpp
@@ -31,8 +31,10 @@
 
     World() {
         for (const char* zone : {"a", "b", "c"})
-            for (int i = 0; i < 3; ++i) alive[std::string{zone}.append(std::to_string(i))] = zone;
-        for (const char* zone : {"a", "b", "c"}) health(zone, 100);
+            for (int i = 0; i < 3; ++i)
+                alive[std::string{zone}.append(std::to_string(i))] = zone;
+        for (const char* zone : {"a", "b", "c"})
+            health(zone, 100);
     }
     void put(std::map<std::string, Entry>& in, const std::string& key, const std::string& origin,
              const std::string& value) {
@@ -46,7 +48,8 @@
     }
     void health(const std::string& zone, int h, int warm = 100) {
         for (const auto& [router, its] : alive)
-            if (its == zone) report(router, h, warm);
+            if (its == zone)
+                report(router, h, warm);
     }
     Failover::Input input(Time now, Health own = {}) const {
         return {now, unix_now, own, &alive, &reports, &shared, weights};
@@ -74,9 +77,11 @@
                   {"-1 b=1", false},     {"99999999999999999999999", false}};
     for (const auto& c : kCases) {
         const auto d = decision_of(c.text);
-        if (d.has_value() != c.good) std::fprintf(stderr, "text: %s\n", c.text);
+        if (d.has_value() != c.good)
+            std::fprintf(stderr, "text: %s\n", c.text);
         CHECK(d.has_value() == c.good);
-        if (d) CHECK(text_of(*d) == c.text);
+        if (d)
+            CHECK(text_of(*d) == c.text);
     }
     // Side by side after a cut: the highest epoch; of one epoch the first that was written.
     Entry e{{{"x@1", {1, 0, 20, "4 b=100"}}, {"y@1", {1, 0, 10, "4 c=100"}}, {"z@1", {1, 0, 30, "3"}}}, 30};
@@ -109,7 +114,8 @@
                   {{box(1, true, false, true), box(1, false)}, true, {50, 50}},
                   {{box(1, false, false, {}, 0.3), box(1, false)}, false, {100, 65}},  // up, and cold
                   {{box(1, true, false, {}, 0.3), box(1, false)}, false, {50, 50}}};
-    for (const auto& c : kCases) CHECK(health_of(c.boxes, c.steered) == c.health);
+    for (const auto& c : kCases)
+        CHECK(health_of(c.boxes, c.steered) == c.health);
     const struct {
         const char* text;
         std::optional<Health> health;
@@ -124,7 +130,8 @@
                     {"-1 0", {}},
                     {"95 4x", {}},
                     {"9 4 0", {}}};
-    for (const auto& c : kReports) CHECK(health_of_report(c.text) == c.health);
+    for (const auto& c : kReports)
+        CHECK(health_of_report(c.text) == c.health);
 }
 
 // What zone a's decision comes to be, of one look at the state.
@@ -169,16 +176,20 @@
     };
     for (const auto& c : kCases) {
         World w;
-        for (const auto& [zone, h] : c.health) w.health(zone, h);
-        for (const auto& [key, value] : c.shared) w.put(w.shared, key, "x@1", value);
+        for (const auto& [zone, h] : c.health)
+            w.health(zone, h);
+        for (const auto& [key, value] : c.shared)
+            w.put(w.shared, key, "x@1", value);
         // Until whoever has the last turn has had it.
         Failover f{"a1", "a", settings()};
         std::optional<std::string> became;
         for (Time t = 0ms; t < 20s && !became; t += 50ms)
             for (const auto& write : f.tick(w.input(t)).writes)
-                if (write.zone == "a") became = targets(write.decision);
+                if (write.zone == "a")
+                    became = targets(write.decision);
         const bool as_told = c.becomes ? became == std::string{c.becomes} : !became;
-        if (!as_told) std::fprintf(stderr, "case: %s: %s\n", c.what, became ? became->c_str() : "none");
+        if (!as_told)
+            std::fprintf(stderr, "case: %s: %s\n", c.what, became ? became->c_str() : "none");
         CHECK(as_told);
     }
 }
@@ -188,7 +199,8 @@
     const auto writes = [](World& w, const std::string& who) {
         Failover f{who, w.alive.at(who), settings()};
         std::size_t n = 0;
-        for (Time t = 0ms; t < 20s; t += 50ms) n += f.tick(w.input(t)).writes.size();
+        for (Time t = 0ms; t < 20s; t += 50ms)
+            n += f.tick(w.input(t)).writes.size();
         return n;
     };
     World one;
@@ -261,15 +273,18 @@
     std::size_t changes = 0;  // as a0 or b0 sees them
 
     Region() {
-        for (const auto& [name, zone] : w.alive) routers.emplace(name, Failover{name, zone, settings()});
+        for (const auto& [name, zone] : w.alive)
+            routers.emplace(name, Failover{name, zone, settings()});
     }
     void run(Time span, Time step = 50ms) {
         for (const Time until = now + span; now < until; now += step) {
             w.unix_now = kNow + now.count();
             for (auto& [name, router] : routers) {
-                if (stopped.contains(name)) continue;
+                if (stopped.contains(name))
+                    continue;
                 const auto out = router.tick(w.input(now));
-                if (name == "b0") changes += out.changes.size();
+                if (name == "b0")
+                    changes += out.changes.size();
                 for (const auto& write : out.writes) {
                     written.emplace_back(now, write);
                     w.put(w.shared, decision_key(write.zone), name, text_of(write.decision));
@@ -290,7 +305,8 @@
     const auto lost = r.now;
     r.run(2s);
     CHECK(r.written.size() == 1 && r.written[0].first - lost <= 1s);
-    for (const auto& [name, router] : r.routers) CHECK(targets(r.of(name, "a")) == "b=100");
+    for (const auto& [name, router] : r.routers)
+        CHECK(targets(r.of(name, "a")) == "b=100");
     // Back: four steps, one a hold-down, each once.
     r.w.health("a", 100);
     r.run(30s);
@@ -346,12 +362,15 @@
         r.stopped.clear();
         r.run(4s);
         CHECK(r.written.size() == 1);
-        for (const auto& [name, router] : r.routers) CHECK(targets(r.of(name, "a")) == "b=100");
+        for (const auto& [name, router] : r.routers)
+            CHECK(targets(r.of(name, "a")) == "b=100");
     }
 }
 
 void check_factors() {
-    const auto near = [](double a, double b) { return std::abs(a - b) < 1e-9; };
+    const auto near = [](double a, double b) {
+        return std::abs(a - b) < 1e-9;
+    };
     World w;
     const auto factors = [&w](const char* zone) {
         Failover f{std::string{zone}.append("0"), zone, settings()};
--- a/tests/cluster/fleet_sim_test.cpp
+++ b/tests/cluster/fleet_sim_test.cpp
@@ -20,7 +20,8 @@
 
 const lab::FleetSimRow& row(const std::vector<lab::FleetSimRow>& rows, Fault fault) {
     for (const auto& r : rows)
-        if (r.fault == fault) return r;
+        if (r.fault == fault)
+            return r;
     CHECK(false);
     return rows.front();
 }
--- a/tests/cluster/hearsay_test.cpp
+++ b/tests/cluster/hearsay_test.cpp
@@ -20,7 +20,9 @@
 
 void check_voice() {
     Voice voice{{.refresh = 4000ms}, 1};
-    const auto nobody = [](const std::string&) { return std::size_t{0}; };
+    const auto nobody = [](const std::string&) {
+        return std::size_t{0};
+    };
     using Says = std::vector<Voice::Say>;
     const std::map<std::string, std::string> out{{"box/a", "out"}};
     CHECK((voice.tick(0ms, out, nobody) == Says{{"box/a", "out"}}));
@@ -33,12 +35,16 @@
     // Where enough others say it, it is not said, nor taken back; once some fall silent it is.
     Voice shy{{.refresh = 1000ms, .enough = 2, .spread = 500ms}, 2};
     std::size_t others = 2;
-    const auto count = [&others](const std::string&) { return others; };
-    for (Time t = 0ms; t < 3000ms; t += 50ms) CHECK(shy.tick(t, out, count).empty());
+    const auto count = [&others](const std::string&) {
+        return others;
+    };
+    for (Time t = 0ms; t < 3000ms; t += 50ms)
+        CHECK(shy.tick(t, out, count).empty());
     CHECK(shy.tick(3000ms, {}, count).empty());
     others = 1;
     bool told = false;
-    for (Time t = 3100ms; t < 3700ms; t += 50ms) told = told || !shy.tick(t, out, count).empty();
+    for (Time t = 3100ms; t < 3700ms; t += 50ms)
+        told = told || !shy.tick(t, out, count).empty();
     CHECK(told);
     others = 5;  // who has spoken goes on
     CHECK((shy.tick(9000ms, out, count) == Says{{"box/a", "out"}}));
@@ -105,7 +111,8 @@
         for (const auto& [box, who, what, age] : c.reports)
             entries[report_key(std::string{"box/"} + box, who)] = said(what, kNow - age);
         const auto step = h.tick(0ms, kNow, c.boxes, entries, {{"me", ""}, {"r1", ""}, {"r2", ""}});
-        if (step.out != c.out) std::fprintf(stderr, "case: %s\n", c.what);
+        if (step.out != c.out)
+            std::fprintf(stderr, "case: %s\n", c.what);
         CHECK(step.out == c.out);
         CHECK(h.counts().held_out == c.out.size() && h.out() == c.out.size());
         // All of it ends with the reports.
@@ -149,16 +156,20 @@
         }
     };
     CHECK(a.set("box/x\ta", "out", kNow));
-    for (Time t = 0ms; t < 5s; t += 500ms) round(t);
+    for (Time t = 0ms; t < 5s; t += 500ms)
+        round(t);
     CHECK(b.in_force("box/x\ta") && b.origins().contains("a@1") && a.summary() == b.summary());
     // Aged: gone from both, and from the summary; later the origin goes too.
-    for (Time t = 5s; t < 100s; t += 1s) round(t);
+    for (Time t = 5s; t < 100s; t += 1s)
+        round(t);
     CHECK(!b.in_force("box/x\ta") && b.entries().empty() && b.summary() == Summary{});
-    for (Time t = 100s; t < 800s; t += 5s) round(t);
+    for (Time t = 100s; t < 800s; t += 5s)
+        round(t);
     CHECK(!b.origins().contains("a@1") && b.heard().empty());
     // It speaks again under the same origin, and is heard.
     CHECK(a.set("box/y\ta", "out", kNow + 800'000));
-    for (Time t = 800s; t < 805s; t += 500ms) round(t);
+    for (Time t = 800s; t < 805s; t += 500ms)
+        round(t);
     CHECK(b.in_force("box/y\ta") && a.summary() == b.summary());
 }
 
--- a/tests/cluster/members_test.cpp
+++ b/tests/cluster/members_test.cpp
@@ -13,7 +13,9 @@
 
 namespace {
 
-Identity who(const std::string& name) { return {name, name + ":7946", "z1", "r1"}; }
+Identity who(const std::string& name) {
+    return {name, name + ":7946", "z1", "r1"};
+}
 
 Settings quick() {
     Settings s;
@@ -43,7 +45,8 @@
 
 bool has(const std::vector<Event>& events, Event::Kind kind, const std::string& name) {
     for (const auto& e : events)
-        if (e.kind == kind && e.name == name) return true;
+        if (e.kind == kind && e.name == name)
+            return true;
     return false;
 }
 
@@ -97,7 +100,8 @@
         Members me{who("a"), 1, quick(), 7, {}, 0ms};
         me.receive(from("x", Message::Kind::ping, {rec("b", c.held.start, c.held.incarnation, S::alive)}),
                    0ms);
-        if (c.held.state != S::alive) me.receive(from("x", Message::Kind::ping, {c.held}), 0ms);
+        if (c.held.state != S::alive)
+            me.receive(from("x", Message::Kind::ping, {c.held}), 0ms);
         CHECK(me.view().at("b").record.state == c.held.state);
         me.take_events();
         me.receive(from("x", Message::Kind::ping, {c.incoming}), 1ms);
@@ -134,7 +138,8 @@
     const auto out = me.receive(ping, 1ms);
     CHECK(out.size() == 1 && out[0].message.kind == Message::Kind::ack && out[0].address == "x:7946");
     bool told = false;
-    for (const auto& r : out[0].message.records) told |= r.who.name == "a" && r.incarnation == 2;
+    for (const auto& r : out[0].message.records)
+        told |= r.who.name == "a" && r.incarnation == 2;
     CHECK(told);
 
     // Forged: an incarnation ahead of ours, or a run after ours; the whole message is dropped.
@@ -167,7 +172,8 @@
 Members with_peers(const std::vector<std::string>& names, Settings settings = quick()) {
     Members me{who("a"), 1, settings, 11, {}, 0ms};
     std::vector<Record> records;
-    for (const auto& n : names) records.push_back(rec(n, 1, 0, State::alive));
+    for (const auto& n : names)
+        records.push_back(rec(n, 1, 0, State::alive));
     me.receive(from("x", Message::Kind::pull, records), 0ms);
     me.take_events();
     return me;
@@ -177,7 +183,8 @@
 std::vector<Send> run(Members& me, Time from_, Time to) {
     std::vector<Send> all;
     for (Time t = from_; t <= to; t += 1ms)
-        for (auto& s : me.tick(t)) all.push_back(std::move(s));
+        for (auto& s : me.tick(t))
+            all.push_back(std::move(s));
     return all;
 }
 
@@ -187,7 +194,8 @@
     const auto sent = run(me, 0ms, 99ms);
     std::vector<Send> pings;
     for (const auto& s : sent)
-        if (s.message.kind == Message::Kind::ping) pings.push_back(s);
+        if (s.message.kind == Message::Kind::ping)
+            pings.push_back(s);
     CHECK(pings.size() == 1);
     const auto target = pings[0].message.target;
     auto asks = run(me, 100ms, 150ms);
@@ -263,7 +271,8 @@
     const auto deadline = me.view().at("d").deadline;
     me.tick(3'110ms);  // three seconds later
     CHECK(me.counts().stalls == 1);
-    for (const auto& [name, member] : me.view()) CHECK(name == "d" || member.record.state == State::alive);
+    for (const auto& [name, member] : me.view())
+        CHECK(name == "d" || member.record.state == State::alive);
     CHECK(me.view().at("d").deadline >= deadline + 2'900ms);
     CHECK(me.view().at("d").record.state == State::suspect);
 }
@@ -294,7 +303,8 @@
     out = me.receive(ask, 8ms);
     CHECK(out.size() == 1 && !out[0].message.records.empty() && out[0].message.records.size() < 4);
     bool has_e = false;
-    for (const auto& r : out[0].message.records) has_e |= r.who.name == "e";
+    for (const auto& r : out[0].message.records)
+        has_e |= r.who.name == "e";
     CHECK(has_e);
     // Who asked tells back what the other lacks, once, without a digest: there it ends.
     out[0].message.from = "y";  // both are called "a" here, and nobody hears itself
@@ -310,7 +320,8 @@
     cut.receive(from("b", Message::Kind::ping, {rec("c", 1, 0, State::dead, "b")}), 1ms);
     std::set<std::string> pushed;
     for (const auto& s : run(cut, 1ms, 60ms))
-        if (s.message.kind == Message::Kind::push) pushed.insert(s.address);
+        if (s.message.kind == Message::Kind::push)
+            pushed.insert(s.address);
     CHECK(pushed.contains("c:7946") && pushed.contains("b:7946"));
     // Alone, a member pushes to a seed.
     Members lone{who("a"), 1, quick(), 3, {"seed:1"}, 0ms};
@@ -319,7 +330,8 @@
           first[0].message.records.empty());
     // No answer: again about a probe interval later, not a whole push-pull interval.
     std::size_t again = 0;
-    for (const auto& s : run(lone, 1ms, 130ms)) again += s.message.kind == Message::Kind::push;
+    for (const auto& s : run(lone, 1ms, 130ms))
+        again += s.message.kind == Message::Kind::push;
     CHECK(again == 1);
     // A full view is bounded.
     auto small = quick();
@@ -344,13 +356,15 @@
     auto step = [&](Time t) {
         for (auto& [name, m] : fleet)
             if (!down.contains(name) && !stopped.contains(name))
-                for (auto& s : m.tick(t)) wire.push_back(std::move(s));
+                for (auto& s : m.tick(t))
+                    wire.push_back(std::move(s));
         for (std::size_t hops = 0; !wire.empty() && hops < 10'000; ++hops) {
             auto s = std::move(wire.front());
             wire.pop_front();
             if (down.contains(s.address) || stopped.contains(s.address) || !fleet.contains(s.address))
                 continue;
-            for (auto& r : fleet.at(s.address).receive(s.message, t)) wire.push_back(std::move(r));
+            for (auto& r : fleet.at(s.address).receive(s.message, t))
+                wire.push_back(std::move(r));
         }
     };
     auto agree = [&](const std::string& name, State state) {
@@ -361,29 +375,37 @@
         return true;
     };
     Time t = 0ms;
-    for (; t < 3'000ms && !agree("m5", State::alive); t += 5ms) step(t);
+    for (; t < 3'000ms && !agree("m5", State::alive); t += 5ms)
+        step(t);
     CHECK(agree("m5", State::alive));
-    for (auto& [n, m] : fleet) CHECK(m.view().size() == names.size() - 1);
+    for (auto& [n, m] : fleet)
+        CHECK(m.view().size() == names.size() - 1);
     down.insert("m3");
     const auto killed = t;
-    for (; t < killed + 10'000ms && !agree("m3", State::dead); t += 5ms) step(t);
+    for (; t < killed + 10'000ms && !agree("m3", State::dead); t += 5ms)
+        step(t);
     CHECK(agree("m3", State::dead));
     for (auto& [n, m] : fleet)
-        if (!down.contains(n)) CHECK(m.counts().deaths <= 1);
+        if (!down.contains(n))
+            CHECK(m.counts().deaths <= 1);
     // Stopped for less than the floor of suspicion (400 ms here), then woken: alive everywhere, and it blamed
     // nobody.
     stopped.insert("m4");
     const auto stop = t;
-    for (; t < stop + 300ms; t += 5ms) step(t);
+    for (; t < stop + 300ms; t += 5ms)
+        step(t);
     stopped.clear();
     const auto deaths = fleet.at("m4").counts().deaths;
-    for (const auto until = t + 2'000ms; t < until; t += 5ms) step(t);
+    for (const auto until = t + 2'000ms; t < until; t += 5ms)
+        step(t);
     CHECK(agree("m4", State::alive));
     CHECK(fleet.at("m4").counts().deaths == deaths && fleet.at("m4").counts().stalls == 1);
     // A planned leave is no failure.
-    for (auto& s : fleet.at("m2").leave(t)) wire.push_back(std::move(s));
+    for (auto& s : fleet.at("m2").leave(t))
+        wire.push_back(std::move(s));
     down.insert("m2");
-    for (const auto until = t + 2'000ms; t < until; t += 5ms) step(t);
+    for (const auto until = t + 2'000ms; t < until; t += 5ms)
+        step(t);
     CHECK(agree("m2", State::left));
 }
 
--- a/tests/cluster/replica_test.cpp
+++ b/tests/cluster/replica_test.cpp
@@ -26,19 +26,26 @@
     at += 10'000ms;  // a round is due
     std::vector<ReplicaSend> to_b;
     for (auto& s : a.tick(at, unix_now, {"b"}))
-        if (s.message.kind == ReplicaMessage::Kind::sum) to_b.push_back(std::move(s));
+        if (s.message.kind == ReplicaMessage::Kind::sum)
+            to_b.push_back(std::move(s));
     for (int hops = 0; !to_b.empty() && hops < 50; ++hops) {
         std::vector<ReplicaSend> to_a;
         for (const auto& s : to_b)
-            for (auto& r : b.receive(s.message, at, unix_now)) to_a.push_back(std::move(r));
+            for (auto& r : b.receive(s.message, at, unix_now))
+                to_a.push_back(std::move(r));
         to_b.clear();
         for (const auto& s : to_a)
-            for (auto& r : a.receive(s.message, at, unix_now)) to_b.push_back(std::move(r));
+            for (auto& r : a.receive(s.message, at, unix_now))
+                to_b.push_back(std::move(r));
     }
 }
 
-Mark set(std::uint64_t n, Stamp stamp, std::string value = "") { return {n, 0, stamp, std::move(value)}; }
-Mark cleared(std::uint64_t n) { return {n, n, 0, {}}; }
+Mark set(std::uint64_t n, Stamp stamp, std::string value = "") {
+    return {n, 0, stamp, std::move(value)};
+}
+Mark cleared(std::uint64_t n) {
+    return {n, n, 0, {}};
+}
 
 // The join of two copies, both ways round and with itself.
 void check_join() {
@@ -88,7 +95,8 @@
     }
     // Associative: every grouping of three copies ends in one.
     for (const auto& x : kCases)
-        for (const auto& y : kCases) CHECK(join(join(x.a, x.b), y.a) == join(x.a, join(x.b, y.a)));
+        for (const auto& y : kCases)
+            CHECK(join(join(x.a, x.b), y.a) == join(x.a, join(x.b, y.a)));
 }
 
 // Concurrent bans and unbans, clocks seconds apart: the ban that an unban had not seen holds.
@@ -214,7 +222,8 @@
     const auto values = [](const Replica& r) {
         std::map<std::string, std::string> out;
         for (const auto& [key, entry] : r.entries())
-            if (const auto* mark = entry.winner()) out.emplace(key, mark->value);
+            if (const auto* mark = entry.winner())
+                out.emplace(key, mark->value);
         return out;
     };
     auto unix_now = kNow;
--- a/tests/cluster/wire_test.cpp
+++ b/tests/cluster/wire_test.cpp
@@ -37,7 +37,8 @@
     m.from = "r-17";
     m.from_address = "127.0.0.17:7946";
     if (kind == ReplicaMessage::Kind::sum)
-        for (std::size_t i = 0; i < kBuckets; ++i) m.summary[i] = 0x0123456789abcdefULL * (i + 1);
+        for (std::size_t i = 0; i < kBuckets; ++i)
+            m.summary[i] = 0x0123456789abcdefULL * (i + 1);
     m.mask = 0xfedcba9876543210ULL;
     m.numbers = {{"a@1", 3}, {"b@2", 70'000}};
     m.after = {{"a@1", 2}};
@@ -69,7 +70,8 @@
     auto push = sample(2);
     push.kind = Message::Kind::push;
     push.digest.emplace().roster = 77;
-    for (std::size_t i = 0; i < kBuckets; ++i) push.digest->buckets[i] = 0x0123456789abcdefULL * (i + 1);
+    for (std::size_t i = 0; i < kBuckets; ++i)
+        push.digest->buckets[i] = 0x0123456789abcdefULL * (i + 1);
     CHECK(std::get<Message>(wire::decode(wire::encode(push), true)) == push);
     // A whole view goes on a stream, not in a datagram.
     const auto view = sample(600);
@@ -94,7 +96,8 @@
     }
     // Over the bounds of a datagram, of a key, of a value, of an entry's marks.
     auto big = replica_sample(ReplicaMessage::Kind::news);
-    while (big.updates.size() <= wire::kMostDatagramRecords) big.updates.push_back(big.updates.front());
+    while (big.updates.size() <= wire::kMostDatagramRecords)
+        big.updates.push_back(big.updates.front());
     CHECK(refused_as(wire::encode(big), false, wire::Trouble::out_of_bounds) ||
           refused_as(wire::encode(big), false, wire::Trouble::oversize));
     big = replica_sample(ReplicaMessage::Kind::give);
@@ -180,7 +183,8 @@
             const auto got = wire::decode(b, false);
             if (const auto* m = std::get_if<Message>(&got)) {
                 CHECK(m->records.size() <= wire::kMostDatagramRecords && m->from.size() <= kLongestName);
-                for (const auto& r : m->records) CHECK(r.who.address.size() <= kLongestAddress);
+                for (const auto& r : m->records)
+                    CHECK(r.who.address.size() <= kLongestAddress);
             }
         }
 }
--- a/tests/copies/copies_test.cpp
+++ b/tests/copies/copies_test.cpp
@@ -47,7 +47,8 @@
         const auto now = copies.answer(want(c.class_index), kNow + 1s, kNowMs);
         std::printf("  %s\n", c.what);
         CHECK(now.has_value() == c.answers && last.has_value() == c.last_resort);
-        if (last) CHECK(last->stale == c.stale && *last->body == "bytes" && last->tag == "tag");
+        if (last)
+            CHECK(last->stale == c.stale && *last->body == "bytes" && last->tag == "tag");
     }
 }
 
@@ -104,7 +105,8 @@
     copies.told_of_purges(true);
     copies.keep(want(0), std::string(1000, 'x'), "tag", kNowMs, 0);
     int at_once = 0;
-    while (copies.answer(want(0), kNow, kNowMs)) ++at_once;
+    while (copies.answer(want(0), kNow, kNowMs))
+        ++at_once;
     CHECK(at_once == 8);
     CHECK(!copies.answer(want(0), kNow + 1ms, kNowMs) && copies.answer(want(0), kNow + 20ms, kNowMs));
     // Given up otherwise, it may come after its aim, but by the deadline.
@@ -140,7 +142,8 @@
             const auto group = object % 7;
             store.purge_group(GroupId{group}, now);
             for (auto& [id, made] : newest)
-                if (id % 7 == group) made = 0;
+                if (id % 7 == group)
+                    made = 0;
         } else {
             store.put({ObjectId{object}, 0, 0}, {std::make_shared<const std::string>(random() % 4000, 'x'),
                                                  "t", GroupId{object % 7}, now});
@@ -151,19 +154,23 @@
         CHECK(!held || held->made_ms == newest[object]);
     }
     CHECK(store.size() > 5);
-    for (std::uint64_t group = 0; group < 7; ++group) store.purge_group(GroupId{group}, kNowMs + 20'000);
+    for (std::uint64_t group = 0; group < 7; ++group)
+        store.purge_group(GroupId{group}, kNowMs + 20'000);
     CHECK(store.size() == 0 && store.bytes() == 0);
 }
 
 // The one unused for longest goes; a use counts.
 void the_longest_unused_goes() {
     Store store{5 * 1000};
-    const auto key = [](std::uint64_t object) { return Key{.object = ObjectId{object}}; };
+    const auto key = [](std::uint64_t object) {
+        return Key{.object = ObjectId{object}};
+    };
     const auto put = [&](std::uint64_t object) {
         store.put(key(object), {std::make_shared<const std::string>(200, 'x'), "t", GroupId{1}, 1});
     };
     std::uint64_t last = 0;
-    while (store.size() == last) put(++last);  // until one is pushed out
+    while (store.size() == last)
+        put(++last);  // until one is pushed out
     CHECK(!store.find(key(1)) && store.find(key(2)));
     put(100);
     CHECK(store.find(key(2)) && !store.find(key(3)));
--- a/tests/core/guard_test.cpp
+++ b/tests/core/guard_test.cpp
@@ -21,7 +21,9 @@
 
 const winchflow::Settings kSettings = settings();
 
-AttemptKey attempt(std::uint32_t number) { return {kCall, number}; }
+AttemptKey attempt(std::uint32_t number) {
+    return {kCall, number};
+}
 
 Guard::Facts facts() {
     Guard::Facts f;
@@ -58,11 +60,26 @@
         void (*change)(Guard::Facts&);
     };
     const Case cases[] = {
-        {Held::client_left, [](Guard::Facts& f) { f.client_left = true; }},
-        {Held::past_deadline, [](Guard::Facts& f) { f.now = f.give_up; }},
-        {Held::past_window, [](Guard::Facts& f) { f.repeat_before = f.now; }},
-        {Held::target_drained, [](Guard::Facts& f) { f.target_usable = false; }},
-        {Held::source_drained, [](Guard::Facts& f) { f.source_usable = false; }},
+        {Held::client_left,
+         [](Guard::Facts& f) {
+             f.client_left = true;
+         }},
+        {Held::past_deadline,
+         [](Guard::Facts& f) {
+             f.now = f.give_up;
+         }},
+        {Held::past_window,
+         [](Guard::Facts& f) {
+             f.repeat_before = f.now;
+         }},
+        {Held::target_drained,
+         [](Guard::Facts& f) {
+             f.target_usable = false;
+         }},
+        {Held::source_drained,
+         [](Guard::Facts& f) {
+             f.source_usable = false;
+         }},
     };
     for (const Case& c : cases) {
         Guard guard = with_call(kPure);
@@ -95,7 +112,8 @@
     for (const Ending ending : {Ending::full, Ending::miss, Ending::no_connection, Ending::not_sent}) {
         Guard guard = with_call(kUnsafe);
         CHECK(guard.start(attempt(0)));
-        if (ending == Ending::full || ending == Ending::miss) CHECK(!guard.send(attempt(0), facts()));
+        if (ending == Ending::full || ending == Ending::miss)
+            CHECK(!guard.send(attempt(0), facts()));
         guard.ended(attempt(0), ending);
         CHECK(guard.start(attempt(1)) && guard.violations() == 0);
     }
--- a/tests/core/unix_time_test.cpp
+++ b/tests/core/unix_time_test.cpp
@@ -12,7 +12,9 @@
 
 constexpr std::int64_t kTrueOffsetMs = 1'764'576'000'000;
 
-std::int64_t true_ms(Time now) { return kTrueOffsetMs + now.time_since_epoch() / 1ms; }
+std::int64_t true_ms(Time now) {
+    return kTrueOffsetMs + now.time_since_epoch() / 1ms;
+}
 
 // A clock that was right once, then steps at random by seconds or an hour; stamps come from elsewhere, some
 // old.
@@ -73,7 +75,8 @@
 }  // namespace
 
 int main() {
-    for (std::uint64_t seed = 1; seed <= 200; ++seed) ages_hold_over_steps(seed);
+    for (std::uint64_t seed = 1; seed <= 200; ++seed)
+        ages_hold_over_steps(seed);
     proven_from_any_start();
     slewing_is_no_step();
     std::puts("unix time: the truth stays within");
--- a/tests/embed_example.cpp
+++ b/tests/embed_example.cpp
@@ -28,7 +28,8 @@
     const Request request{.id = RequestId{1}, .object = ObjectId{42}, .deadline = start + 2s};
     std::string target;
     for (const Action& action : router.on(request, start))
-        if (const auto* send = std::get_if<Send>(&action)) target = send->target.address;
+        if (const auto* send = std::get_if<Send>(&action))
+            target = send->target.address;
     return target;
 }
 
--- a/tests/fleet/common.h
+++ b/tests/fleet/common.h
@@ -24,16 +24,20 @@
 }
 
 inline void start_all(Fleet& fleet, std::size_t from, std::size_t to) {
-    for (std::size_t i = from; i < to; ++i) fleet.start(i);
+    for (std::size_t i = from; i < to; ++i)
+        fleet.start(i);
 }
 
 inline std::size_t lines(const std::string& log, const std::string& what) {
     std::size_t n = 0;
-    for (auto at = log.find(what); at != std::string::npos; at = log.find(what, at + 1)) ++n;
+    for (auto at = log.find(what); at != std::string::npos; at = log.find(what, at + 1))
+        ++n;
     return n;
 }
 
-inline bool ack(const std::string& answer) { return answer.rfind("ACK", 0) == 0; }
+inline bool ack(const std::string& answer) {
+    return answer.rfind("ACK", 0) == 0;
+}
 
 inline long long since(std::chrono::steady_clock::time_point began) {
     return std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::steady_clock::now() - began)
@@ -42,7 +46,8 @@
 
 // One view on all; on failure what each saw is printed, as the cause can't be seen from outside.
 inline bool agreed(Fleet& fleet, std::chrono::milliseconds most) {
-    if (fleet.wait_until([&] { return fleet.agree(); }, most)) return true;
+    if (fleet.wait_until([&] { return fleet.agree(); }, most))
+        return true;
     for (std::size_t i = 0; i < fleet.members(); ++i)
         if (fleet.running(i))
             std::fprintf(stderr, "%s sees\n%s%s", Fleet::name(i).c_str(), fleet.call(i, "MEMBERS").c_str(),
--- a/tests/fleet/failover_test.cpp
+++ b/tests/fleet/failover_test.cpp
@@ -75,9 +75,12 @@
 
     void ask() {
         for (const auto i : routers) {
-            if (!fleet.running(i)) continue;
-            for (std::size_t k = 0; k < each; ++k) ++answers[fleet.ask(i, "pages", ++object)];
-            if (++object % 5 == 0) ++writes[fleet.ask(i, "lodge", object)];
+            if (!fleet.running(i))
+                continue;
+            for (std::size_t k = 0; k < each; ++k)
+                ++answers[fleet.ask(i, "pages", ++object)];
+            if (++object % 5 == 0)
+                ++writes[fleet.ask(i, "lodge", object)];
         }
     }
     // Answered once, whatever the answer: no answer and two answers are both faults.
@@ -91,7 +94,8 @@
                 }
         const auto runs = farm.runs();
         CHECK(!runs.empty() && writes.contains(200) && runs.size() >= writes.at(200));
-        for (const auto& [id, times] : runs) CHECK(times == 1);
+        for (const auto& [id, times] : runs)
+            CHECK(times == 1);
     }
     std::size_t served() const {
         const auto at = answers.find(200);
@@ -99,7 +103,8 @@
     }
     std::size_t asked() const {
         std::size_t n = 0;
-        for (const auto& [status, count] : answers) n += count;
+        for (const auto& [status, count] : answers)
+            n += count;
         return n;
     }
 };
@@ -120,7 +125,8 @@
         [&] {
             load.ask();
             for (std::size_t i = 0; i < kRouters; ++i)
-                if (z1_of(fleet, i).health != "100/100") return false;
+                if (z1_of(fleet, i).health != "100/100")
+                    return false;
             return true;
         },
         5s));
@@ -138,7 +144,8 @@
     CHECK(std::none_of(calm.begin(), calm.end(), [](const lab::Farm::Asked& a) {
         return a.box != kStore && a.box / kBoxesEach != a.router / 3;  // all near
     }));
-    for (const auto k : kOfZ1) farm.set_box(k, false);
+    for (const auto k : kOfZ1)
+        farm.set_box(k, false);
     const auto lost = std::chrono::steady_clock::now();
     CHECK(fleet.wait_until(
         [&] {
@@ -152,19 +159,22 @@
     const auto refused =
         fleet.counters(0)["ending_no_connection"] + fleet.counters(1)["ending_no_connection"];
     const auto before = load.served(), before_asked = load.asked();
-    for (int i = 0; i < 10; ++i) load.ask();
+    for (int i = 0; i < 10; ++i)
+        load.ask();
     CHECK(load.served() - before == load.asked() - before_asked);
     CHECK(fleet.counters(0)["ending_no_connection"] + fleet.counters(1)["ending_no_connection"] == refused);
     CHECK(fleet.counters(0)["failover.sent_out_of_zone"] > 0);
     CHECK(fleet.counters(0)["failover.sent_out_of_region"] == 0);
-    for (const auto k : kOfZ1) farm.set_box(k, true);
+    for (const auto k : kOfZ1)
+        farm.set_box(k, true);
     const auto up = std::chrono::steady_clock::now();
     std::vector<std::pair<int, std::chrono::steady_clock::time_point>> steps{{100, lost}};  // as m0 has them
     CHECK(fleet.wait_until(
         [&] {
             load.ask();
             const int out = z1_of(fleet, 0).out;
-            if (out != steps.back().first) steps.emplace_back(out, std::chrono::steady_clock::now());
+            if (out != steps.back().first)
+                steps.emplace_back(out, std::chrono::steady_clock::now());
             return out == 0 && all_have(fleet, 0);
         },
         25s));
@@ -178,7 +188,8 @@
     std::size_t early = 0;
     const auto all = farm.asked();
     for (const auto& a : all)
-        if (a.box < kBoxesEach && a.at > lost + 2s && a.at < steps[1].second - 500ms) ++early;
+        if (a.box < kBoxesEach && a.at > lost + 2s && a.at < steps[1].second - 500ms)
+            ++early;
     CHECK(early == 0);
     // What a box just started bears in 3 s: N requests of 0.25 s, twice its weight times how warm it is by
     // the end; over it by chance only. It counts as started with the first step back.
@@ -186,9 +197,11 @@
     for (const auto k : kOfZ1) {
         std::vector<std::chrono::steady_clock::time_point> at;
         for (const auto& a : all)
-            if (a.box == k && a.at > up) at.push_back(a.at);
+            if (a.box == k && a.at > up)
+                at.push_back(a.at);
         for (std::size_t i = 0, j = 0; j < at.size(); ++j) {
-            while (at[j] - at[i] > 3s) ++i;
+            while (at[j] - at[i] > 3s)
+                ++i;
             const double warm = std::min(1.0, std::chrono::duration<double>(at[j] - at.front()).count() / 14);
             const double n = 2 * 2 * (0.26 + 0.74 * warm) * 3 / 0.25;
             most = std::max(most, j - i + 1);
@@ -212,14 +225,16 @@
     bool up = false;
     fleet.wait_until(
         [&] {
-            for (const auto k : kOfZ1) farm.set_link(k, 0, up);
+            for (const auto k : kOfZ1)
+                farm.set_link(k, 0, up);
             up = !up && since(began) % 5 == 0;  // down most of the time
             load.ask();
             return since(began) > 6000;
         },
         8s);
     CHECK(fleet.counters(0)["ending_no_connection"] > 5);  // it did see it
-    for (std::size_t i = 0; i < kRouters; ++i) CHECK(z1_of(fleet, i).epoch == 0 && z1_of(fleet, i).out == 0);
+    for (std::size_t i = 0; i < kRouters; ++i)
+        CHECK(z1_of(fleet, i).epoch == 0 && z1_of(fleet, i).out == 0);
     CHECK(fleet.counters(1)["failover.sent_out_of_zone"] == 0);
     load.check(farm);
 }
@@ -231,7 +246,8 @@
     Fleet fleet{placed(farm)};
     Load load{fleet, {0, 1, 4}};
     begin(fleet, load);
-    for (std::size_t b = 1; b < kRouters; ++b) fleet.relay().set_both(0, b, {.cut = true});
+    for (std::size_t b = 1; b < kRouters; ++b)
+        fleet.relay().set_both(0, b, {.cut = true});
     const auto cut = std::chrono::steady_clock::now();
     // Nobody confirms its suspicions, so each lasts the 6 s of the settings, and its probes, every 250 ms,
     // come up to nine times as seldom as they fail: the one that ends the majority may begin some 6 s after
@@ -244,7 +260,8 @@
         13s));
     std::printf("cut off: it knows that it is alone after %lld ms\n", since(cut));
     CHECK(load.served() == load.asked());
-    for (const auto k : kOfZ1) farm.set_link(k, 0, false);
+    for (const auto k : kOfZ1)
+        farm.set_link(k, 0, false);
     const auto blind = std::chrono::steady_clock::now();
     fleet.wait_until(
         [&] {
@@ -253,8 +270,10 @@
         },
         5s);
     CHECK(fleet.counters(0)["failover.health"] == 0);
-    for (std::size_t i = 0; i < kRouters; ++i) CHECK(z1_of(fleet, i).epoch == 0);
-    for (const auto k : kOfZ1) farm.set_link(k, 0, true);
+    for (std::size_t i = 0; i < kRouters; ++i)
+        CHECK(z1_of(fleet, i).epoch == 0);
+    for (const auto k : kOfZ1)
+        farm.set_link(k, 0, true);
     fleet.relay().clear();
     CHECK(fleet.wait_until(
         [&] {
@@ -262,7 +281,8 @@
             return fleet.agree() && fleet.counters(0)["failover.quorum"] == 1;
         },
         8s));
-    for (std::size_t i = 0; i < kRouters; ++i) CHECK(z1_of(fleet, i).epoch == 0);
+    for (std::size_t i = 0; i < kRouters; ++i)
+        CHECK(z1_of(fleet, i).epoch == 0);
     CHECK(fleet.counters(0)["failover.sent_out_of_zone"] == 0);
     load.check(farm);
 }
@@ -281,7 +301,8 @@
     const auto first = cluster::Failover{"m0", "z1", s}.turns("z1", 1, alive).front();
     const auto who = static_cast<std::size_t>(std::stoul(first.substr(1)));
     load.routers.erase(std::remove(load.routers.begin(), load.routers.end(), who), load.routers.end());
-    for (const auto k : kOfZ1) farm.set_box(k, false);
+    for (const auto k : kOfZ1)
+        farm.set_box(k, false);
     const auto lost = std::chrono::steady_clock::now();
     load.ask();
     if (how == SIGKILL)
@@ -296,7 +317,9 @@
         },
         3s));
     std::printf("decider %s lost: decided without it after %lld ms\n", first.c_str(), since(lost));
-    const auto epoch = [&] { return z1_of(fleet, who == 1 ? 2 : 1).epoch; };
+    const auto epoch = [&] {
+        return z1_of(fleet, who == 1 ? 2 : 1).epoch;
+    };
     CHECK(epoch() == 1);
     if (how == SIGSTOP) {
         fleet.wait_until([] { return false; }, 1s);
@@ -312,11 +335,16 @@
         },
         4s);
     for (std::size_t i = 0; i < kRouters; ++i)
-        if (fleet.running(i)) CHECK(z1_of(fleet, i).epoch == 1 && z1_of(fleet, i).to == "z2=100");
+        if (fleet.running(i))
+            CHECK(z1_of(fleet, i).epoch == 1 && z1_of(fleet, i).to == "z2=100");
     load.check(farm);
 }
-void decider_killed() { decider(SIGKILL); }
-void decider_stopped() { decider(SIGSTOP); }
+void decider_killed() {
+    decider(SIGKILL);
+}
+void decider_stopped() {
+    decider(SIGSTOP);
+}
 
 // Boxes that come and go faster than the hold-down: one change in each at the most.
 void flapping() {
@@ -327,7 +355,8 @@
     const auto began = std::chrono::steady_clock::now();
     fleet.wait_until(
         [&] {
-            for (const auto k : kOfZ1) farm.set_box(k, since(began) / 700 % 2 == 1);
+            for (const auto k : kOfZ1)
+                farm.set_box(k, since(began) / 700 % 2 == 1);
             load.ask();
             return since(began) > 12'000;
         },
@@ -358,15 +387,18 @@
             return all_have(fleet, 100);
         },
         3s));
-    for (std::size_t i = 0; i < kRouters; ++i) CHECK(z1_of(fleet, i).pin == "out");
+    for (std::size_t i = 0; i < kRouters; ++i)
+        CHECK(z1_of(fleet, i).pin == "out");
     const auto out = std::chrono::steady_clock::now();
-    for (int i = 0; i < 10; ++i) load.ask();
+    for (int i = 0; i < 10; ++i)
+        load.ask();
     CHECK(farm.asked_since(kOfZ1, out) == 0 && load.served() == load.asked());
     fleet.kill(1);
     fleet.start(1);
     CHECK(fleet.wait_until([&] { return fleet.agree() && all_have(fleet, 100); }, 5s));
     const auto restarted = std::chrono::steady_clock::now();
-    for (int i = 0; i < 10; ++i) load.ask();
+    for (int i = 0; i < 10; ++i)
+        load.ask();
     CHECK(farm.asked_since(kOfZ1, restarted) == 0);
     CHECK(ack(fleet.call(1, "PIN z1 OFF")));
     CHECK(fleet.wait_until(
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -26,7 +26,8 @@
 // No member of the fleet has declared anyone dead.
 bool no_death(Fleet& fleet) {
     for (std::size_t i = 0; i < 8; ++i)
-        if (fleet.running(i) && lines(fleet.log(i), "member-dead ") > 0) return false;
+        if (fleet.running(i) && lines(fleet.log(i), "member-dead ") > 0)
+            return false;
     return true;
 }
 
@@ -64,7 +65,8 @@
     bool suspected = false;
     fleet.wait_until(
         [&] {
-            for (std::size_t i : {0, 5}) suspected = suspected || fleet.view(i)["m2"].state == "suspect";
+            for (std::size_t i : {0, 5})
+                suspected = suspected || fleet.view(i)["m2"].state == "suspect";
             return std::chrono::steady_clock::now() - stopped >= 3s;
         },
         4s);
@@ -86,9 +88,11 @@
     relay.set(1, 2, {.cut = true});  // one way only
     for (std::size_t a = 0; a < 8; ++a)
         for (std::size_t b = 0; b < 8; ++b)
-            if (a != b && !(a == 1 && b == 2)) relay.set(a, b, {.loss = 0.2, .duplicate = 0.05});
+            if (a != b && !(a == 1 && b == 2))
+                relay.set(a, b, {.loss = 0.2, .duplicate = 0.05});
     for (std::size_t b = 0; b < 8; ++b)
-        if (b != 3) relay.set_both(3, b, {.loss = 0.2, .delay = 200ms, .jitter = 50ms});
+        if (b != 3)
+            relay.set_both(3, b, {.loss = 0.2, .delay = 200ms, .jitter = 50ms});
     // Ten seconds of it: nobody is declared dead, however often suspected.
     fleet.wait_until([] { return false; }, 10s);
     CHECK(no_death(fleet));
@@ -104,7 +108,8 @@
     start_all(fleet, 0, 8);
     CHECK(agreed(fleet, 3s));
     for (std::size_t a = 0; a < 5; ++a)
-        for (std::size_t b = 5; b < 8; ++b) fleet.relay().set_both(a, b, {.cut = true});
+        for (std::size_t b = 5; b < 8; ++b)
+            fleet.relay().set_both(a, b, {.cut = true});
     // Each side loses sight of the other (suspect, then dead), for 10 s.
     const auto cut = std::chrono::steady_clock::now();
     bool apart = false;
@@ -137,7 +142,8 @@
     CHECK(fleet.wait_until(
         [&] {
             for (std::size_t i = 0; i < 8; ++i)
-                if (i != 5 && fleet.view(i)["m5"].start <= before) return false;
+                if (i != 5 && fleet.view(i)["m5"].start <= before)
+                    return false;
             return fleet.agree();
         },
         3s));
@@ -159,12 +165,16 @@
 bool all_out(Fleet& fleet, std::size_t out) {
     std::optional<std::map<std::string, std::uint64_t>> first;
     for (std::size_t i = 0; i < fleet.members(); ++i) {
-        if (!fleet.running(i)) continue;
+        if (!fleet.running(i))
+            continue;
         auto c = fleet.counters(i);
-        if (!c.contains("bans.out") || c["bans.out"] != out) return false;
+        if (!c.contains("bans.out") || c["bans.out"] != out)
+            return false;
         auto d = fleet.digest(i);
-        if (!first) first = d;
-        if (d != *first) return false;
+        if (!first)
+            first = d;
+        if (d != *first)
+            return false;
     }
     return true;
 }
@@ -181,7 +191,8 @@
     CHECK(ack(fleet.call(6, "OFFLINE b-2")) && ack(fleet.call(0, "ONLINE b-1")));
     CHECK(fleet.wait_until([&] { return all_out(fleet, 1); }, 2s));
     // Every process killed at once: what was acknowledged is in force from the first moment after.
-    for (std::size_t i = 0; i < 8; ++i) fleet.kill(i);
+    for (std::size_t i = 0; i < 8; ++i)
+        fleet.kill(i);
     start_all(fleet, 0, 8);
     CHECK(fleet.wait_until([&] { return fleet.agree() && all_out(fleet, 1); }, 5s));
     CHECK(fleet.call(5, "OFFLINE no-such").rfind("NAK", 0) == 0);
@@ -192,7 +203,8 @@
     Fleet fleet{options(8)};
     start_all(fleet, 0, 8);
     CHECK(agreed(fleet, 3s));
-    for (std::size_t k = 0; k < 20; ++k) CHECK(ack(fleet.call(k % 8, "OFFLINE " + Fleet::box(k))));
+    for (std::size_t k = 0; k < 20; ++k)
+        CHECK(ack(fleet.call(k % 8, "OFFLINE " + Fleet::box(k))));
     CHECK(fleet.wait_until([&] { return all_out(fleet, 20); }, 4s));
     fleet.kill(5);
     const auto killed = std::chrono::steady_clock::now();
@@ -225,7 +237,8 @@
     CHECK(ack(fleet.call(0, "OFFLINE b-0")) && ack(fleet.call(1, "OFFLINE b-1")));
     CHECK(fleet.wait_until([&] { return all_out(fleet, 2); }, 2s));
     for (std::size_t a = 0; a < 5; ++a)
-        for (std::size_t b = 5; b < 8; ++b) fleet.relay().set_both(a, b, {.cut = true});
+        for (std::size_t b = 5; b < 8; ++b)
+            fleet.relay().set_both(a, b, {.cut = true});
     CHECK(ack(fleet.call(0, "ONLINE b-0")));   // seen by all: gone everywhere
     CHECK(ack(fleet.call(1, "ONLINE b-1")));   // but said again beyond the cut:
     CHECK(ack(fleet.call(6, "OFFLINE b-1")));  // stays
@@ -247,13 +260,16 @@
     Fleet fleet{options(4)};
     start_all(fleet, 0, 4);
     CHECK(agreed(fleet, 3s));
-    for (std::size_t k = 0; k < 3; ++k) CHECK(ack(fleet.call(k, "OFFLINE " + Fleet::box(k))));
+    for (std::size_t k = 0; k < 3; ++k)
+        CHECK(ack(fleet.call(k, "OFFLINE " + Fleet::box(k))));
     CHECK(fleet.wait_until([&] { return all_out(fleet, 3); }, 2s));
     fleet.kill(2);
     std::filesystem::path file;
     for (const auto& e : std::filesystem::directory_iterator{fleet.folder(2)}) {
-        if (e.path().extension() == ".replica") file = e.path();
-        if (e.path().extension() == ".bans") std::filesystem::remove(e.path());
+        if (e.path().extension() == ".replica")
+            file = e.path();
+        if (e.path().extension() == ".bans")
+            std::filesystem::remove(e.path());
     }
     CHECK(!file.empty());
     std::filesystem::remove(file.string() + "-wal");
@@ -331,7 +347,8 @@
 void ask_all(Fleet& fleet, std::size_t first, std::size_t to, std::uint64_t count) {
     static std::uint64_t object = 0;
     for (std::size_t i = first; i < to; ++i)
-        for (std::uint64_t k = 0; k < count; ++k) CHECK(fleet.ask(i, "pages", ++object) == 200);
+        for (std::uint64_t k = 0; k < count; ++k)
+            CHECK(fleet.ask(i, "pages", ++object) == 200);
 }
 
 // What two routers learned of a box holds the others off it; what one learned moves nobody.
@@ -349,14 +366,16 @@
     const auto one = std::chrono::steady_clock::now();
     ask_all(fleet, 1, 8, 40);
     CHECK(farm.asked_since({1}, one) > 7);
-    for (std::size_t i = 1; i < 8; ++i) CHECK(fleet.counters(i)["hearsay.held_out"] == 0);
+    for (std::size_t i = 1; i < 8; ++i)
+        CHECK(fleet.counters(i)["hearsay.held_out"] == 0);
     // Router 1's too: now it is more than one link.
     farm.set_link(1, 1, false);
     ask_all(fleet, 1, 2, 60);
     const auto two = std::chrono::steady_clock::now();
     const auto held = [&](std::size_t out) {
         for (std::size_t i = 2; i < 8; ++i)
-            if (fleet.counters(i)["hearsay.out"] != out) return false;
+            if (fleet.counters(i)["hearsay.out"] != out)
+                return false;
         return true;
     };
     CHECK(fleet.wait_until([&] { return held(1); }, 2s));
@@ -394,7 +413,8 @@
     CHECK(fleet.wait_until(
         [&] {
             for (std::size_t i = 2; i < 8; ++i)
-                if (fleet.counters(i)["hearsay.out"] != 1) return false;
+                if (fleet.counters(i)["hearsay.out"] != 1)
+                    return false;
             return true;
         },
         5s));
@@ -441,7 +461,8 @@
                                  replayed,
                                  forged_bytes};
     const auto base = descriptors(fleet.pid(0));
-    for (const auto& bytes : sends) u.send_to(asio::buffer(bytes), at);
+    for (const auto& bytes : sends)
+        u.send_to(asio::buffer(bytes), at);
     // Streams that stay silent, and one that sends half a frame: let go within their time.
     std::vector<net::tcp::socket> silent;
     for (int i = 0; i < 20; ++i) {
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -42,10 +42,12 @@
     std::string lost;
     for (int i = 0; i < 2; ++i) {
         const auto id = g.ask(object);
-        if (lost.empty()) lost = g.target();
+        if (lost.empty())
+            lost = g.target();
         EXPECT_EQ(g.target(), lost);
         g.end(id, Ending::no_connection);
-        if (g.find<Send>()) g.end(id, Ending::good, Note::hit, 1);
+        if (g.find<Send>())
+            g.end(id, Ending::good, Note::hit, 1);
     }
     return lost;
 }
@@ -54,14 +56,17 @@
 class Fills {
 public:
     Fills(Span took, Note note) : took_(took), note_(note) {}
-    std::size_t under_way() const { return out_.size(); }
+    std::size_t under_way() const {
+        return out_.size();
+    }
     void began(std::size_t gateway, const Gateway& g, RequestId id) {
         out_.push_back({gateway, id, g.now + took_});
     }
     // Tells this gateway of those of its own that are through.
     void end_due(std::size_t gateway, Gateway& g) {
         std::erase_if(out_, [&](const Out& o) {
-            if (o.gateway != gateway || o.ends > g.now) return false;
+            if (o.gateway != gateway || o.ends > g.now)
+                return false;
             g.tell(
                 Outcome{.request = o.id, .ending = Ending::good, .took = took_, .over = true, .note = note_});
             return true;
@@ -87,7 +92,8 @@
     int never_kept = 0;
     for (std::uint64_t object = 1; object <= kObjects; ++object) {
         int here = 0;
-        for (auto& g : zone) here += g.serve(object, Note::filled)->fill->rank == Rank::unkept;
+        for (auto& g : zone)
+            here += g.serve(object, Note::filled)->fill->rank == Rank::unkept;
         unkept += here;
         never_kept += here == 10;
     }
@@ -126,8 +132,10 @@
     std::string slow;
     for (std::uint64_t object = 1; of_first.size() < 5; ++object) {
         const auto id = g.ask(object);
-        if (slow.empty()) slow = g.source();
-        if (g.source() != slow) of_first.push_back(object);
+        if (slow.empty())
+            slow = g.source();
+        if (g.source() != slow)
+            of_first.push_back(object);
         g.tell(Outcome{.request = id,
                        .ending = Ending::good,
                        .took = g.source() == slow ? Span{1s} : Span{50ms},
@@ -136,7 +144,8 @@
         g.pass(50ms);
     }
     Gateway calm;
-    for (auto* each : {&g, &calm}) each->change(slow == "p1" ? "p2" : "p1", Condition::draining);
+    for (auto* each : {&g, &calm})
+        each->change(slow == "p1" ? "p2" : "p1", Condition::draining);
     for (const auto object : of_first) {
         g.ask(object);
         EXPECT_EQ(g.source(), "origin");
@@ -165,14 +174,16 @@
                 Gateway& g = all[i];
                 g.pass(10ms);
                 fills.end_due(i, g);
-                if (tick % 10 != static_cast<int>(i % 10)) continue;
+                if (tick % 10 != static_cast<int>(i % 10))
+                    continue;
                 const auto id = g.ask(++object);
                 if (g.source() == "origin")
                     fills.began(i, g, id);
                 else if (g.find<Send>())
                     g.end(id, Ending::miss);
             }
-            if (tick < 100) continue;  // the first fetch of each is free
+            if (tick < 100)
+                continue;  // the first fetch of each is free
             sum += static_cast<double>(fills.under_way());
             ++looks;
         }
@@ -194,7 +205,8 @@
             int step = 0;
             for (; step < 200; ++step) {
                 g.ask(1);
-                if (g.target() == lost) break;
+                if (g.target() == lost)
+                    break;
                 g.end(RequestId{g.ids}, Ending::good, Note::hit);
                 g.pass(10ms);
             }
@@ -204,7 +216,8 @@
         EXPECT_GE(*first, 74);  // three quarters of a second at least, one second at most
         EXPECT_LE(*last, 101);
         EXPECT_GE(*last - *first, 15);
-        for (const int step : back) EXPECT_LT(std::count(back.begin(), back.end(), step), 20);
+        for (const int step : back)
+            EXPECT_LT(std::count(back.begin(), back.end(), step), 20);
         runs.push_back(back);
     }
     EXPECT_EQ(runs[0], runs[1]);
@@ -213,7 +226,8 @@
 // Nine gateways told of one new box at once: what all send it in any window stays under what tips it.
 TEST(InStep, ANewBoxIsNotTippedByTheSumOfAll) {
     auto zone = zone_of(9, cold_settings());
-    for (auto& g : zone) g.restart("c1", g.now);
+    for (auto& g : zone)
+        g.restart("c1", g.now);
     const double work = 0.05;  // seconds of sending, as the answers take
     double sent = 0;
     std::uint64_t object = 0;
@@ -221,7 +235,8 @@
         for (auto& g : zone) {
             for (int i = 0; i < 2; ++i) {
                 g.ask(++object);
-                if (g.target() == "c1") sent += work;
+                if (g.target() == "c1")
+                    sent += work;
                 g.end(RequestId{g.ids}, Ending::good, Note::hit);
             }
             g.pass(10ms);
@@ -245,10 +260,12 @@
         }
         ASSERT_EQ(before.size(), 1u);
         ASSERT_EQ(after.size(), 1u);
-        if (*before.begin() == "c1") ++taken[*after.begin()];
+        if (*before.begin() == "c1")
+            ++taken[*after.begin()];
     }
     EXPECT_EQ(taken.size(), 4u);
-    for (const auto& [cache, count] : taken) EXPECT_GE(count, 8) << cache;
+    for (const auto& [cache, count] : taken)
+        EXPECT_GE(count, 8) << cache;
 }
 
 // A box that refuses connections but answers what is out has a full table; one that comes back later is cold.
@@ -264,7 +281,8 @@
             g.end(open, Ending::good, Note::hit);
         } else {
             g.end(open, Ending::reset);
-            if (g.find<Send>()) g.end(open, Ending::good, Note::hit, 1);
+            if (g.find<Send>())
+                g.end(open, Ending::good, Note::hit, 1);
             g.pass(3s);
             EXPECT_EQ(g.serve(1)->target.address, home);  // the trial
         }
@@ -287,7 +305,8 @@
     settings.zone_link_kb_per_s = 11000;  // eleven answers at top pace
     auto zone = zone_of(9, settings);
     for (auto& g : zone)
-        for (std::uint64_t group = 0; group < 32; ++group) g.tell(Purge{.group = GroupId{group}});
+        for (std::uint64_t group = 0; group < 32; ++group)
+            g.tell(Purge{.group = GroupId{group}});
     Fills fills{900ms, Note::filled};
     std::size_t most_late = 0;
     std::uint64_t object = 0;
@@ -296,17 +315,20 @@
             Gateway& g = zone[i];
             g.pass(10ms);
             fills.end_due(i, g);
-            if (tick % 10 != static_cast<int>(i)) continue;
+            if (tick % 10 != static_cast<int>(i))
+                continue;
             ++object;
             const auto id = g.ask(object, 0, 4s, GroupId{object % 32});
-            if (!g.find<Send>()) continue;
+            if (!g.find<Send>())
+                continue;
             EXPECT_GT(g.find<Send>()->fill->oldest, Span{});  // no copy from before the purge
             if (g.source()[0] == 'p')
                 fills.began(i, g, id);
             else
                 g.end(id, Ending::miss);
         }
-        if (tick >= 300) most_late = std::max(most_late, fills.under_way());
+        if (tick >= 300)
+            most_late = std::max(most_late, fills.under_way());
     }
     EXPECT_GT(most_late, 0u);
     EXPECT_LE(most_late, 22u);
--- a/tests/gateway.h
+++ b/tests/gateway.h
@@ -43,10 +43,12 @@
 
 inline CacheList plain_fleet(int caches = 3, int parents = 2, bool origin = true) {
     CacheList list{.complete = true};
-    for (int i = 1; i <= caches; ++i) list.caches.push_back(listed("c" + std::to_string(i), "bay", "cache"));
+    for (int i = 1; i <= caches; ++i)
+        list.caches.push_back(listed("c" + std::to_string(i), "bay", "cache"));
     for (int i = 1; i <= parents; ++i)
         list.caches.push_back(listed("p" + std::to_string(i), "hub", "parent"));
-    if (origin) list.caches.push_back(listed("origin", "hub", "origin"));
+    if (origin)
+        list.caches.push_back(listed("origin", "hub", "origin"));
     return list;
 }
 
@@ -57,8 +59,12 @@
         tell(fleet);
     }
 
-    std::vector<Action> tell(const Event& event) { return last = router.on(event, now); }
-    void pass(Span span) { now += span; }
+    std::vector<Action> tell(const Event& event) {
+        return last = router.on(event, now);
+    }
+    void pass(Span span) {
+        now += span;
+    }
 
     // A new request; returns its id.
     RequestId ask(std::uint64_t object, std::size_t class_index = 0, Span patience = 4s, GroupId group = {}) {
@@ -83,16 +89,20 @@
     std::optional<Send> serve(std::uint64_t object, Note note = Note::hit) {
         const RequestId id = ask(object);
         const auto send = find<Send>();
-        if (send) end(id, Ending::good, note);
+        if (send)
+            end(id, Ending::good, note);
         return send;
     }
     template <class Kind>
     std::optional<Kind> find() const {
         for (const Action& a : last)
-            if (const auto* found = std::get_if<Kind>(&a)) return *found;
+            if (const auto* found = std::get_if<Kind>(&a))
+                return *found;
         return std::nullopt;
     }
-    std::string target() const { return find<Send>() ? find<Send>()->target.address : ""; }
+    std::string target() const {
+        return find<Send>() ? find<Send>()->target.address : "";
+    }
     std::string source() const {
         return find<Send>() && find<Send>()->fill ? find<Send>()->fill->source.address : "";
     }
--- a/tests/health_test.cpp
+++ b/tests/health_test.cpp
@@ -9,7 +9,8 @@
 std::uint64_t object_of(Gateway& g, const std::string& home) {
     for (std::uint64_t object = 1;; ++object) {
         const auto send = g.serve(object);
-        if (send && send->target.address == home) return object;
+        if (send && send->target.address == home)
+            return object;
     }
 }
 
@@ -53,12 +54,16 @@
         const auto other = object_of(g, "c2");
         g.pass(1ms);
         std::vector<RequestId> held;
-        for (int i = 0; i < 2; ++i) held.push_back(g.ask(object));
+        for (int i = 0; i < 2; ++i)
+            held.push_back(g.ask(object));
         g.pass(1250ms);
-        if (others_answer) g.serve(other);
-        for (const auto id : held) g.tell(Timer{TimerId{static_cast<std::uint64_t>(id)}});
+        if (others_answer)
+            g.serve(other);
+        for (const auto id : held)
+            g.tell(Timer{TimerId{static_cast<std::uint64_t>(id)}});
         EXPECT_TRUE(g.find<Cancel>());
-        for (const auto id : held) g.end(id, Ending::cancelled);
+        for (const auto id : held)
+            g.end(id, Ending::cancelled);
         g.ask(object);
         EXPECT_EQ(g.target() == "c1", !others_answer);
     }
@@ -88,8 +93,10 @@
         };
         std::vector<std::uint64_t> at_p1;
         for (std::uint64_t object = 1; at_p1.size() < 5; ++object)
-            if (fill_in(object, all_slow ? 900ms : 100ms) == "p1") at_p1.push_back(object);
-        for (int i = 0; i < 60; ++i) fill_in(at_p1[0], 900ms);  // aim 400 ms
+            if (fill_in(object, all_slow ? 900ms : 100ms) == "p1")
+                at_p1.push_back(object);
+        for (int i = 0; i < 60; ++i)
+            fill_in(at_p1[0], 900ms);  // aim 400 ms
         g.ask(at_p1[1]);
         EXPECT_EQ(g.source(), "p1");  // the trial
         g.ask(at_p1[2]);
@@ -126,7 +133,8 @@
         g.ask(object);
         EXPECT_EQ(g.target(), "c1");
     }
-    for (int i = 0; i < 3; ++i) g.ask(object);
+    for (int i = 0; i < 3; ++i)
+        g.ask(object);
     EXPECT_NE(g.target(), "c1");
 }
 
@@ -144,7 +152,8 @@
                            .note = Note::hit});
         }
         int out = 0;
-        while (g.ask(object), g.target() == "c1") ++out;
+        while (g.ask(object), g.target() == "c1")
+            ++out;
         return out;
     };
     EXPECT_LT(at_home(true), at_home(false));
@@ -191,7 +200,8 @@
         std::uint64_t object = 1;
         for (int i = 0; i < turned_away; ++i) {
             const auto id = g.ask(object++);
-            for (std::uint32_t n = 0; g.find<Send>(); ++n) g.end(id, ending, Note::none, n);
+            for (std::uint32_t n = 0; g.find<Send>(); ++n)
+                g.end(id, ending, Note::none, n);
         }
         g.pass(20s);  // whoever was ejected is tried again
         int open = 0;
@@ -232,7 +242,9 @@
             }
             ++held_only;
             g.end(id, Ending::miss, Note::source_lacks);
-            if (g.find<Send>()) { EXPECT_FALSE(g.find<Send>()->fill->held_only); }
+            if (g.find<Send>()) {
+                EXPECT_FALSE(g.find<Send>()->fill->held_only);
+            }
             refused += g.find<Refuse>().has_value();
         }
         EXPECT_EQ(held_only > 5, late);
@@ -252,7 +264,8 @@
         return g.find<Send>().has_value();
     };
     std::uint64_t object = 1;
-    while (object < 40 && ask_sized(object, 500)) ++object;
+    while (object < 40 && ask_sized(object, 500))
+        ++object;
     ASSERT_LT(object, 40u);
     EXPECT_FALSE(ask_sized(100, 500));
     EXPECT_TRUE(ask_sized(101, 20));
@@ -306,7 +319,8 @@
     int sends = 0;
     for (int i = 0; i < 200; ++i) {
         const auto id = g.ask(static_cast<std::uint64_t>(i));
-        for (std::uint32_t n = 0; g.find<Send>(); ++n, ++sends) g.end(id, Ending::full, Note::none, n);
+        for (std::uint32_t n = 0; g.find<Send>(); ++n, ++sends)
+            g.end(id, Ending::full, Note::none, n);
         EXPECT_TRUE(g.find<Refuse>());
     }
     EXPECT_LT(sends, 200 + 20 + 41);
@@ -347,7 +361,8 @@
     for (; object < 40; ++object) {
         last = g.ask(object);
         g.pass(1ms);
-        if (g.source() == g.target()) break;
+        if (g.source() == g.target())
+            break;
     }
     ASSERT_LT(object, 24u);
     g.end(last, Ending::miss);
@@ -410,7 +425,8 @@
         g.pass(300ms);
         g.tell(Timer{TimerId{static_cast<std::uint64_t>(id)}});
         ASSERT_EQ(g.find<Cancel>().has_value(), answers_others);
-        if (!answers_others) continue;
+        if (!answers_others)
+            continue;
         g.end(id, Ending::cancelled);
         ASSERT_TRUE(g.find<Send>());
         EXPECT_NE(g.target(), home);
@@ -427,7 +443,9 @@
         const RequestId id{++g.ids};
         g.tell(Request{.id = id, .object = ObjectId{4}, .part = part, .deadline = g.now + 4s});
         targets.push_back(g.target());
-        if (part > 0) { EXPECT_EQ(g.source(), source); }
+        if (part > 0) {
+            EXPECT_EQ(g.source(), source);
+        }
         source = g.source();
         g.end(id, Ending::good, Note::hit);
     }
--- a/tests/limits/limits_test.cpp
+++ b/tests/limits/limits_test.cpp
@@ -14,7 +14,9 @@
 
 namespace {
 
-Time at(Span span) { return Time{1000s} + span; }
+Time at(Span span) {
+    return Time{1000s} + span;
+}
 
 void check_cases() {
     struct Step {
@@ -67,7 +69,9 @@
         bool refused = false;
         try {
             Gcra{rate, burst};
-        } catch (const std::invalid_argument&) { refused = true; }
+        } catch (const std::invalid_argument&) {
+            refused = true;
+        }
         CHECK(refused);
     }
 }
@@ -136,7 +140,8 @@
     for (int ms = 0; ms < 11'000; ++ms) {
         now += 1ms;
         // The usual ones are at their limit when it begins.
-        for (int i = 0; ms >= 1000 && i < 50; ++i) limiter.take(1'000'000 + dice(), now);
+        for (int i = 0; ms >= 1000 && i < 50; ++i)
+            limiter.take(1'000'000 + dice(), now);
         for (std::uint64_t key = 0; key < 20; ++key)
             if (ms % 20 == 0)
                 usual[key] += limiter.take(key, now).admitted;  // 50 a second, five times the limit
@@ -144,7 +149,8 @@
     }
     CHECK(limiter.given_up() > 400'000);
     // Each of them got its rate and its burst, and hardly more.
-    for (const auto& [key, admitted] : usual) CHECK(admitted >= 110 && admitted <= 118);
+    for (const auto& [key, admitted] : usual)
+        CHECK(admitted >= 110 && admitted <= 118);
     // A clock that steps back is taken for standing still.
     const auto keys = limiter.keys();
     CHECK(!limiter.take(3, now - 1h).admitted && limiter.keys() <= keys);
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -91,7 +91,8 @@
     settings.direct = false;  // through a cache, the origin as its source
     settings.classes[1].scope = Scope::cell;
     auto fleet = plain_fleet();
-    for (std::size_t i = 0; i < fleet.caches.size(); ++i) fleet.caches[i].cell = CellId{static_cast<int>(i)};
+    for (std::size_t i = 0; i < fleet.caches.size(); ++i)
+        fleet.caches[i].cell = CellId{static_cast<int>(i)};
     Gateway g{settings, fleet};
     const auto id = g.ask(1, 1);
     g.end(id, Ending::reset);
@@ -174,8 +175,10 @@
     for (std::uint64_t object = 1; object <= 500; ++object) {
         const RequestId id{++g.ids};
         g.tell(Request{.id = id, .object = ObjectId{object}, .size_kb = 100, .deadline = g.now + 4s});
-        if (g.target() == address || g.source() == address) work += 0.1;  // 100 KB at 1000 KB/s
-        if (g.find<Send>()) g.end(id, Ending::good, note);
+        if (g.target() == address || g.source() == address)
+            work += 0.1;  // 100 KB at 1000 KB/s
+        if (g.find<Send>())
+            g.end(id, Ending::good, note);
         g.pass(2ms);
     }
     return work;
@@ -185,7 +188,8 @@
     for (std::uint64_t i = 0; i < 200; ++i) {
         const RequestId id{++g.ids};
         g.tell(Request{.id = id, .object = ObjectId{9000 + i}, .size_kb = 100, .deadline = g.now + 4s});
-        if (g.find<Send>()) g.end(id, Ending::good, Note::hit);
+        if (g.find<Send>())
+            g.end(id, Ending::good, Note::hit);
     }
 }
 
@@ -219,7 +223,9 @@
 
 TEST(Purges, BoundTheAgeOfCopiesUntilAllOlderOnesAreGone) {
     Gateway g;
-    const auto age = [&](std::uint64_t object) { return g.serve(object)->fill->oldest; };
+    const auto age = [&](std::uint64_t object) {
+        return g.serve(object)->fill->oldest;
+    };
     EXPECT_EQ(age(1), 0ns);
     g.tell(Purge{.object = ObjectId{1}, .age = 100ms});
     EXPECT_EQ(age(1), 100ms);
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -20,7 +20,8 @@
             ASSERT_EQ(send->request, id) << what;
             g.pass(7ms);
             g.end(id, ending, Note::none, static_cast<std::uint32_t>(sends - 1));
-            if (ending == Ending::good) break;
+            if (ending == Ending::good)
+                break;
         }
         ASSERT_LE(sends, limit) << what;
         if (sends == 0 || ending != Ending::good) {
@@ -54,14 +55,17 @@
     odd.origin_kind.clear();
     expect_all_answered(odd, plain_fleet(), "no kinds");
     odd = plain;
-    for (auto& c : odd.classes) c.aim = c.give_up = 1ns;
+    for (auto& c : odd.classes)
+        c.aim = c.give_up = 1ns;
     expect_all_answered(odd, plain_fleet(), "very short times");
     odd = plain;
     odd.weights = Weights::nominal;
     auto fleet = plain_fleet();
-    for (auto& c : fleet.caches) c.weight = 0;
+    for (auto& c : fleet.caches)
+        c.weight = 0;
     expect_all_answered(odd, fleet, "no sizes");
-    for (auto& c : fleet.caches) c.up_since = Time{100s};
+    for (auto& c : fleet.caches)
+        c.up_since = Time{100s};
     expect_all_answered(odd, fleet, "all just started, no figures for it");
 }
 
--- a/tests/silverrail/acme_test.cpp
+++ b/tests/silverrail/acme_test.cpp
@@ -67,7 +67,8 @@
         X509_EXTENSION_free(e);
     };
     extend(NID_basic_constraints, authority ? "critical,CA:TRUE" : "CA:FALSE");
-    if (!names.empty()) extend(NID_subject_alt_name, names);
+    if (!names.empty())
+        extend(NID_subject_alt_name, names);
     CHECK(X509_sign(c.get(), by, EVP_sha256()) > 0);
     return c;
 }
@@ -82,7 +83,8 @@
     const std::size_t size = socket.receive(asio::buffer(b));
     std::set<std::string> out;
     std::size_t at = 12;
-    while (b.at(at) != 0) at += b[at] + 1u;
+    while (b.at(at) != 0)
+        at += b[at] + 1u;
     at += 5;
     for (int i = 0; i < b[7]; ++i) {
         const std::size_t length = b.at(at + 12);
@@ -105,7 +107,9 @@
         tls_.use_certificate_chain(asio::buffer(pem_of(certificate.get())));
         tls_.use_private_key(asio::buffer(acme::key_pem(own)), asio::ssl::context::pem);
         base_ = "https://" + text_of(acceptor_.local_endpoint());
-        thread_ = std::thread{[this] { serve(); }};
+        thread_ = std::thread{[this] {
+            serve();
+        }};
     }
     ~Authority() {
         over_ = true;
@@ -113,8 +117,12 @@
         tcp::socket{io}.connect(acceptor_.local_endpoint());
         thread_.join();
     }
-    std::string directory() const { return base_ + "/directory"; }
-    std::string ca_pem() const { return pem_of(ca_.get()); }
+    std::string directory() const {
+        return base_ + "/directory";
+    }
+    std::string ca_pem() const {
+        return pem_of(ca_.get());
+    }
 
     std::atomic<int> spoil_nonces{0};  // so many good nonces are called bad
     std::atomic<int> fail_orders{0};   // so many orders end in 503 with Retry-After: 7
@@ -144,7 +152,8 @@
             try {
                 asio::ssl::stream<tcp::socket> stream{io_, tls_};
                 acceptor_.accept(stream.lowest_layer());
-                if (over_) return;
+                if (over_)
+                    return;
                 stream.handshake(asio::ssl::stream_base::server);
                 net::beast::flat_buffer buffer;
                 Request request;
@@ -152,11 +161,14 @@
                 const Reply reply = handle(request);
                 stand::Response r{http::int_to_status(reply.status), 11};
                 r.set("Replay-Nonce", fresh_nonce());
-                if (!reply.location.empty()) r.set("Location", reply.location);
-                if (!reply.retry_after.empty()) r.set("Retry-After", reply.retry_after);
+                if (!reply.location.empty())
+                    r.set("Location", reply.location);
+                if (!reply.retry_after.empty())
+                    r.set("Retry-After", reply.retry_after);
                 r.body() = reply.body;
                 r.prepare_payload();
-                if (request.method() == http::verb::head) r.body().clear();
+                if (request.method() == http::verb::head)
+                    r.body().clear();
                 r.keep_alive(false);
                 http::write(stream, r);
             } catch (const boost::system::system_error&) {}
@@ -171,13 +183,16 @@
         ++rejected;
         return {status, R"({"type":"urn:ietf:params:acme:error:)" + type + R"("})", {}, {}};
     }
-    static std::string text(const Json::Value& v) { return v.isString() ? v.asString() : ""; }
+    static std::string text(const Json::Value& v) {
+        return v.isString() ? v.asString() : "";
+    }
 
     // The public key of a JWK.
     static acme::Key public_key(const Json::Value& jwk) {
         const auto x = acme::from_base64url(text(jwk["x"]));
         const auto y = acme::from_base64url(text(jwk["y"]));
-        if (!x || !y || x->size() != 32 || y->size() != 32 || text(jwk["crv"]) != "P-256") return nullptr;
+        if (!x || !y || x->size() != 32 || y->size() != 32 || text(jwk["crv"]) != "P-256")
+            return nullptr;
         const std::string point = "\x04"s + *x + *y;
         OSSL_PARAM parameters[] = {
             OSSL_PARAM_construct_utf8_string(OSSL_PKEY_PARAM_GROUP_NAME, const_cast<char*>("P-256"), 0),
@@ -192,7 +207,8 @@
         return acme::Key{key};
     }
     static bool verified(const acme::Key& key, const std::string& bytes, const std::string& raw) {
-        if (!key || raw.size() != 64) return false;
+        if (!key || raw.size() != 64)
+            return false;
         const auto* p = reinterpret_cast<const unsigned char*>(raw.data());
         ECDSA_SIG* pair = ECDSA_SIG_new();
         ECDSA_SIG_set0(pair, BN_bin2bn(p, 32, nullptr), BN_bin2bn(p + 32, 32, nullptr));
@@ -217,11 +233,13 @@
                         R"(/account","newOrder":")" + base_ + R"(/order"})",
                     {},
                     {}};
-        if (target == "/nonce") return {200, "", {}, {}};
+        if (target == "/nonce")
+            return {200, "", {}, {}};
         if (request.method() != http::verb::post || request["Content-Type"] != "application/jose+json")
             return problem(400, "malformed");
         const auto jws = config::parse_json(request.body());
-        if (!jws) return problem(400, "malformed");
+        if (!jws)
+            return problem(400, "malformed");
         const std::string head = text((*jws)["protected"]);
         const std::string body = text((*jws)["payload"]);
         const auto signature = acme::from_base64url(text((*jws)["signature"]));
@@ -231,7 +249,8 @@
         if (!header || !payload || !signature || text((*header)["alg"]) != "ES256" ||
             text((*header)["url"]) != base_ + target)
             return problem(400, "malformed");
-        if (nonces_.erase(text((*header)["nonce"])) != 1) return problem(400, "badNonce");
+        if (nonces_.erase(text((*header)["nonce"])) != 1)
+            return problem(400, "badNonce");
         if (spoil_nonces > 0) {
             --spoil_nonces;
             --rejected;
@@ -248,10 +267,12 @@
         const std::string thumb = acme::base64url(acme::sha256(
             R"({"crv":"P-256","kty":"EC","x":")" + text(jwk["x"]) + R"(","y":")" + text(jwk["y"]) + R"("})"));
         if (target == "/account") {
-            if (!json || !(*json)["termsOfServiceAgreed"].asBool()) return problem(400, "malformed");
+            if (!json || !(*json)["termsOfServiceAgreed"].asBool())
+                return problem(400, "malformed");
             const std::string url = base_ + "/account/" + thumb;
             const bool known = accounts_.contains(url);
-            if (!known) ++accounts;
+            if (!known)
+                ++accounts;
             accounts_[url] = jwk;
             return {known ? 200u : 201u, "{}", url, {}};
         }
@@ -260,7 +281,8 @@
                 --fail_orders;
                 return {503, "{}", {}, "7"};
             }
-            if (!json || text((*json)["identifiers"][0]["value"]) != kName) return problem(400, "malformed");
+            if (!json || text((*json)["identifiers"][0]["value"]) != kName)
+                return problem(400, "malformed");
             orders_.push_back({});
             orders_.back().token = acme::base64url("token " + std::to_string(orders_.size()));
             orders_.back().thumbprint = thumb;
@@ -268,13 +290,17 @@
             return {201, order_json(at, orders_.back()), at + "/order", {}};
         }
         const std::size_t index = static_cast<std::size_t>(std::atoi(target.c_str() + 1));
-        if (index >= orders_.size()) return problem(404, "malformed");
+        if (index >= orders_.size())
+            return problem(404, "malformed");
         Order& order = orders_[index];
         const std::string at = base_ + "/" + std::to_string(index);
-        if (order.thumbprint != thumb) return problem(403, "unauthorized");
+        if (order.thumbprint != thumb)
+            return problem(403, "unauthorized");
         if (target.ends_with("/authorization")) {
-            if (!payload.empty()) return problem(400, "malformed");  // POST-as-GET
-            if (order.authorization == "processing" && ++order.polls > 2) order.authorization = "valid";
+            if (!payload.empty())
+                return problem(400, "malformed");  // POST-as-GET
+            if (order.authorization == "processing" && ++order.polls > 2)
+                order.authorization = "valid";
             const std::string status = order.authorization == "processing" ? "pending" : order.authorization;
             return {
                 200,
@@ -287,17 +313,20 @@
         if (target.ends_with("/challenge")) {
             const std::string proof = acme::base64url(acme::sha256(order.token + "." + thumb));
             const bool shown = texts_at("_acme-challenge." + kName, dns_).contains(proof);
-            if (!shown) ++proofs_missing;
+            if (!shown)
+                ++proofs_missing;
             order.authorization = shown ? "processing" : "invalid";
             return {200, "{}", {}, {}};
         }
         if (target.ends_with("/finalize")) {
             const auto csr = json ? acme::from_base64url(text((*json)["csr"])) : std::nullopt;
-            if (order.authorization != "valid" || !csr) return problem(403, "orderNotReady");
+            if (order.authorization != "valid" || !csr)
+                return problem(403, "orderNotReady");
             const auto* p = reinterpret_cast<const unsigned char*>(csr->data());
             const Request509 signing{d2i_X509_REQ(nullptr, &p, static_cast<long>(csr->size()))};
             EVP_PKEY* key = signing ? X509_REQ_get0_pubkey(signing.get()) : nullptr;
-            if (!key || X509_REQ_verify(signing.get(), key) != 1) return problem(400, "badCSR");
+            if (!key || X509_REQ_verify(signing.get(), key) != 1)
+                return problem(400, "badCSR");
             order.certificate = pem_of(
                 make_certificate(key, "DNS:" + kName, ca_.get(), ca_key_.get(), 90 * 86400, false).get());
             order.status = "processing";
@@ -358,7 +387,9 @@
     void show(const std::string& name, const std::string& text) override {
         front.set_text(*parse_name(name), text);
     }
-    void clear(const std::string& name) override { front.clear_texts(*parse_name(name)); }
+    void clear(const std::string& name) override {
+        front.clear_texts(*parse_name(name));
+    }
     Front& front;
 };
 
@@ -381,7 +412,7 @@
 }
 
 mode_t mode_of(const std::string& path) {
-    struct stat s {};
+    struct stat s{};
     CHECK(::stat(path.c_str(), &s) == 0);
     return s.st_mode & 0777;
 }
@@ -513,7 +544,8 @@
         CHECK(timers.held[0].first > last * 3 / 2 && timers.held[0].first >= 4900ms);  // longer each time
         last = timers.held[0].first;
         // No order may be under way when the authority ends: its thread would wait for our DNS front.
-        if (tries < 3) timers.fire();
+        if (tries < 3)
+            timers.fire();
     }
     // An authority that is not trusted is not talked to.
     std::ofstream{trust} << Authority{bench.server.udp_local()}.ca_pem();
@@ -537,7 +569,8 @@
         CHECK(acme::base64url(c.bytes) == c.text);
         CHECK(acme::from_base64url(c.text) == c.bytes);
     }
-    for (const char* bad : {"Z", "Zh", "Zg==", "Z+8a", "Zm9vY"}) CHECK(!acme::from_base64url(bad));
+    for (const char* bad : {"Z", "Zh", "Zg==", "Z+8a", "Zm9vY"})
+        CHECK(!acme::from_base64url(bad));
     for (const char* bad :
          {"http://ca.example/", "https://", "https://a b/", "https://u@ca.example/", "ftp:x"})
         CHECK(!net::parse_https(bad));
--- a/tests/silverrail/admin_test.cpp
+++ b/tests/silverrail/admin_test.cpp
@@ -63,15 +63,21 @@
         const auto call = admin::parse(row.line, row.ended);
         const auto* good = std::get_if<admin::Call>(&call);
         CHECK((good != nullptr) == row.kind.has_value());
-        if (good) CHECK(good->kind == *row.kind && good->box == row.box);
-        if (!good) CHECK(!std::get<std::string>(call).empty());
+        if (good)
+            CHECK(good->kind == *row.kind && good->box == row.box);
+        if (!good)
+            CHECK(!std::get<std::string>(call).empty());
     }
     CHECK(admin::yes() == "ACK\n" && admin::no("why not") == "NAK why not\n");
 }
 
 struct NoHands : admin::Hands {
-    admin::Verdict out(const core::CacheId& box) override { return {true, "out " + box.address}; }
-    admin::Verdict back(const core::CacheId&) override { return {false, "no such box"}; }
+    admin::Verdict out(const core::CacheId& box) override {
+        return {true, "out " + box.address};
+    }
+    admin::Verdict back(const core::CacheId&) override {
+        return {false, "no such box"};
+    }
 };
 
 struct Control {
@@ -98,7 +104,8 @@
     std::vector<std::unique_ptr<Caller>> crowd;
     for (int i = 0; i < 200; ++i) {
         crowd.push_back(std::make_unique<Caller>(io, at, i % 2 == 0 ? "" : "HEA"));
-        if (i % 50 == 49) CHECK(call(io, at, "HEALTH").starts_with("ACK"));
+        if (i % 50 == 49)
+            CHECK(call(io, at, "HEALTH").starts_with("ACK"));
         CHECK(control.server.connections() <= 8);
     }
     // One of the last of them finishes its call, in pieces, and gets its answer.
@@ -136,10 +143,13 @@
     Box box{io};
     Router router{io, {}, 2};
     Control control{io, router};
-    const auto dump = [&] { return call(io, control.server.local(), "DUMP"); };
+    const auto dump = [&] {
+        return call(io, control.server.local(), "DUMP");
+    };
     const auto is = [&](const std::string& name, std::uint64_t wanted) {
         const std::string text = dump();
-        if (figure(text, name) != wanted) std::fprintf(stderr, "%s", text.c_str());
+        if (figure(text, name) != wanted)
+            std::fprintf(stderr, "%s", text.c_str());
         CHECK(figure(text, name) == wanted);
     };
     for (const char* name : {"success.pages", "busy.pages", "failure.lodge", "backend_calls", "inflight"})
@@ -220,7 +230,8 @@
     // A box that refuses connections is avoided, and shows.
     box.stop_listening();
     router.list({listed("s-a", "127.0.0.1:9")}, false);
-    for (int i = 0; i < 4; ++i) done(ask("pages", "00000000000000c" + std::to_string(i)));
+    for (int i = 0; i < 4; ++i)
+        done(ask("pages", "00000000000000c" + std::to_string(i)));
     is("hosts_down", 1);
 }
 
--- a/tests/silverrail/bulletin_test.cpp
+++ b/tests/silverrail/bulletin_test.cpp
@@ -24,7 +24,9 @@
 public:
     struct Watcher {
         explicit Watcher(tcp::socket s) : socket(std::move(s)) {}
-        void say(const std::string& text) { asio::write(socket, asio::buffer(text)); }
+        void say(const std::string& text) {
+            asio::write(socket, asio::buffer(text));
+        }
         tcp::socket socket;
         net::beast::flat_buffer buffer;
         Request request;
@@ -33,8 +35,12 @@
         bool gone = false;
         char byte = 0;
     };
-    explicit Feed(asio::io_context& io) : acceptor_(io, loopback()) { accept(); }
-    tcp::endpoint at() const { return acceptor_.local_endpoint(); }
+    explicit Feed(asio::io_context& io) : acceptor_(io, loopback()) {
+        accept();
+    }
+    tcp::endpoint at() const {
+        return acceptor_.local_endpoint();
+    }
     std::size_t open() const {
         return static_cast<std::size_t>(
             std::count_if(watchers.begin(), watchers.end(), [](const auto& w) { return !w->gone; }));
@@ -44,11 +50,13 @@
 private:
     void accept() {
         acceptor_.async_accept([this](const net::error_code& error, tcp::socket socket) {
-            if (error) return;
+            if (error)
+                return;
             const auto w = watchers.emplace_back(std::make_shared<Watcher>(std::move(socket)));
             http::async_read(w->socket, w->buffer, w->request, [w](const net::error_code& e, std::size_t) {
                 w->gone = bool(e);
-                if (e) return;
+                if (e)
+                    return;
                 const auto last = w->request["Last-Event-ID"];
                 w->after.assign(last.data(), last.size());
                 w->asked = true;
@@ -66,7 +74,8 @@
         : bulletin(
               io, at, 1,
               [this](std::int64_t no, std::string_view data) {
-                  if (data == "spoilt") return false;
+                  if (data == "spoilt")
+                      return false;
                   taken.push_back(no);
                   return true;
               },
@@ -98,7 +107,8 @@
     void beat() {
         timer_.expires_after(100ms);
         timer_.async_wait([this](const net::error_code& error) {
-            if (error || to_.gone) return;
+            if (error || to_.gone)
+                return;
             to_.say(text_);
             beat();
         });
@@ -145,7 +155,8 @@
         CHECK(first.after == "1");
         first.say(kHead + c.first);
         if (c.connects == 2) {
-            if (c.hangs_up) first.socket.shutdown(tcp::socket::shutdown_send);
+            if (c.hangs_up)
+                first.socket.shutdown(tcp::socket::shutdown_send);
             auto& second = asked(io, feed, 2);
             CHECK(second.after == c.after);
             second.say(kHead + c.second);
--- a/tests/silverrail/core_test.cpp
+++ b/tests/silverrail/core_test.cpp
@@ -16,9 +16,15 @@
 namespace {
 
 struct HandClock : Clock {
-    Time now() const override { return Time{1000s} + passed; }
-    std::int64_t unix_ms() const override { return true_unix_ms() + step / 1ms; }
-    std::int64_t true_unix_ms() const { return 1'764'576'000'000 + passed / 1ms; }
+    Time now() const override {
+        return Time{1000s} + passed;
+    }
+    std::int64_t unix_ms() const override {
+        return true_unix_ms() + step / 1ms;
+    }
+    std::int64_t true_unix_ms() const {
+        return 1'764'576'000'000 + passed / 1ms;
+    }
     Span passed{};
     Span step{};  // of this machine's wall clock
 };
@@ -61,7 +67,9 @@
         std::erase_if(out, [&](const Order& o) { return o.key == key; });
         ++cancelled;
     }
-    void forget(const CacheId& box) override { forgotten.push_back(box.address); }
+    void forget(const CacheId& box) override {
+        forgotten.push_back(box.address);
+    }
     void end(std::size_t i, AttemptEnd how) {
         const auto key = out.at(i).key;
         out.erase(out.begin() + static_cast<std::ptrdiff_t>(i));
@@ -101,7 +109,8 @@
         call.group = winchflow::GroupId{17};
         call.deadline = clock.now() + wait;
         call.write = call.class_name != "pages";
-        if (call.class_name == "order") call.idempotency_key = "952b4cf81bd4b06d";
+        if (call.class_name == "order")
+            call.idempotency_key = "952b4cf81bd4b06d";
         call.referred = referred;
         auto reply = std::make_shared<Reply>();
         id = engine.take(std::move(call), reply);
@@ -168,7 +177,8 @@
     CHECK(b.ask("nowhere")->answer.kind == Answer::Kind::failed);
     CHECK(b.ask("pages", 0s)->answer.timed_out);
     std::vector<std::shared_ptr<Reply>> replies;
-    for (int i = 0; i < 21; ++i) replies.push_back(b.ask("lodge"));
+    for (int i = 0; i < 21; ++i)
+        replies.push_back(b.ask("lodge"));
     CHECK(replies[19]->count == 0 && replies[20]->count == 1);
     CHECK(replies[20]->answer.kind == Answer::Kind::refused && replies[20]->answer.hold_off > 0s);
     CHECK(b.engine.counters().not_admitted == 1);
@@ -205,7 +215,8 @@
         b.timers.pass(waited - 50ms);
         CHECK(b.sender.events->before_first_byte(key).has_value() == (waited == 800ms));
         b.sender.end(0, {.ending = Ending::not_sent});
-        if (waited == 900ms) CHECK(b.sender.out.empty() && reply->answer.kind == Answer::Kind::refused);
+        if (waited == 900ms)
+            CHECK(b.sender.out.empty() && reply->answer.kind == Answer::Kind::refused);
     }
     {
         Bench b;
@@ -246,7 +257,8 @@
     const auto up_since = [](Bench& b) {
         std::optional<Time> found;
         b.engine.each_box([&](const Box& box, bool) {
-            if (box.entry.id.address == "s-b") found = box.entry.up_since;
+            if (box.entry.id.address == "s-b")
+                found = box.entry.up_since;
         });
         CHECK(found);
         return *found;
@@ -334,7 +346,8 @@
         b.clock.passed += 400ms;
         const auto late = b.ask();
         CHECK(late->count == 0 && b.sender.out.size() == 1);
-        while (!b.sender.out.empty()) b.sender.end(0, {.ending = Ending::no_connection});
+        while (!b.sender.out.empty())
+            b.sender.end(0, {.ending = Ending::no_connection});
         CHECK(late->answer.kind == Answer::Kind::refused);
     }
     // What is too far ahead to be a clock's step tells nothing: the copies that are held go on answering.
@@ -425,7 +438,8 @@
                           c.grace,      c.stale_worth, c.segmented,   c.uncached};
     };
     CHECK(all(a) == all(b) && a.classes.size() == 2 && b.classes.size() == 2);
-    for (std::size_t i = 0; i < 2; ++i) CHECK(each(a.classes[i]) == each(b.classes[i]));
+    for (std::size_t i = 0; i < 2; ++i)
+        CHECK(each(a.classes[i]) == each(b.classes[i]));
     CHECK(b.parent_kind == "parent" && b.gateways_in_zone == 2 && b.classes[1].uncached);
     CHECK(from_file.connect_timeout == 400ms && from_file.seed == 0x8c1f30d27a5be964);
     auto broken = *json;
@@ -459,13 +473,15 @@
     b.clock.passed += 9s;  // past its fresh time: the box is asked, and the copy stands in for a refusal
     const auto third = b.ask();
     CHECK(third->count == 0 && b.sender.out.size() == 1);
-    while (!b.sender.out.empty()) b.sender.end(0, {.ending = Ending::no_connection});
+    while (!b.sender.out.empty())
+        b.sender.end(0, {.ending = Ending::no_connection});
     CHECK(third->count == 1 && third->answer.kind == Answer::Kind::served);
     CHECK(b.engine.counters().own_stale == 1 && b.engine.counters().refused == 0);
 
     b.engine.told_of_purges(false);
     const auto fourth = b.ask();
-    while (!b.sender.out.empty()) b.sender.end(0, {.ending = Ending::no_connection});
+    while (!b.sender.out.empty())
+        b.sender.end(0, {.ending = Ending::no_connection});
     CHECK(fourth->answer.kind == Answer::Kind::refused);
 
     b.engine.told_of_purges(true);
@@ -511,7 +527,8 @@
         // Neither as a fresh copy nor in place of a refusal.
         const auto next = b.ask();
         CHECK(next->count == 0 && b.sender.out.size() == 1);
-        while (!b.sender.out.empty()) b.sender.end(0, {.ending = Ending::no_connection});
+        while (!b.sender.out.empty())
+            b.sender.end(0, {.ending = Ending::no_connection});
         CHECK(next->answer.kind == Answer::Kind::refused);
     }
 }
@@ -521,7 +538,8 @@
     Bench b;
     const auto bans = [](std::initializer_list<const char*> ids) {
         members::Bans of;
-        for (const char* id : ids) CHECK(of.add(CacheId{id}));
+        for (const char* id : ids)
+            CHECK(of.add(CacheId{id}));
         return of;
     };
     const auto back_to_good = [&](const std::shared_ptr<Reply>& reply) {
@@ -543,7 +561,8 @@
         CHECK(b.sender.out.back().target.address == other);
         CHECK(b.sender.events->before_first_byte(b.sender.out.back().key));
     }
-    while (!b.sender.out.empty()) b.sender.end(0, {.ending = Ending::good, .note = Note::hit, .body = "b"});
+    while (!b.sender.out.empty())
+        b.sender.end(0, {.ending = Ending::good, .note = Note::hit, .body = "b"});
     CHECK(first->answer.kind == Answer::Kind::served && write->answer.kind == Answer::Kind::served);
     CHECK(b.engine.counters().hosts_down == 1 && b.engine.counters().hosts_listed == 4);
     // The list drops it, lists it again, and lists it as just started: it stays out.
@@ -566,10 +585,13 @@
     CHECK(b.sender.out.at(0).target == home);
     back_to_good(asked);
     std::size_t at_home = 0;
-    for (int i = 0; i < 19; ++i) b.ask();
-    for (const Order& order : b.sender.out) at_home += order.target == home ? 1 : 0;
+    for (int i = 0; i < 19; ++i)
+        b.ask();
+    for (const Order& order : b.sender.out)
+        at_home += order.target == home ? 1 : 0;
     CHECK(at_home > 0 && at_home < 19);
-    while (!b.sender.out.empty()) b.sender.end(0, {.ending = Ending::cancelled});
+    while (!b.sender.out.empty())
+        b.sender.end(0, {.ending = Ending::cancelled});
     // As a source: a fill that names it is turned back and finds another source.
     b.clock.passed += 30s;
     asked = b.ask();
@@ -598,7 +620,8 @@
             call.object_id = winchflow::ObjectId{7919 * i + 1};
             call.deadline = b.clock.now() + 2s;
             b.engine.take(std::move(call), std::make_shared<Reply>());
-            if (b.sender.out.empty()) continue;  // refused: what is cold bears little
+            if (b.sender.out.empty())
+                continue;  // refused: what is cold bears little
             ++out[b.sender.out.back().target.address];
             b.sender.end(0, {.ending = Ending::good, .note = Note::hit, .body = "b"});
         }
--- a/tests/silverrail/dns_test.cpp
+++ b/tests/silverrail/dns_test.cpp
@@ -19,20 +19,28 @@
 
 class HandClock : public core::Clock {
 public:
-    core::Time now() const override { return core::Time{1000s} + passed; }
-    std::int64_t unix_ms() const override { return 1'764'576'000'000 + passed / 1ms; }
+    core::Time now() const override {
+        return core::Time{1000s} + passed;
+    }
+    std::int64_t unix_ms() const override {
+        return 1'764'576'000'000 + passed / 1ms;
+    }
     core::Span passed{};
 };
 
 struct NoTimers : core::Timers {
-    Handle at(core::Time, std::function<void()>) override { return ++last; }
+    Handle at(core::Time, std::function<void()>) override {
+        return ++last;
+    }
     void cancel(Handle) override {}
     Handle last = 0;
 };
 
 // Nothing of a referral may ever be sent from here.
 struct NoSender : core::AttemptSender {
-    void start(core::Order, core::AttemptEvents&) override { CHECK(!"an attempt was sent"); }
+    void start(core::Order, core::AttemptEvents&) override {
+        CHECK(!"an attempt was sent");
+    }
     void cancel(const core::AttemptKey&) override {}
     void forget(const core::CacheId&) override {}
 };
@@ -50,8 +58,7 @@
     explicit Node(net::asio::io_context& io, ZoneSettings z = zone())
         : engine(settings(), 7, 1000, clock, timers, sender, log),
           front(engine, clock, std::move(z), log),
-          server(
-              io, {}, [this](auto q, auto d, auto r) { front.handle(q, d, std::move(r)); }, clock, log) {
+          server(io, {}, [this](auto q, auto d, auto r) { front.handle(q, d, std::move(r)); }, clock, log) {
         server.listen_udp({net::asio::ip::make_address("127.0.0.1"), 0});
         server.listen_tcp(loopback());
     }
@@ -89,7 +96,8 @@
 
 std::uint32_t number(std::string_view bytes, std::size_t at, std::size_t count) {
     std::uint32_t v = 0;
-    for (std::size_t i = 0; i < count; ++i) v = v << 8 | static_cast<unsigned char>(bytes.at(at + i));
+    for (std::size_t i = 0; i < count; ++i)
+        v = v << 8 | static_cast<unsigned char>(bytes.at(at + i));
     return v;
 }
 
@@ -103,7 +111,8 @@
     r.authority = number(b, 8, 2);
     std::size_t at = 12;
     if (number(b, 4, 2) == 1) {
-        while (b.at(at) != 0) at += static_cast<unsigned char>(b[at]) + 1u;
+        while (b.at(at) != 0)
+            at += static_cast<unsigned char>(b[at]) + 1u;
         at += 5;
     }
     for (std::size_t i = 0; i < r.answers + r.authority + number(b, 10, 2); ++i) {
@@ -135,7 +144,9 @@
         run_until(io_, [&] { return got > 0; });
         return {buffer_.data(), got};
     }
-    Reply ask(const std::string& bytes) { return read_reply(raw(bytes)); }
+    Reply ask(const std::string& bytes) {
+        return read_reply(raw(bytes));
+    }
 
 private:
     net::asio::io_context& io_;
@@ -190,7 +201,8 @@
     CHECK(udp.ask(update).rcode == 4);
 
     // Over the limit of UDP: TC, and TCP has it all.
-    for (int i = 0; i < 8; ++i) node.front.set_text(*parse_name("t.route.example"), std::string(200, 'x'));
+    for (int i = 0; i < 8; ++i)
+        node.front.set_text(*parse_name("t.route.example"), std::string(200, 'x'));
     CHECK(udp.ask(query("t.route.example", Type::txt)).truncated);
 
     // TCP: several queries at once (RFC 7766), the first cut in two.
@@ -208,7 +220,8 @@
     std::function<void()> more = [&] {
         stream.async_read_some(net::asio::buffer(buffer), [&](const net::error_code& error, std::size_t n) {
             in.append(buffer.data(), n);
-            if (!error) more();
+            if (!error)
+                more();
         });
     };
     more();
@@ -298,7 +311,8 @@
             const Reply r = udp_.ask(query(name));
             ++queries;
             e = {r.rcode == 0 ? r.address : "", clock_.now(), clock_.now() + std::chrono::seconds{r.ttl}};
-            if (r.rcode == 0) e.until += overstay_;
+            if (r.rcode == 0)
+                e.until += overstay_;
         }
         asked_at = e.asked;
         return e.address;
@@ -362,7 +376,8 @@
         }
         // The client goes where it was sent; the box counts.
         std::size_t box = 0;
-        while (box < 3 && !boxes[box]->address().starts_with(address + ":")) ++box;
+        while (box < 3 && !boxes[box]->address().starts_with(address + ":"))
+            ++box;
         CHECK(box < 3);
         const std::size_t before = boxes[box]->seen.size();
         Client client{
--- a/tests/silverrail/endings_test.cpp
+++ b/tests/silverrail/endings_test.cpp
@@ -29,16 +29,23 @@
         acceptor_.listen(0);
         filler_.connect(acceptor_.local_endpoint());
     }
-    tcp::endpoint endpoint() const { return acceptor_.local_endpoint(); }
-    std::string address() const { return stand::text_of(endpoint()); }
-    void open() { accept(); }
+    tcp::endpoint endpoint() const {
+        return acceptor_.local_endpoint();
+    }
+    std::string address() const {
+        return stand::text_of(endpoint());
+    }
+    void open() {
+        accept();
+    }
     std::size_t connections = 0;  // that came up and were not the filler
     std::string heard;
 
 private:
     void accept() {
         acceptor_.async_accept([this](const net::error_code& error, tcp::socket socket) {
-            if (error) return;
+            if (error)
+                return;
             const bool ours = socket.remote_endpoint() == filler_.local_endpoint();
             if (!ours) {
                 ++connections;
@@ -52,7 +59,8 @@
         socket.async_read_some(asio::buffer(part_),
                                [this, &socket](const net::error_code& error, std::size_t got) {
                                    heard.append(part_, got);
-                                   if (!error) read(socket);
+                                   if (!error)
+                                       read(socket);
                                });
     }
     tcp::acceptor acceptor_;
@@ -161,7 +169,9 @@
         router.list_with_sources({listed("s-a", one.address()), listed("s-b", other.address())});
         const auto begin = router.clock.now();
         RawClient client{io, router.server.local(), text_of(ask("pages", kObject))};
-        const auto seen = [&] { return one.seen.size() + other.seen.size(); };
+        const auto seen = [&] {
+            return one.seen.size() + other.seen.size();
+        };
         run_until(io, [&] { return seen() == 1; });
         if (!way) {
             run_until(io, [&] { return seen() == 2; });
@@ -222,7 +232,8 @@
         socklen_t size = sizeof peer;
         if (::getpeername(fd, reinterpret_cast<sockaddr*>(&peer), &size) != 0 || peer.sin_family != AF_INET)
             continue;
-        if (ntohs(peer.sin_port) != to.port()) continue;
+        if (ntohs(peer.sin_port) != to.port())
+            continue;
         const int least = 1;
         CHECK(::setsockopt(fd, SOL_SOCKET, SO_SNDBUF, &least, sizeof least) == 0);
         ++found;
@@ -241,7 +252,8 @@
     std::vector<std::unique_ptr<tcp::socket>> boxes;
     std::function<void()> accept = [&] {
         acceptor.async_accept([&](const net::error_code& error, tcp::socket socket) {
-            if (error) return;
+            if (error)
+                return;
             boxes.push_back(std::make_unique<tcp::socket>(std::move(socket)));
             accept();
         });
@@ -406,8 +418,10 @@
     std::function<void()> read = [&] {
         reader.async_read_some(asio::buffer(part), [&](const net::error_code& error, std::size_t got) {
             heard.append(part, got);
-            if (error) ended = error;
-            if (!error) read();
+            if (error)
+                ended = error;
+            if (!error)
+                read();
         });
     };
     read();
@@ -444,7 +458,8 @@
             asio::async_read(moves, asio::buffer(part), asio::transfer_at_least(1),
                              [&](const net::error_code& error, std::size_t got) {
                                  heard.append(part, got);
-                                 if (!error && heard.size() < 240'000) read();
+                                 if (!error && heard.size() < 240'000)
+                                     read();
                              });
         });
     };
@@ -472,7 +487,8 @@
                 text_of(ask("pages", kObject)) + text_of(behind) + text_of(ask("pages", "00000000000000aa"))};
             run_until(io, [&] { return box.seen.size() == 1; });
             run_until(io, [&] { return io.poll() == 0; });
-            if (retires_first) router.server.retire();
+            if (retires_first)
+                router.server.retire();
             router.server.stop();
             box.act = Box::Act::answer;
             box.reset_all();  // the first one's attempt ends, and the next is answered
@@ -498,9 +514,11 @@
     listener.start([&](tcp::socket socket) { taken.push_back(std::move(socket)); });
     run_until(io, [&] { return io.poll() == 0; });
     std::vector<tcp::socket> clients;
-    for (int i = 0; i < 3; ++i) clients.emplace_back(io).connect(listener.local());
+    for (int i = 0; i < 3; ++i)
+        clients.emplace_back(io).connect(listener.local());
     std::function<void(int)> stop_after = [&](int left) {
-        if (left == 0) return listener.stop();
+        if (left == 0)
+            return listener.stop();
         asio::post(io, [&stop_after, left] { stop_after(left - 1); });
     };
     asio::post(io, [&] { stop_after(turns); });
@@ -512,7 +530,8 @@
 }  // namespace
 
 int main() {
-    for (const int turns : {0, 1, 2, 3, 4, 5}) accepted_in_the_turn_of_the_end(turns);
+    for (const int turns : {0, 1, 2, 3, 4, 5})
+        accepted_in_the_turn_of_the_end(turns);
     who_left_waiting_for_a_socket();
     who_left_waiting_for_a_connection();
     who_left_before_a_second_copy();
--- a/tests/silverrail/faults_test.cpp
+++ b/tests/silverrail/faults_test.cpp
@@ -14,7 +14,9 @@
 
 const std::string kObject = "7f3a9c21e0b4d655";
 
-std::int64_t unix_ms() { return net::SystemClock{}.unix_ms(); }
+std::int64_t unix_ms() {
+    return net::SystemClock{}.unix_ms();
+}
 
 struct World {
     explicit World(const std::string& control = {})
@@ -25,7 +27,9 @@
         run_until(io, [&] { return program.listens(); });
         run_until(io, [&] { return discovery.resumed_after.size() == 1; });
     }
-    ~World() { std::filesystem::remove(faults.path()); }
+    ~World() {
+        std::filesystem::remove(faults.path());
+    }
 
     // The answer's status; 0 if none came within `most`.
     unsigned status_within(Request request, std::chrono::milliseconds most) {
@@ -177,8 +181,12 @@
 
 // The process gets no processor for a while, as on a crowded machine.
 struct Stopped {
-    explicit Stopped(World& of) : world(of) { CHECK(::kill(world.program.pid(), SIGSTOP) == 0); }
-    ~Stopped() { CHECK(::kill(world.program.pid(), SIGCONT) == 0); }
+    explicit Stopped(World& of) : world(of) {
+        CHECK(::kill(world.program.pid(), SIGSTOP) == 0);
+    }
+    ~Stopped() {
+        CHECK(::kill(world.program.pid(), SIGCONT) == 0);
+    }
     World& world;
 };
 
@@ -230,13 +238,15 @@
     World world;
     for (const bool on_a_new_connection : {false, true}) {
         std::optional<Client> client;
-        if (!on_a_new_connection) client.emplace(world.io, world.program.at);
+        if (!on_a_new_connection)
+            client.emplace(world.io, world.program.at);
         world.wait(100ms);
         const Request request = ask("pages", on_a_new_connection ? kObject : "00000000000000aa", 1500);
         const auto sent = std::chrono::steady_clock::now();
         {
             const Stopped stopped{world};
-            if (!client) client.emplace(world.io, world.program.at);
+            if (!client)
+                client.emplace(world.io, world.program.at);
             client->send(request);
             world.wait(600ms);
         }
@@ -269,7 +279,8 @@
     World world{text_of(at)};
     const auto kept = [&](const std::string& id) {
         for (const auto& file : std::filesystem::directory_iterator{world.program.folder()}) {
-            if (file.path().extension() != ".bans") continue;
+            if (file.path().extension() != ".bans")
+                continue;
             std::ostringstream text;
             text << std::ifstream{file.path()}.rdbuf();
             return text.str().find("out " + id + "\n") != std::string::npos;
--- a/tests/silverrail/parsers_test.cpp
+++ b/tests/silverrail/parsers_test.cpp
@@ -68,7 +68,8 @@
         {R"({"no":1e300,"recall":{"lot":17,"issued":-1e300}})", true},
         {R"({"no":1,"recall":{"lot":1e300,"issued":5}})", false},
     };
-    for (const Case& c : cases) CHECK(config::parse_event(*config::parse_json(c.json)).has_value() == c.good);
+    for (const Case& c : cases)
+        CHECK(config::parse_event(*config::parse_json(c.json)).has_value() == c.good);
     CHECK(!config::parse_json("{"));
     CHECK(!config::parse_json(std::string(100000, '[')));
 
@@ -163,7 +164,8 @@
     for (const Case& c : cases) {
         net::http::response<net::http::string_body> r{net::http::int_to_status(c.status), 11};
         r.result(c.status);
-        if (*c.never_ran) r.set("Not-Begun", c.never_ran);
+        if (*c.never_ran)
+            r.set("Not-Begun", c.never_ran);
         r.set("Detail", c.detail);
         const auto end = net::box_answer(std::move(r));
         CHECK(end.ending == c.ending && end.note == c.note);
@@ -209,18 +211,22 @@
         const auto parsed = parse_query(c.bytes);
         const auto* bad = std::get_if<Unreadable>(&parsed);
         CHECK((bad == nullptr) == (c.rcode == -1));
-        if (bad && c.rcode >= 0) CHECK(bad->answer && static_cast<int>(bad->rcode) == c.rcode);
-        if (c.rcode == -2) CHECK(!bad->answer && encode(*bad).empty());
+        if (bad && c.rcode >= 0)
+            CHECK(bad->answer && static_cast<int>(bad->rcode) == c.rcode);
+        if (c.rcode == -2)
+            CHECK(!bad->answer && encode(*bad).empty());
     }
     std::string long_name;
-    for (int i = 0; i < 4; ++i) long_name += std::string(63, 'a') + '.';
+    for (int i = 0; i < 4; ++i)
+        long_name += std::string(63, 'a') + '.';
     CHECK(!parse_name(long_name));
     CHECK(!parse_name("a..b"));
 
     // Over the limit: the question and TC, and nothing else.
     const auto q = std::get<Query>(parse_query(query("a.example", 16)));
     Response r;
-    for (int i = 0; i < 4; ++i) r.answers.push_back({false, Type::txt, 0, text_data(std::string(200, 'x'))});
+    for (int i = 0; i < 4; ++i)
+        r.answers.push_back({false, Type::txt, 0, text_data(std::string(200, 'x'))});
     const std::string cut = encode(q, r, *parse_name("example"), udp_limit(q));
     CHECK(cut.size() <= 512 && (cut[2] & 2) && cut[7] == 0);
     CHECK(!(encode(q, r, *parse_name("example"), 65535)[2] & 2));
@@ -233,7 +239,9 @@
     zone.zone = *parse_name("route.example");
     zone.server = *parse_name("ns1.hosts.route.example");
     const ClassNames classes{[](const std::string& n) { return n == "pages" || n == "lodge"; },
-                             [](const std::string& n) { return n == "lodge"; }};
+                             [](const std::string& n) {
+                                 return n == "lodge";
+                             }};
     Texts texts;
     texts.emplace(*parse_name("_acme-challenge.ns1.hosts.route.example"), "proof");
     struct Case {
@@ -260,7 +268,8 @@
         {"7f3a9c21e0b4d655.lodge.route.example", Kind::never_repeat},
         {"lodge.route.example", Kind::never_repeat},
     };
-    for (const Case& c : cases) CHECK(meaning_of(*parse_name(c.name), zone, classes, texts).kind == c.kind);
+    for (const Case& c : cases)
+        CHECK(meaning_of(*parse_name(c.name), zone, classes, texts).kind == c.kind);
 }
 
 void operator_files() {
@@ -341,13 +350,15 @@
         std::vector<std::string> found;
         const auto o = config::parse_operator(*config::parse_json(c.json), found);
         if (found != c.problems) {
-            for (const auto& f : found) std::fprintf(stderr, "%s: %s\n", c.json, f.c_str());
+            for (const auto& f : found)
+                std::fprintf(stderr, "%s: %s\n", c.json, f.c_str());
             CHECK(false);
         }
         CHECK(o.peers.on() == (std::string_view{c.json}.find("bind") != std::string_view::npos));
     }
     CHECK(config::parse_endpoint("[::1]:53")->host == "::1");
-    for (const char* bad : {"", ":1", "h", "h:", "h:x", "h:65536"}) CHECK(!config::parse_endpoint(bad));
+    for (const char* bad : {"", ":1", "h", "h:", "h:x", "h:65536"})
+        CHECK(!config::parse_endpoint(bad));
 }
 
 }  // namespace
@@ -377,7 +388,8 @@
         CHECK(a.next() <= Ms{50});
     }
     CHECK(firsts.size() > 30);  // 200 routers over 51 ms, none at which many meet
-    for (const auto& [ms, count] : firsts) CHECK(count < 20);
+    for (const auto& [ms, count] : firsts)
+        CHECK(count < 20);
 }
 
 }  // namespace
--- a/tests/silverrail/program.h
+++ b/tests/silverrail/program.h
@@ -23,24 +23,35 @@
 // A bulletin that says what it is told to, and can be cut off.
 class Bulletin {
 public:
-    explicit Bulletin(asio::io_context& io) : acceptor_(io, loopback()) { accept(); }
-    std::string address() const { return text_of(acceptor_.local_endpoint()); }
-    void say(const std::string& text) { asio::write(*socket_, asio::buffer(text)); }
-    void cut() { socket_->close(); }
+    explicit Bulletin(asio::io_context& io) : acceptor_(io, loopback()) {
+        accept();
+    }
+    std::string address() const {
+        return text_of(acceptor_.local_endpoint());
+    }
+    void say(const std::string& text) {
+        asio::write(*socket_, asio::buffer(text));
+    }
+    void cut() {
+        socket_->close();
+    }
     std::vector<std::string> resumed_after;
     std::chrono::milliseconds answer_after{};  // from the request to the answer's head
 
 private:
     void accept() {
         acceptor_.async_accept([this](const net::error_code& error, tcp::socket socket) {
-            if (error) return;
+            if (error)
+                return;
             socket_.emplace(std::move(socket));
             request_ = {};
             buffer_.clear();
             http::async_read(*socket_, buffer_, request_, [this](const net::error_code& e, std::size_t) {
-                if (e) return accept();
+                if (e)
+                    return accept();
                 CHECK(request_.target() == "/bulletins");
-                if (answer_after == std::chrono::milliseconds{}) return answer();
+                if (answer_after == std::chrono::milliseconds{})
+                    return answer();
                 wait_.expires_after(answer_after);
                 wait_.async_wait([this](const net::error_code&) { answer_unless_left(); });
             });
@@ -54,7 +65,8 @@
     }
     void answer_unless_left() {
         char byte = 0;
-        if (::recv(socket_->native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) == 0) return accept();
+        if (::recv(socket_->native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) == 0)
+            return accept();
         answer();
     }
     tcp::acceptor acceptor_;
@@ -102,7 +114,8 @@
             ::unsetenv("EDGE_LISTEN");
             ::setenv("SILVERRAIL_SETTINGS", (folder_ / "settings.json").c_str(), 1);
 #ifdef SILVERRAIL_FAULT_LIBRARY
-            if (faults_) faults_->set_environment(SILVERRAIL_FAULT_LIBRARY, 1);
+            if (faults_)
+                faults_->set_environment(SILVERRAIL_FAULT_LIBRARY, 1);
 #endif
             const int log = ::open((folder_ / "log").c_str(), O_CREAT | O_WRONLY | O_APPEND, 0600);
             ::dup2(log, STDERR_FILENO);
@@ -128,7 +141,9 @@
             "uncached":[false,true],"heed-within":500000000,"cleared-within":6000000000},
             "invariants":{}}})";
     }
-    void settings(const std::string& json) { std::ofstream{folder_ / "settings.json"} << json; }
+    void settings(const std::string& json) {
+        std::ofstream{folder_ / "settings.json"} << json;
+    }
     // Exit code of `silverrail WORDS`, with this program's files.
     int run(const std::string& words) {
         const std::string line = "SILVERRAIL_SETTINGS='" + (folder_ / "settings.json").string() +
@@ -138,24 +153,34 @@
         CHECK(WIFEXITED(status));
         return WEXITSTATUS(status);
     }
-    void dump() { CHECK(::kill(pid_, SIGUSR2) == 0); }
+    void dump() {
+        CHECK(::kill(pid_, SIGUSR2) == 0);
+    }
     std::string dumped() const {
         for (const auto& f : std::filesystem::directory_iterator{folder_})
-            if (f.path().extension() == ".slt") return f.path().string();
+            if (f.path().extension() == ".slt")
+                return f.path().string();
         return {};
     }
-    void spoil_configuration() { std::ofstream{file_} << R"({"listen":"127.0.0.1:1","bulletin":)"; }
+    void spoil_configuration() {
+        std::ofstream{file_} << R"({"listen":"127.0.0.1:1","bulletin":)";
+    }
     bool logged(const std::string& text) {
         std::ostringstream all;
         all << std::ifstream{folder_ / "log"}.rdbuf();
         return all.str().find(text) != std::string::npos;
     }
-    void hang_up() { CHECK(::kill(pid_, SIGHUP) == 0); }
+    void hang_up() {
+        CHECK(::kill(pid_, SIGHUP) == 0);
+    }
     ~Program() {
-        if (pid_ > 0) ::kill(pid_, SIGKILL);
+        if (pid_ > 0)
+            ::kill(pid_, SIGKILL);
         std::filesystem::remove_all(folder_);
     }
-    void end() { CHECK(::kill(pid_, SIGTERM) == 0); }
+    void end() {
+        CHECK(::kill(pid_, SIGTERM) == 0);
+    }
     bool ended() {
         int status = 0;
         if (pid_ > 0 && ::waitpid(pid_, &status, WNOHANG) == pid_) {
@@ -171,8 +196,12 @@
         socket.connect(at, error);
         return !error;
     }
-    pid_t pid() const { return pid_; }
-    const std::filesystem::path& folder() const { return folder_; }
+    pid_t pid() const {
+        return pid_;
+    }
+    const std::filesystem::path& folder() const {
+        return folder_;
+    }
     tcp::endpoint at;
 
 private:
--- a/tests/silverrail/program_test.cpp
+++ b/tests/silverrail/program_test.cpp
@@ -12,7 +12,8 @@
     client.send(Request{http::verb::get, target, 11});
     run_until(io, [&] { return client.done; });
     CHECK(!client.broken);
-    if (body) *body = client.response.body();
+    if (body)
+        *body = client.response.body();
     return client.status();
 }
 
--- a/tests/silverrail/rough_test.cpp
+++ b/tests/silverrail/rough_test.cpp
@@ -99,7 +99,8 @@
     CHECK(!silent[1]->ended && !silent[2]->ended);
     box.act = Box::Act::answer;
     for (Client* usual : {&idle, &asking}) {
-        if (usual == &idle) usual->send(ask("pages", "00000000000000aa", 5000));
+        if (usual == &idle)
+            usual->send(ask("pages", "00000000000000aa", 5000));
         run_until(io, [&] { return usual->done; });
         CHECK(!usual->broken);
     }
@@ -176,7 +177,8 @@
         CHECK(!client.broken && (client.status() == 200) == c.served);
         CHECK(!c.served || client.response.body() == "whole");
         CHECK(std::chrono::steady_clock::now() - begin < 5s);  // not by its deadline
-        if (!c.kept) run_until(io, [&] { return box.closed == box.connections; });
+        if (!c.kept)
+            run_until(io, [&] { return box.closed == box.connections; });
         CHECK(router.upstream.sockets() == (c.kept ? 1u : 0u));
     }
 }
--- a/tests/silverrail/soak_plan_test.cpp
+++ b/tests/silverrail/soak_plan_test.cpp
@@ -11,7 +11,8 @@
 
 std::vector<std::string> texts(const PlanOptions& options) {
     std::vector<std::string> out;
-    for (const Trouble& trouble : draw_plan(options)) out.push_back(trouble.text());
+    for (const Trouble& trouble : draw_plan(options))
+        out.push_back(trouble.text());
     return out;
 }
 
@@ -40,7 +41,8 @@
         CHECK(some.size() == 2 && some[0] == all[3] && some[1] == all[7]);
         options.only.clear();
         options.without = {TroubleKind::router_kill};
-        for (const Trouble& t : draw_plan(options)) CHECK(t.kind != TroubleKind::router_kill);
+        for (const Trouble& t : draw_plan(options))
+            CHECK(t.kind != TroubleKind::router_kill);
     }
     CHECK(drawn.size() == kTroubleKinds);
     std::puts("soak plan: drawn from the seed alone");
--- a/tests/silverrail/sockets_test.cpp
+++ b/tests/silverrail/sockets_test.cpp
@@ -144,7 +144,8 @@
     up.act = Box::Act::answer;
     run_until(io, [&] { return client.done; });
     CHECK(client.status() == 200 && up.seen.size() >= 2);
-    for (const auto& seen : up.seen) CHECK(value(seen.request, "Call-Once") == "key-of-" + kObject);
+    for (const auto& seen : up.seen)
+        CHECK(value(seen.request, "Call-Once") == "key-of-" + kObject);
     Request keyless = ask("order", kObject);
     keyless.erase("Replay-Key");
     const std::size_t before = up.seen.size();
@@ -210,7 +211,8 @@
         Client asks{io, router.server.local()};
         asks.send(ask("pages", kObject));
         run_until(io, [&] { return second.seen.size() > seen; });
-        if (i % 2) run_until(io, [&] { return asks.done; });
+        if (i % 2)
+            run_until(io, [&] { return asks.done; });
         router.list({listed(id, second.address(), "small-box", Condition::gone)}, false);
         asks.leave();
         run_until(io, [&] { return router.engine.open() == 0; });
@@ -294,7 +296,8 @@
     CHECK(::setrlimit(RLIMIT_NOFILE, &low) == 0);
     while (files.size() < 64) {
         files.emplace_back("/dev/null");
-        if (!files.back()) break;
+        if (!files.back())
+            break;
     }
     CHECK(!files.back());
     client.send(ask("pages", kObject));
--- a/tests/silverrail/stand.h
+++ b/tests/silverrail/stand.h
@@ -48,8 +48,12 @@
         : io_(io), acceptor_(io, loopback(address)) {
         accept();
     }
-    std::string address() const { return text_of(acceptor_.local_endpoint()); }
-    void stop_listening() { acceptor_.close(); }
+    std::string address() const {
+        return text_of(acceptor_.local_endpoint());
+    }
+    void stop_listening() {
+        acceptor_.close();
+    }
     // Whatever is open now, as a process that dies does.
     void reset_all() {
         for (const auto& weak : links_)
@@ -86,7 +90,8 @@
     };
     void accept() {
         acceptor_.async_accept([this](const net::error_code& error, tcp::socket socket) {
-            if (error) return;
+            if (error)
+                return;
             auto link = std::make_shared<Link>(std::move(socket));
             link->number = ++connections;
             links_.push_back(link);
@@ -107,7 +112,8 @@
                               });
     }
     void reply(const std::shared_ptr<Link>& link) {
-        if (act == Act::stay_silent) return read(link);
+        if (act == Act::stay_silent)
+            return read(link);
         if (act == Act::reset_after_reading) {
             link->socket.set_option(net::asio::socket_base::linger(true, 0));
             link->socket.close();
@@ -119,11 +125,14 @@
         }
         link->response = response;
         link->response.prepare_payload();
-        if (act == Act::break_off) link->response.set(net::http::field::content_length, "100000");
+        if (act == Act::break_off)
+            link->response.set(net::http::field::content_length, "100000");
         net::http::async_write(link->socket, link->response,
                                [this, link](const net::error_code& error, std::size_t) {
-                                   if (error) return;
-                                   if (act == Act::answer) return read(link);
+                                   if (error)
+                                       return;
+                                   if (act == Act::answer)
+                                       return read(link);
                                    link->socket.close();
                                });
     }
@@ -135,7 +144,9 @@
 // One client connection with one request at a time.
 class Client {
 public:
-    Client(net::asio::io_context& io, const tcp::endpoint& to) : socket_(io) { socket_.connect(to); }
+    Client(net::asio::io_context& io, const tcp::endpoint& to) : socket_(io) {
+        socket_.connect(to);
+    }
     void send(Request request) {
         done = false;
         broken = false;
@@ -148,12 +159,16 @@
             done = true;
         });
     }
-    void leave() { socket_.close(); }
+    void leave() {
+        socket_.close();
+    }
     bool extra_bytes() {
         net::error_code error;
         return buffer_.size() > 0 || socket_.available(error) > 0;
     }
-    unsigned status() const { return response.result_int(); }
+    unsigned status() const {
+        return response.result_int();
+    }
 
     bool done = false;
     bool broken = false;
@@ -179,14 +194,18 @@
             [this](const net::error_code& error, std::size_t) { cut_short = bool(error); });
         read();
     }
-    void say(const std::string& bytes) { net::asio::write(socket_, net::asio::buffer(bytes)); }
+    void say(const std::string& bytes) {
+        net::asio::write(socket_, net::asio::buffer(bytes));
+    }
     // False: the other side has reset the connection.
     bool takes_more() {
         net::error_code error;
         net::asio::write(socket_, net::asio::buffer("x", 1), error);
         return !error;
     }
-    void half_close() { socket_.shutdown(tcp::socket::shutdown_send); }
+    void half_close() {
+        socket_.shutdown(tcp::socket::shutdown_send);
+    }
     void reset() {
         socket_.set_option(net::asio::socket_base::linger(true, 0));
         socket_.close();
@@ -201,7 +220,8 @@
         socket_.async_read_some(net::asio::buffer(part_),
                                 [this](const net::error_code& error, std::size_t got) {
                                     heard.append(part_, got);
-                                    if (!error) return read();
+                                    if (!error)
+                                        return read();
                                     clean = error == net::asio::error::eof;
                                     ended = true;
                                 });
@@ -216,21 +236,26 @@
 public:
     Caller(net::asio::io_context& io, const tcp::endpoint& to, const std::string& says) : socket_(io) {
         socket_.connect(to);
-        if (!says.empty()) net::asio::write(socket_, net::asio::buffer(says));
+        if (!says.empty())
+            net::asio::write(socket_, net::asio::buffer(says));
         net::asio::async_read(socket_, net::asio::dynamic_buffer(answer),
                               [this](const net::error_code& error, std::size_t) {
                                   clean = error == net::asio::error::eof;
                                   done = true;
                               });
     }
-    void say(const std::string& more) { net::asio::write(socket_, net::asio::buffer(more)); }
+    void say(const std::string& more) {
+        net::asio::write(socket_, net::asio::buffer(more));
+    }
     // False: the other side has reset the connection.
     bool takes_more() {
         net::error_code error;
         net::asio::write(socket_, net::asio::buffer("x", 1), error);
         return !error;
     }
-    void half_close() { socket_.shutdown(tcp::socket::shutdown_send); }
+    void half_close() {
+        socket_.shutdown(tcp::socket::shutdown_send);
+    }
 
     std::string answer;
     bool done = false;
@@ -258,8 +283,10 @@
     r.set("Trace-Id", id);
     r.set("Max-Wait-Ms", std::to_string(wait_ms));
     r.set("X-Lot", "17");
-    if (write) r.body() = "timesheet";
-    if (class_name == "order") r.set("Replay-Key", "key-of-" + object);
+    if (write)
+        r.body() = "timesheet";
+    if (class_name == "order")
+        r.set("Replay-Key", "key-of-" + object);
     return r;
 }
 
--- a/tests/silverrail/upgrade_test.cpp
+++ b/tests/silverrail/upgrade_test.cpp
@@ -27,7 +27,8 @@
                 CHECK(s.copies_bytes * processes <= whole.memory_bytes / 8);
             }
             // Alone, all that the platform's clients hold at most finds room, at the usual limits.
-            if (sockets >= 256) CHECK(members::shares_of(whole, 1).clients >= sockets / 3 + 24);
+            if (sockets >= 256)
+                CHECK(members::shares_of(whole, 1).clients >= sockets / 3 + 24);
         }
 }
 
@@ -54,7 +55,8 @@
         {{Doing::waiting, true, false, 0s}, GivesWay::idle},  // asked once and stayed
         {{Doing::waiting, true, false, 60s}, GivesWay::idle},
     };
-    for (const Row& row : rows) CHECK(members::gives_way(row.standing) == row.gives);
+    for (const Row& row : rows)
+        CHECK(members::gives_way(row.standing) == row.gives);
     // Never the one that asks: whoever does not goes before it, and newcomers last.
     CHECK(GivesWay::lingering < GivesWay::silent && GivesWay::silent < GivesWay::stalled);
     CHECK(GivesWay::stalled < GivesWay::idle && GivesWay::idle < GivesWay::newcomer);
@@ -80,8 +82,10 @@
         if (pid == 0) {
             const store::Presence child{file};
             char byte = 1;
-            if (::write(ready[1], &byte, 1) != 1) ::_exit(1);
-            while (true) ::pause();
+            if (::write(ready[1], &byte, 1) != 1)
+                ::_exit(1);
+            while (true)
+                ::pause();
         }
         char byte = 0;
         CHECK(::read(ready[0], &byte, 1) == 1 && one.processes() == 2);
@@ -103,9 +107,12 @@
 class Load {
 public:
     Load(asio::io_context& io, tcp::endpoint to, int clients) : io_(io), to_(to) {
-        for (int i = 0; i < clients; ++i) next(std::make_shared<One>(io_, i % 3 == 0));
+        for (int i = 0; i < clients; ++i)
+            next(std::make_shared<One>(io_, i % 3 == 0));
+    }
+    void stop() {
+        stopping_ = true;
     }
-    void stop() { stopping_ = true; }
 
     std::size_t open = 0;
     std::size_t answered = 0;
@@ -125,13 +132,16 @@
         std::size_t asked = 0;  // on this connection
     };
     void next(const std::shared_ptr<One>& one) {
-        if (stopping_) return;
+        if (stopping_)
+            return;
         ++open;
-        if (one->socket.is_open()) return ask_on(one);
+        if (one->socket.is_open())
+            return ask_on(one);
         one->asked = 0;
         one->buffer.clear();
         one->socket.async_connect(to_, [this, one](const net::error_code& error) {
-            if (!error) return ask_on(one);
+            if (!error)
+                return ask_on(one);
             ++refused_connections;
             over(one, false);
         });
@@ -160,7 +170,8 @@
     void over(const std::shared_ptr<One>& one, bool keep) {
         --open;
         net::error_code ignored;
-        if (!keep) one->socket.close(ignored);
+        if (!keep)
+            one->socket.close(ignored);
         asio::post(io_, [this, one] { next(one); });
     }
     asio::io_context& io_;
@@ -174,7 +185,8 @@
     tcp::socket probe{own};
     net::error_code error;
     probe.connect(control, error);
-    if (error) return false;
+    if (error)
+        return false;
     probe.close();
     return call(io, control, "HEALTH").starts_with("ACK");
 }
@@ -196,8 +208,10 @@
     }
     CHECK(Bans::read("silverrail-bans 2\nout s-1\nend 1\n").trouble == Bans::Trouble::other_version);
     CHECK(Bans::read(text + "out s-3\n").trouble == Bans::Trouble::damaged);
-    for (const char* id : {"", "a b", "a\n", "\x80"}) CHECK(!bans.add(winchflow::CacheId{id}));
-    for (std::size_t i = 0; i < 2 * Bans::kMost; ++i) bans.add(winchflow::CacheId{"x-" + std::to_string(i)});
+    for (const char* id : {"", "a b", "a\n", "\x80"})
+        CHECK(!bans.add(winchflow::CacheId{id}));
+    for (std::size_t i = 0; i < 2 * Bans::kMost; ++i)
+        bans.add(winchflow::CacheId{"x-" + std::to_string(i)});
     CHECK(bans.ids().size() == Bans::kMost);
 }
 
@@ -234,7 +248,8 @@
     // A file of another version is left alone, and the answers say what is true.
     std::filesystem::path file;
     for (const auto& f : std::filesystem::directory_iterator{program.folder()})
-        if (f.path().extension() == ".bans") file = f.path();
+        if (f.path().extension() == ".bans")
+            file = f.path();
     CHECK(!file.empty());
     std::ofstream{file} << "silverrail-bans 2\nout s-a\nend 1\n";
     CHECK(call(io, second, "OFFLINE s-a").starts_with("NAK out in this process, but not kept for another: "));
@@ -260,7 +275,8 @@
 
 bool has_ended(pid_t pid, bool killed) {
     int status = 0;
-    if (::waitpid(pid, &status, WNOHANG) != pid) return false;
+    if (::waitpid(pid, &status, WNOHANG) != pid)
+        return false;
     CHECK(killed ? WIFSIGNALED(status) : WIFEXITED(status) && WEXITSTATUS(status) == 0);
     return true;
 }
@@ -324,9 +340,12 @@
     // Every write that was answered 'served' ran exactly once, and none ran twice.
     std::map<std::string, int> ran;
     for (const auto& seen : box.seen)
-        if (seen.request.method() == http::verb::put) ++ran[std::string{seen.request["Call-Id"]}];
-    for (const auto& [id, times] : ran) CHECK(times == 1);
-    for (const auto& [id, times] : load.lodged) CHECK(times == 1 && ran[id] == 1);
+        if (seen.request.method() == http::verb::put)
+            ++ran[std::string{seen.request["Call-Id"]}];
+    for (const auto& [id, times] : ran)
+        CHECK(times == 1);
+    for (const auto& [id, times] : load.lodged)
+        CHECK(times == 1 && ran[id] == 1);
     CHECK(load.lodged.size() > 50);
     std::printf("upgrades: %zu answers, %zu writes, %zu turned back, %zu under a later request\n",
                 load.answered, load.lodged.size(), load.turned_back, load.unanswered);
--- a/tests/size_share_test.cpp
+++ b/tests/size_share_test.cpp
@@ -27,7 +27,9 @@
     double least_share;  // of the class's, to the largest tenth and the fifth below it
 };
 
-void PrintTo(const Case& c, std::ostream* out) { *out << c.name; }
+void PrintTo(const Case& c, std::ostream* out) {
+    *out << c.name;
+}
 
 class World {
 public:
@@ -36,7 +38,8 @@
     // Answered share of those that `from` and `to` say by size, as parts of all from the smallest up.
     double answered(double from, double to) const {
         std::vector<std::pair<double, bool>> all;
-        for (const auto& [id, r] : asked_) all.emplace_back(r.work, r.answered);
+        for (const auto& [id, r] : asked_)
+            all.emplace_back(r.work, r.answered);
         std::sort(all.begin(), all.end());
         const auto at = [&](double part) {
             return all.begin() + static_cast<std::ptrdiff_t>(part * static_cast<double>(all.size()));
@@ -44,7 +47,9 @@
         const auto good = std::count_if(at(from), at(to), [](const auto& e) { return e.second; });
         return static_cast<double>(good) / static_cast<double>(at(to) - at(from));
     }
-    std::size_t size() const { return asked_.size(); }
+    std::size_t size() const {
+        return asked_.size();
+    }
 
     void play() {
         // Both ways get the load named: what misses is kMissShare of what passes a cache's link.
@@ -56,7 +61,8 @@
             fire_timers();
             move_transfers();
             give_up_late_ones();
-            for (next += rate * seconds(kStep); next >= 1; next -= 1) ask();
+            for (next += rate * seconds(kStep); next >= 1; next -= 1)
+                ask();
         }
     }
 
@@ -92,8 +98,12 @@
         s.classes[0].give_up = 5s;
         return s;
     }
-    static double seconds(Span s) { return std::chrono::duration<double>(s).count(); }
-    double draw() { return (static_cast<double>(random_() >> 11) + 0.5) * 0x1.0p-53; }
+    static double seconds(Span s) {
+        return std::chrono::duration<double>(s).count();
+    }
+    double draw() {
+        return (static_cast<double>(random_() >> 11) + 0.5) * 0x1.0p-53;
+    }
 
     void ask() {
         // Log-normal about the mean, as the sizes of kept objects are.
@@ -120,20 +130,28 @@
         t.fill = !held;
         t.miss = !held && (!s.fill || s.fill->source == s.target);
         t.left = r.work;
-        if (s.timeout > Span{}) t.until = gateway_.now + s.timeout;
+        if (s.timeout > Span{})
+            t.until = gateway_.now + s.timeout;
         out_.push_back(t);
     }
     void on(const Cancel& c) {
         end_if([&](const Transfer& t) { return t.request == c.request; }, Ending::cancelled);
     }
-    void on(const Refuse& r) { asked_.at(r.request).over = true; }
-    void on(const Fail& f) { asked_.at(f.request).over = true; }
-    void on(const SetTimer& t) { timers_.emplace(gateway_.now + t.after, t.id); }
+    void on(const Refuse& r) {
+        asked_.at(r.request).over = true;
+    }
+    void on(const Fail& f) {
+        asked_.at(f.request).over = true;
+    }
+    void on(const SetTimer& t) {
+        timers_.emplace(gateway_.now + t.after, t.id);
+    }
 
     void end(const Transfer& t, Ending ending) {
         Asked& r = asked_.at(t.request);
         const bool good = ending == Ending::good && !r.over;
-        if (good) r.answered = r.over = true;
+        if (good)
+            r.answered = r.over = true;
         act(gateway_.tell(Outcome{.request = t.request,
                                   .attempt = t.attempt,
                                   .ending = ending,
@@ -147,11 +165,13 @@
     void end_if(Test test, Ending ending) {
         std::vector<Transfer> ended;
         std::erase_if(out_, [&](const Transfer& t) {
-            if (!test(t)) return false;
+            if (!test(t))
+                return false;
             ended.push_back(t);
             return true;
         });
-        for (const Transfer& t : ended) end(t, ending);
+        for (const Transfer& t : ended)
+            end(t, ending);
     }
     void fire_timers() {
         while (!timers_.empty() && timers_.begin()->first <= gateway_.now) {
@@ -165,7 +185,8 @@
         end_if([&](const Transfer& t) { return t.until <= gateway_.now; }, Ending::late);
         std::map<std::string, double> at_cache;
         double fills = 0;
-        for (const Transfer& t : out_) ++(t.fill ? fills : at_cache[t.target]);
+        for (const Transfer& t : out_)
+            ++(t.fill ? fills : at_cache[t.target]);
         for (Transfer& t : out_) {
             const double pace = t.fill ? std::min(1.0, kZoneLink / fills)
                                        : std::min(1.0, kCacheLinks / 3 / at_cache[t.target]);
@@ -176,7 +197,8 @@
     // Their clients leave, and what is out for them is given up.
     void give_up_late_ones() {
         for (auto& [id, r] : asked_) {
-            if (r.over || gateway_.now < r.deadline) continue;
+            if (r.over || gateway_.now < r.deadline)
+                continue;
             r.over = true;
             act(gateway_.tell(Abandoned{id}));
             end_if([id = id](const Transfer& t) { return t.request == id; }, Ending::cancelled);
--- a/tests/store/replica_store_test.cpp
+++ b/tests/store/replica_store_test.cpp
@@ -28,8 +28,12 @@
         fs::remove_all(path);
         fs::create_directories(path);
     }
-    ~Folder() { fs::remove_all(path); }
-    std::string file(const char* name) const { return (path / name).string(); }
+    ~Folder() {
+        fs::remove_all(path);
+    }
+    std::string file(const char* name) const {
+        return (path / name).string();
+    }
 };
 
 std::string read(const std::string& file) {
@@ -48,7 +52,8 @@
     const auto origins = store.origins();
     for (const auto& [name, origin] : replica.origins()) {
         const auto found = origins.find(name);
-        if (found == origins.end() ? origin.number > 0 : !same(found->second, origin)) return false;
+        if (found == origins.end() ? origin.number > 0 : !same(found->second, origin))
+            return false;
     }
     return store.entries() == replica.entries();
 }
@@ -58,7 +63,9 @@
         ReplicaStore store{file, "new@1"};
         (void)store.entries();
         (void)store.origins();
-    } catch (const std::runtime_error& e) { return e.what(); }
+    } catch (const std::runtime_error& e) {
+        return e.what();
+    }
     return std::nullopt;
 }
 
@@ -70,7 +77,8 @@
         CHECK(store.origin() == "a@1" && store.entries().empty());
         for (int i = 0; i < 30; ++i) {
             CHECK(a.set("ban/" + std::to_string(i % 9), std::to_string(i), kNow + i));
-            if (i % 4 == 3) CHECK(a.clear("ban/" + std::to_string(i % 9), kNow + i));
+            if (i % 4 == 3)
+                CHECK(a.clear("ban/" + std::to_string(i % 9), kNow + i));
             store.write(a, a.take_changes());
             CHECK(holds(store, a));
         }
@@ -78,7 +86,9 @@
         bool held = false;
         try {
             ReplicaStore second{file, "b@1"};
-        } catch (const ReplicaStore::Held&) { held = true; }
+        } catch (const ReplicaStore::Held&) {
+            held = true;
+        }
         CHECK(held);
     }
     // The origin is the store's, whoever opens it, and numbers go on from there.
@@ -136,7 +146,8 @@
     {
         ReplicaStore store{good, "a@1"};
         Replica a{"a", "a", "a@1", {}, 1, 0ms};
-        for (int i = 0; i < 200; ++i) CHECK(a.set("ban/" + std::to_string(i), std::string(100, 'v'), kNow));
+        for (int i = 0; i < 200; ++i)
+            CHECK(a.set("ban/" + std::to_string(i), std::string(100, 'v'), kNow));
         store.write(a, a.take_changes());
     }
     const auto bytes = read(good);
@@ -155,7 +166,8 @@
     // Bytes overwritten anywhere: refused, or it reads; never a crash.
     for (std::size_t at = 0; at + 64 < bytes.size(); at += 509) {
         auto damaged = bytes;
-        for (std::size_t i = 0; i < 64; ++i) damaged[at + i] = static_cast<char>(damaged[at + i] ^ 0x5a);
+        for (std::size_t i = 0; i < 64; ++i)
+            damaged[at + i] = static_cast<char>(damaged[at + i] ^ 0x5a);
         write(bad, damaged);
         if (const auto why = refusal(bad)) {
             CHECK(why->find(bad) != std::string::npos);
--- a/tests/trace/format_test.cpp
+++ b/tests/trace/format_test.cpp
@@ -15,14 +15,16 @@
 std::vector<Kept> some_records(int count, std::uint64_t seed) {
     RandomRecords random{seed};
     std::vector<Kept> out;
-    for (int i = 0; i < count; ++i) out.emplace_back(random.next());
+    for (int i = 0; i < count; ++i)
+        out.emplace_back(random.next());
     return out;
 }
 
 Bytes file_of(const std::vector<Kept>& records, std::size_t per_chunk) {
     return written(
         [&](Writer& w) {
-            for (const Kept& k : records) w.add(k.record());
+            for (const Kept& k : records)
+                w.add(k.record());
         },
         {per_chunk, 0, 3});
 }
@@ -33,7 +35,8 @@
     std::size_t found = 0;
     for (const Kept& k : read) {
         std::size_t next = at;
-        while (next < all.size() && !same(all[next].record(), k.record())) ++next;
+        while (next < all.size() && !same(all[next].record(), k.record()))
+            ++next;
         if (next == all.size()) {
             // Not written: only a gap that the reader itself tells of may be that.
             CHECK(std::holds_alternative<state::Gap>(k.record().body));
@@ -53,12 +56,14 @@
     CHECK(reader.indexed() && reader.chunks().size() == 7 && reader.flags() == 0);
     const auto read = read_all(reader);
     CHECK(read.size() == records.size());
-    for (std::size_t i = 0; i < read.size(); ++i) CHECK(same(read[i].record(), records[i].record()));
+    for (std::size_t i = 0; i < read.size(); ++i)
+        CHECK(same(read[i].record(), records[i].record()));
     CHECK(reader.damage().empty());
     // Types that are not wanted are passed over, and the others are what they were.
     std::size_t sent = 0;
     std::size_t expected = 0;
-    for (const Kept& k : records) expected += std::holds_alternative<state::Sent>(k.record().body);
+    for (const Kept& k : records)
+        expected += std::holds_alternative<state::Sent>(k.record().body);
     reader.each({.wanted = types_of<state::Sent>()}, [&](const Record& r, bool held, const state::InForce&) {
         CHECK(std::holds_alternative<state::Sent>(r.body));
         sent += !held;
@@ -79,10 +84,13 @@
             CHECK(n >= 32);
             // Whole chunks before the cut are all there; the end that is missing is told of.
             std::size_t whole_chunks = 0;
-            for (const auto& c : reader.chunks()) whole_chunks += c.summary.records - c.summary.held;
+            for (const auto& c : reader.chunks())
+                whole_chunks += c.summary.records - c.summary.held;
             CHECK(found == whole_chunks && found % 8 == 0 && !gap);
             CHECK(!reader.damage().empty());
-        } catch (const Unreadable&) { CHECK(n < 32); }
+        } catch (const Unreadable&) {
+            CHECK(n < 32);
+        }
     }
     MemorySource source{whole};
     Reader reader{source};
@@ -104,7 +112,9 @@
             CHECK(found >= 16);  // two of three chunks, or all where the index or the header was hit
             CHECK(found == 24 || gap || !reader.damage().empty());
             told += !reader.damage().empty();
-        } catch (const Unreadable&) { CHECK(n < 8); }
+        } catch (const Unreadable&) {
+            CHECK(n < 8);
+        }
     }
     // Without its magic it is no trace; everything else was told of.
     CHECK(told + 8 == whole.size());
@@ -113,7 +123,8 @@
 // A later minor version: more in a head, blocks of other kinds, other types of records.
 void check_later_minor() {
     ChunkBuilder builder;
-    for (int i = 0; i < 5; ++i) builder.add({100 + i, 0, state::List{}}, 100 + i, false);
+    for (int i = 0; i < 5; ++i)
+        builder.add({100 + i, 0, state::List{}}, 100 + i, false);
     auto parts = builder.finish(3);
     // The types stand as they are, since there are few: one becomes a type that nobody knows.
     const auto types = parts.body.find(Bytes(5, static_cast<char>(state::type_of<state::List>())));
@@ -134,7 +145,8 @@
     MemorySource source{header + block("SLZZ", "other", "things") + block("SLCK", parts.head, parts.body)};
     Reader reader{source};
     CHECK(read_all(reader).size() == 4 && reader.unknown() == 1);
-    for (const auto& d : reader.damage()) CHECK(d.what.starts_with("no index"));
+    for (const auto& d : reader.damage())
+        CHECK(d.what.starts_with("no index"));
 
     const auto with_major = [&](std::uint16_t major, View magic) {
         Bytes h{magic};
@@ -159,7 +171,9 @@
         try {
             Reader refused{bad};
             CHECK(false);
-        } catch (const Unreadable& e) { CHECK(std::strstr(e.what(), c.says)); }
+        } catch (const Unreadable& e) {
+            CHECK(std::strstr(e.what(), c.says));
+        }
     }
 }
 
@@ -181,8 +195,10 @@
             Bytes& hit = dice() % 2 ? head : body;
             hit[dice() % hit.size()] = static_cast<char>(dice());
         }
-        if (dice() % 4 == 0) head.resize(dice() % head.size());
-        if (dice() % 4 == 0) body.resize(dice() % body.size());
+        if (dice() % 4 == 0)
+            head.resize(dice() % head.size());
+        if (dice() % 4 == 0)
+            body.resize(dice() % body.size());
         const auto view = ChunkView::open(head);
         Record r;
         bool held = false;
@@ -191,7 +207,8 @@
             continue;
         }
         std::size_t n = 0;
-        while (view->next(r, held)) CHECK(++n <= kMostRecords);
+        while (view->next(r, held))
+            CHECK(++n <= kMostRecords);
     }
     CHECK(refused > 1500);
 }
@@ -213,7 +230,8 @@
         View rest = b;
         std::uint64_t back = 0;
         CHECK(get_varint(rest, back) && unzigzag(back) == v && rest.empty());
-        for (const std::int64_t w : kInts) CHECK(sum(w, difference(v, w)) == v);
+        for (const std::int64_t w : kInts)
+            CHECK(sum(w, difference(v, w)) == v);
     }
     const struct {
         const char* bytes;
@@ -230,10 +248,13 @@
     Filter filter{1000};
     std::mt19937_64 dice{1};
     std::vector<std::uint64_t> keys(1000);
-    for (auto& k : keys) filter.add(k = dice());
-    for (const auto k : keys) CHECK(filter.may_hold(k));
+    for (auto& k : keys)
+        filter.add(k = dice());
+    for (const auto k : keys)
+        CHECK(filter.may_hold(k));
     int wrong = 0;
-    for (int i = 0; i < 10'000; ++i) wrong += filter.may_hold(dice());
+    for (int i = 0; i < 10'000; ++i)
+        wrong += filter.may_hold(dice());
     CHECK(wrong < 1500);
     CHECK(Filter{Bytes{}}.may_hold(1));
     Zstd zstd;
@@ -268,7 +289,8 @@
             sent.call = 5;
             sent.target = "s-a";
             w.add({1004, 0, sent});
-            for (int i = 0; i < 20; ++i) w.add({2000 + i, 0, state::Fired{1}});
+            for (int i = 0; i < 20; ++i)
+                w.add({2000 + i, 0, state::Fired{1}});
         },
         {8, 0, 3});
     MemorySource source{bytes};
@@ -279,7 +301,8 @@
     state::InForce in_force;
     Record r;
     bool held = false;
-    while (last->next(r, held)) in_force.take(r);
+    while (last->next(r, held))
+        in_force.take(r);
     CHECK(in_force.start(0) && in_force.start(0)->router == "n1" && in_force.boxes(0) == 2);
     CHECK(in_force.call(0, 5) && in_force.call(0, 5)->out.size() == 1);
     CHECK(std::get<state::Taken>(in_force.call(0, 5)->taken.record().body).trace == "kept");
--- a/tests/trace/reader_fuzz.cpp
+++ b/tests/trace/reader_fuzz.cpp
@@ -21,7 +21,8 @@
         cut(reader, {}, out);
     } catch (const Unreadable&) {}
     // Past the checksums: the same bytes as a chunk's head, and as its body after a good head's length.
-    if (size < 4) return 0;
+    if (size < 4)
+        return 0;
     const std::size_t split = (data[0] | data[1] << 8) % (size - 2);
     const Bytes head{reinterpret_cast<const char*>(data) + 2, split};
     const Bytes body{reinterpret_cast<const char*>(data) + 2 + split, size - 2 - split};
@@ -40,7 +41,8 @@
         RandomRecords random{seed};
         const Bytes file = written(
             [&](Writer& w) {
-                for (int i = 0; i < 12; ++i) w.add(random.next());
+                for (int i = 0; i < 12; ++i)
+                    w.add(random.next());
             },
             {5, 0, 3});
         ChunkBuilder builder;
@@ -57,7 +59,8 @@
                 Bytes spoilt = whole;
                 for (auto n = dice() % 4; n > 0; --n)
                     spoilt[dice() % spoilt.size()] = static_cast<char>(dice());
-                if (dice() % 3 == 0) spoilt.resize(dice() % spoilt.size());
+                if (dice() % 3 == 0)
+                    spoilt.resize(dice() % spoilt.size());
                 LLVMFuzzerTestOneInput(reinterpret_cast<const std::uint8_t*>(spoilt.data()), spoilt.size());
             }
     }
