--- a/tests/trace/recorder_test.cpp
+++ b/tests/trace/recorder_test.cpp
@@ -32,14 +32,16 @@
     explicit ShelfFolder(Shelf& shelf) : shelf_(shelf) {}
     std::unique_ptr<ByteSink> create(const std::string& name) override {
         const std::lock_guard lock{shelf_.mutex};
-        if (shelf_.full) throw IoError("no space left");
+        if (shelf_.full)
+            throw IoError("no space left");
         shelf_.files[name];
         return std::make_unique<Sink>(shelf_, name);
     }
     std::vector<state::Retention::File> list() override {
         const std::lock_guard lock{shelf_.mutex};
         std::vector<state::Retention::File> out;
-        for (const auto& [name, bytes] : shelf_.files) out.push_back({name, bytes.size()});
+        for (const auto& [name, bytes] : shelf_.files)
+            out.push_back({name, bytes.size()});
         return out;
     }
     void remove(const std::string& name) override {
@@ -53,7 +55,8 @@
         Sink(Shelf& s, std::string n) : shelf(s), name(std::move(n)) {}
         void write(View bytes) override {
             const std::lock_guard lock{shelf.mutex};
-            if (shelf.full) throw IoError("no space left");
+            if (shelf.full)
+                throw IoError("no space left");
             shelf.files[name] += bytes;
         }
         Shelf& shelf;
@@ -104,12 +107,14 @@
     MemorySource source{bytes};
     Reader reader{source};
     reader.each({}, [&](const Record& r, bool held, const state::InForce&) {
-        if (held) return true;
+        if (held)
+            return true;
         if (const auto* t = std::get_if<state::Taken>(&r.body)) {
             CHECK(t->trace_id == t->call * 7919 && t->client.size() == 4);
             seen.calls.push_back(t->call);
         }
-        if (const auto* g = std::get_if<state::Gap>(&r.body)) seen.missing += g->records;
+        if (const auto* g = std::get_if<state::Gap>(&r.body))
+            seen.missing += g->records;
         seen.starts += std::holds_alternative<state::Start>(r.body);
         return true;
     });
@@ -124,7 +129,8 @@
         RandomRecords random{21};
         for (int i = 0; i < kCount; ++i) {
             const Record r = random.next();
-            while (!queue.push(r)) std::this_thread::yield();
+            while (!queue.push(r))
+                std::this_thread::yield();
         }
     }};
     RandomRecords expected{21};
@@ -145,7 +151,8 @@
     e.id = large;
     CHECK(!queue.push({0, 0, e}));
     int fits = 0;
-    while (queue.push(taken(1))) ++fits;
+    while (queue.push(taken(1)))
+        ++fits;
     CHECK(fits > 50 && queue.pop(got) && queue.pop(got) && queue.push(taken(2)));
 }
 
@@ -158,7 +165,8 @@
         RecorderSettings s;
         s.queue_bytes = 64 << 10;
         Recorder recorder{s, who(), std::make_unique<ShelfFolder>(shelf)};
-        for (std::uint64_t i = 1; i <= kCount; ++i) recorder.take(taken(i));
+        for (std::uint64_t i = 1; i <= kCount; ++i)
+            recorder.take(taken(i));
         // Once there is room again, the gap is told.
         wait_until([&] {
             recorder.take(taken(kCount + 1));
@@ -168,7 +176,8 @@
         counts = recorder.counts();
     }
     Seen seen;
-    for (const auto& [name, bytes] : shelf.files) read_into(seen, bytes);
+    for (const auto& [name, bytes] : shelf.files)
+        read_into(seen, bytes);
     CHECK(counts.dropped > 0 && counts.lost == 0 && seen.whole && seen.starts == 1);
     CHECK(seen.calls.size() == counts.records);
     CHECK(seen.missing <= counts.dropped && seen.calls.size() + counts.dropped >= kCount);
@@ -209,7 +218,8 @@
     const auto again = recorder.notices();
     CHECK(again.size() == 1 && again[0].starts_with("written again"));
     Seen seen;
-    for (const auto& [name, bytes] : shelf.files) read_into(seen, bytes);
+    for (const auto& [name, bytes] : shelf.files)
+        read_into(seen, bytes);
     CHECK(counts.dropped == 0 && counts.lost > 0);
     CHECK(seen.missing == counts.lost);
     CHECK(seen.calls.size() + seen.missing == call);
@@ -227,19 +237,24 @@
     wait_until([&] {
         // No faster than it is written, so that chunks are small beside the bound.
         const auto before = recorder.counts().bytes;
-        for (int i = 0; i < 200; ++i) { take_and_answer(recorder, ++call); }
+        for (int i = 0; i < 200; ++i) {
+            take_and_answer(recorder, ++call);
+        }
         wait_until([&] { return recorder.counts().bytes > before; });
         return recorder.counts().files >= 12;
     });
     recorder.stop();
     std::uint64_t all = 0;
-    for (const auto& [name, bytes] : shelf.files) all += bytes.size();
+    for (const auto& [name, bytes] : shelf.files)
+        all += bytes.size();
     // One chunk may come on top before the folder is looked at.
     CHECK(shelf.removed >= 3 && all <= 60'000 + 20'000 && shelf.files.size() >= 3);
     Seen seen;
-    for (const auto& [name, bytes] : shelf.files) read_into(seen, bytes);
+    for (const auto& [name, bytes] : shelf.files)
+        read_into(seen, bytes);
     CHECK(seen.whole && seen.starts == 0 && seen.calls.back() == call);
-    for (std::size_t i = 1; i < seen.calls.size(); ++i) CHECK(seen.calls[i] == seen.calls[i - 1] + 1);
+    for (std::size_t i = 1; i < seen.calls.size(); ++i)
+        CHECK(seen.calls[i] == seen.calls[i - 1] + 1);
     MemorySource newest{shelf.files.rbegin()->second};
     Reader reader{newest};
     CHECK(reader.flags() & kCut);
@@ -261,7 +276,8 @@
     Recorder recorder{s, who(), std::make_unique<ShelfFolder>(shelf)};
     std::uint64_t call = 0;
     for (int round = 0; round < 60; ++round) {
-        for (int i = 0; i < 100; ++i) take_and_answer(recorder, ++call);
+        for (int i = 0; i < 100; ++i)
+            take_and_answer(recorder, ++call);
         std::this_thread::yield();
     }
     CHECK(shelf.files.empty());
@@ -282,7 +298,8 @@
         Seen seen;
         read_into(seen, bytes);
         CHECK(seen.whole && seen.missing == 0);
-        if (name.find("00001") != std::string::npos) CHECK(!seen.calls.empty());
+        if (name.find("00001") != std::string::npos)
+            CHECK(!seen.calls.empty());
     }
 }
 
@@ -298,10 +315,12 @@
         Recorder recorder{s, who(), std::make_unique<DiskFolder>(folder.string(), "n1-")};
         for (std::uint64_t call = 1;; ++call) {
             recorder.take(taken(call));
-            if (call % 50 == 0) ::usleep(500);
+            if (call % 50 == 0)
+                ::usleep(500);
             if (recorder.counts().bytes > 20'000) {
                 const char byte = 1;
-                if (::write(pipe_ends[1], &byte, 1) != 1) ::_exit(1);
+                if (::write(pipe_ends[1], &byte, 1) != 1)
+                    ::_exit(1);
             }
         }
     }
@@ -317,7 +336,8 @@
     CHECK(!reader.indexed() && !reader.damage().empty());
     std::uint64_t last = 0;
     reader.each({}, [&](const Record& r, bool held, const state::InForce&) {
-        if (const auto* t = std::get_if<state::Taken>(&r.body); t && !held) CHECK(t->call == ++last);
+        if (const auto* t = std::get_if<state::Taken>(&r.body); t && !held)
+            CHECK(t->call == ++last);
         return true;
     });
     CHECK(last > 100);
@@ -338,7 +358,9 @@
     bool thrown = false;
     try {
         none.create("x.slt");
-    } catch (const IoError&) { thrown = true; }
+    } catch (const IoError&) {
+        thrown = true;
+    }
     CHECK(thrown);
 }
 
--- a/tests/trace/records.h
+++ b/tests/trace/records.h
@@ -30,21 +30,36 @@
         // Mostly from few; now and then any bytes at all.
         std::string t = random_() % 8 ? "s-" + std::to_string(random_() % 20) : std::string{};
         if (random_() % 16 == 0)
-            for (std::size_t i = random_() % 300; i > 0; --i) t.push_back(static_cast<char>(random_()));
+            for (std::size_t i = random_() % 300; i > 0; --i)
+                t.push_back(static_cast<char>(random_()));
         texts_.push_back(std::move(t));
         v = texts_.back();
     }
-    void fill(bool& v) { v = random_() % 2; }
-    void fill(std::uint8_t& v) { v = static_cast<std::uint8_t>(random_() % 12); }
-    void fill(std::uint64_t& v) { v = any(); }
-    void fill(std::int64_t& v) { v = random_() % 16 ? static_cast<std::int64_t>(any()) : state::kNoTime; }
-    void fill(double& v) { v = random_() % 4 ? static_cast<double>(random_() % 100) / 7 : state::kNoFigure; }
+    void fill(bool& v) {
+        v = random_() % 2;
+    }
+    void fill(std::uint8_t& v) {
+        v = static_cast<std::uint8_t>(random_() % 12);
+    }
+    void fill(std::uint64_t& v) {
+        v = any();
+    }
+    void fill(std::int64_t& v) {
+        v = random_() % 16 ? static_cast<std::int64_t>(any()) : state::kNoTime;
+    }
+    void fill(double& v) {
+        v = random_() % 4 ? static_cast<double>(random_() % 100) / 7 : state::kNoFigure;
+    }
     std::uint64_t any() {
         switch (random_() % 4) {
-            case 0: return 0;
-            case 1: return random_() % 1000;
-            case 2: return random_() % 1000 * 1'000'000;
-            default: return random_();
+            case 0:
+                return 0;
+            case 1:
+                return random_() % 1000;
+            case 2:
+                return random_() % 1000 * 1'000'000;
+            default:
+                return random_();
         }
     }
     std::mt19937_64 random_;
@@ -53,7 +68,8 @@
 };
 
 inline bool same(const state::Record& a, const state::Record& b) {
-    if (a.at != b.at || a.source != b.source || a.body.index() != b.body.index()) return false;
+    if (a.at != b.at || a.source != b.source || a.body.index() != b.body.index())
+        return false;
     return std::visit(
         [&](const auto& x) {
             using T = std::decay_t<decltype(x)>;
@@ -91,7 +107,8 @@
 inline std::vector<state::Kept> read_all(Reader& reader, bool with_held = false) {
     std::vector<state::Kept> out;
     reader.each({}, [&](const Record& r, bool held, const state::InForce&) {
-        if (!held || with_held) out.emplace_back(r);
+        if (!held || with_held)
+            out.emplace_back(r);
         return true;
     });
     return out;
--- a/tests/trace/state_test.cpp
+++ b/tests/trace/state_test.cpp
@@ -50,7 +50,9 @@
 
 void check_stories() {
     std::vector<Story> over;
-    Stories stories{[&](const Story& s) { over.push_back(s); }};
+    Stories stories{[&](const Story& s) {
+        over.push_back(s);
+    }};
     const auto take = [&](std::int64_t at, Body body, bool held = false) {
         stories.take({at, 0, body}, held);
     };
@@ -106,13 +108,17 @@
         {{.objects = {0}}, true},
         {{.objects = {5}}, false},
     };
-    for (const auto& c : kCases) CHECK(c.selection.wants(over[0], "pages") == c.wanted);
+    for (const auto& c : kCases)
+        CHECK(c.selection.wants(over[0], "pages") == c.wanted);
     const Selection known{.outcomes = {"miss", "open"}};
     const Selection unknown{.outcomes = {"served", "nonsense"}};
     CHECK(!known.unknown_outcome() && *unknown.unknown_outcome() == "nonsense");
 
-    Tally tally{[](auto, auto, auto) { return std::int64_t{50}; }};
-    for (const Story& s : over) tally.take(s, "pages");
+    Tally tally{[](auto, auto, auto) {
+        return std::int64_t{50};
+    }};
+    for (const Story& s : over)
+        tally.take(s, "pages");
     const ClassTally& c = tally.classes().at("pages");
     CHECK(c.calls == 6 && c.outcomes[0] == 2 && c.outcomes[3] == 1 && c.outcomes[4] == 2 &&
           c.outcomes[6] == 2);
@@ -124,7 +130,8 @@
 void check_times() {
     Times t;
     CHECK(t.quantile(0.5) == 0);
-    for (int i = 1; i <= 1000; ++i) t.add(i * kMs);
+    for (int i = 1; i <= 1000; ++i)
+        t.add(i * kMs);
     for (const auto& [share, ms] : {std::pair{0.5, 500.0}, {0.9, 900.0}, {0.99, 990.0}, {1.0, 1000.0}})
         CHECK(std::abs(t.quantile(share) / ms - 1) < 0.016);
     t.add(std::int64_t{5'000'000} * kSecond);  // beyond the last bin: still the largest
@@ -135,16 +142,20 @@
 // heard.
 void check_skew() {
     std::mt19937_64 dice{5};
-    const auto even = [&] { return static_cast<double>(dice() >> 11) * 0x1p-53; };
+    const auto even = [&] {
+        return static_cast<double>(dice() >> 11) * 0x1p-53;
+    };
     const double ahead_ms[] = {0, 1000, -870};
     const double ppm[] = {0, 100, -60};
     Skew skew;
     for (int i = 0; i < 2000; ++i) {
         const auto t = static_cast<std::int64_t>(i * 1.7e9);
         for (std::uint32_t r = 0; r < 3; ++r) {
-            if (dice() % 20 == 0) continue;
+            if (dice() % 20 == 0)
+                continue;
             double wait = 99e6 + 221e6 * even();
-            if (dice() % 25 == 0) wait += 5e9 * even();  // after a reconnect
+            if (dice() % 25 == 0)
+                wait += 5e9 * even();  // after a reconnect
             const double true_time = static_cast<double>(t) + wait;
             skew.heard(r, static_cast<std::uint64_t>(i),
                        static_cast<std::int64_t>(true_time + ahead_ms[r] * 1e6 + true_time * ppm[r] / 1e6));
@@ -167,7 +178,8 @@
     // Too little is shared: refused, with what is missing.
     Skew few;
     for (std::uint64_t i = 0; i < 7; ++i)
-        for (const std::uint32_t r : {0u, 1u}) few.heard(r, i, static_cast<std::int64_t>(i) * kSecond);
+        for (const std::uint32_t r : {0u, 1u})
+            few.heard(r, i, static_cast<std::int64_t>(i) * kSecond);
     CHECK(!few.estimate(1, 0, why) && why.starts_with("7 purges"));
     // Copies' ages stand in for purges.
     for (int i = 0; i < 30'000; ++i)
@@ -191,9 +203,11 @@
 
 void check_in_force_bounds() {
     InForce f;
-    for (std::uint64_t i = 1; i <= InForce::kMostCalls + 100; ++i) f.take({1, 0, taken(i)});
+    for (std::uint64_t i = 1; i <= InForce::kMostCalls + 100; ++i)
+        f.take({1, 0, taken(i)});
     CHECK(f.open_calls() == InForce::kMostCalls && f.given_up() == 100 && !f.call(0, 100) && f.call(0, 101));
-    for (std::uint32_t s = 0; s < InForce::kMostSources + 5; ++s) f.take({1, s, List{}});
+    for (std::uint32_t s = 0; s < InForce::kMostSources + 5; ++s)
+        f.take({1, s, List{}});
     CHECK(f.sources() == InForce::kMostSources);
     // Read back, it is the same.
     InForce again;
@@ -226,12 +240,14 @@
 
 void check_trigger() {
     FailureTrigger never{{}};
-    for (int i = 0; i < 1000; ++i) CHECK(!never.answered(true, i));
+    for (int i = 0; i < 1000; ++i)
+        CHECK(!never.answered(true, i));
     FailureTrigger t{{.share = 0.2, .window_ns = 10 * kSecond, .least = 50, .hold_off_ns = 60 * kSecond}};
     int fired = 0;
     std::int64_t at = 0;
     const auto play = [&](int answers, int every) {
-        for (int i = 0; i < answers; ++i, at += 20 * kMs) fired += t.answered(i % every == 0, at);
+        for (int i = 0; i < answers; ++i, at += 20 * kMs)
+            fired += t.answered(i % every == 0, at);
     };
     play(1000, 10);  // one in ten fails
     CHECK(fired == 0);
--- a/tests/trace/tools_test.cpp
+++ b/tests/trace/tools_test.cpp
@@ -20,7 +20,9 @@
 struct Traces {
     std::vector<std::unique_ptr<MemorySink>> sinks;
     std::vector<SynthTruth> truth;
-    const Bytes& operator[](std::size_t i) { return sinks[i]->bytes(); }
+    const Bytes& operator[](std::size_t i) {
+        return sinks[i]->bytes();
+    }
 };
 Traces make(const SynthPlan& plan) {
     Traces t;
@@ -62,7 +64,8 @@
                     changed_call = s->call;
                     change(*s);
                 }
-                if (!held) w.add(copy);
+                if (!held)
+                    w.add(copy);
                 return true;
             });
         });
@@ -81,8 +84,10 @@
         Open again{trace};
         std::size_t n = 0;
         again.reader.each({}, [&](const Record& r, bool held, const InForce&) {
-            if (!held && ++n == 3000) w.add({r.at, 0, Gap{5, r.at, r.at}});
-            if (!held) w.add(r);
+            if (!held && ++n == 3000)
+                w.add({r.at, 0, Gap{5, r.at, r.at}});
+            if (!held)
+                w.add(r);
             return n < 6000;
         });
     })};
@@ -99,7 +104,8 @@
     std::size_t before = 0;
     std::size_t all = 0;
     whole.reader.each({}, [&](const Record& r, bool held, const InForce& f) {
-        if (held) return true;
+        if (held)
+            return true;
         ++all;
         const std::int64_t at = f.unix_ns(r.source, r.at);
         if (edge == 0) {
@@ -149,11 +155,13 @@
     InForce f;
     Record r;
     bool held = false;
-    while (chunk->next(r, held) && held) f.take(r);
+    while (chunk->next(r, held) && held)
+        f.take(r);
     CHECK(f.start(0) && f.boxes(0) == 14 && f.call(0, edge_call));
     bool shown = false;
     show(tail->reader, {}, [&](const Story& s, const Names& names) {
-        if (s.call != edge_call) return;
+        if (s.call != edge_call)
+            return;
         shown = true;
         CHECK(s.before && s.answered() &&
               names.class_name(0, s.taken.class_index).find('-') != std::string::npos);
@@ -211,7 +219,8 @@
     stripped.reader.each({}, [&](const Record& r, bool, const InForce&) {
         std::visit(
             [&]<class T>(const T& body) {
-                if constexpr (std::is_same_v<T, Start>) return;  // the operators' settings
+                if constexpr (std::is_same_v<T, Start>)
+                    return;  // the operators' settings
                 T::fields(body, [&](const char*, const auto& v, Pack) {
                     using F = std::decay_t<decltype(v)>;
                     if constexpr (std::is_same_v<F, Text>)
@@ -225,20 +234,23 @@
             CHECK(t->client.size() == 8 && t->trace.empty() && t->have.empty());
             ++calls;
         }
-        if (const auto* a = std::get_if<Answered>(&r.body)) CHECK(a->tag.empty());
+        if (const auto* a = std::get_if<Answered>(&r.body))
+            CHECK(a->tag.empty());
         return true;
     });
     CHECK(calls > 1000);
     for (const std::string& a : addresses) {
         CHECK(everything.find(address_text(a)) == std::string::npos);
-        if (a.size() == 16) CHECK(everything.find(a) == std::string::npos);
+        if (a.size() == 16)
+            CHECK(everything.find(a) == std::string::npos);
     }
     // Two spellings of one address are one client; the same key gives the same names, another one others.
     const auto client_names = [](Bytes bytes) {
         Open o{std::move(bytes)};
         std::vector<std::string> names;
         o.reader.each({}, [&](const Record& r, bool held, const InForce&) {
-            if (const auto* t = std::get_if<Taken>(&r.body); t && !held) names.emplace_back(t->client);
+            if (const auto* t = std::get_if<Taken>(&r.body); t && !held)
+                names.emplace_back(t->client);
             return true;
         });
         return names;
@@ -291,7 +303,8 @@
     CHECK(result.sources.size() == 4);
     std::size_t reference = 4;
     for (std::size_t i = 0; i < 4; ++i)
-        if (result.sources[i].reference) reference = i;
+        if (result.sources[i].reference)
+            reference = i;
     CHECK(reference < 4);
     const auto ahead = [&](std::size_t i, double at_s) {
         return traces.truth[i].ahead_ms + traces.truth[i].drift_ppm * at_s / 1e3;
@@ -322,7 +335,8 @@
     std::int64_t newest = 0;
     std::uint64_t records = 0;
     merged.reader.each({}, [&](const Record& r, bool held, const InForce& f) {
-        if (held) return true;
+        if (held)
+            return true;
         ++records;
         CHECK(r.at >= last[r.source]);
         last[r.source] = r.at;
@@ -333,13 +347,15 @@
     });
     std::uint64_t written_records = 0;
     for (const auto& o : open)
-        for (const auto& c : o->reader.chunks()) written_records += c.summary.records - c.summary.held;
+        for (const auto& c : o->reader.chunks())
+            written_records += c.summary.records - c.summary.held;
     CHECK(records == written_records && records == result.records && last.size() == 4);
     // A call's number means another call at another router and after a restart: none is mixed up.
     std::uint64_t calls = 0;
     show(merged.reader, {}, [&](const Story& s, const Names&) { calls += s.taken_at != kNoTime; });
     std::uint64_t truth = 0;
-    for (const auto& t : traces.truth) truth += t.calls;
+    for (const auto& t : traces.truth)
+        truth += t.calls;
     CHECK(calls == truth);
     const Replay replay = replayed(merged);
     CHECK(!replay.first() && !replay.stopped());
@@ -376,7 +392,8 @@
     std::uint64_t outcomes = 0;
     for (const auto& [name, c] : r.intervals[0].tally.classes()) {
         counted += c.calls;
-        for (std::size_t i = 0; i < 7; ++i) outcomes += c.outcomes[i];
+        for (std::size_t i = 0; i < 7; ++i)
+            outcomes += c.outcomes[i];
     }
     CHECK(counted == calls && outcomes == calls);
     Open again{trace};
@@ -384,7 +401,8 @@
     parts.add(again.reader);
     std::uint64_t in_parts = 0;
     for (const auto& i : parts.result().intervals)
-        for (const auto& [name, c] : i.tally.classes()) in_parts += c.calls;
+        for (const auto& [name, c] : i.tally.classes())
+            in_parts += c.calls;
     CHECK(parts.result().intervals.size() == 5 && in_parts == calls);
     CHECK(json_of(r)["intervals"][0]["classes"].isMember("bulk-files"));
 }
@@ -404,7 +422,8 @@
         {"2026-06-30 10:00:00Z", -1},
         {"", -1},
     };
-    for (const auto& c : kCases) CHECK(parse_time(c.text).value_or(-1) == c.ns);
+    for (const auto& c : kCases)
+        CHECK(parse_time(c.text).value_or(-1) == c.ns);
     CHECK(time_text(1'782'813'600 * kSecond + 123'456'789) == "2026-06-30T10:00:00.123456Z");
     CHECK(address_text(Text{"\x0a\0\0\x01", 4}) == "10.0.0.1" && address_text("") == "");
 }
--- a/tests/tracker_test.cpp
+++ b/tests/tracker_test.cpp
@@ -6,7 +6,9 @@
 namespace winchflow::testing {
 namespace {
 
-Rank rank_of(const std::optional<Send>& send) { return send && send->fill ? send->fill->rank : Rank::unkept; }
+Rank rank_of(const std::optional<Send>& send) {
+    return send && send->fill ? send->fill->rank : Rank::unkept;
+}
 
 // Fills the tracker with one-off objects numbered from `first` until it holds K.
 void fill_tracker(Gateway& g, std::uint64_t first) {
@@ -24,11 +26,12 @@
     Gateway g;
     const auto c = g.router.sizes().hot_capacity;
     for (int round = 0; round < 3; ++round)
-        for (std::uint64_t i = 1; i <= c; ++i) g.serve(i);  // hotness 3 each: they fill S_c, h_min = 3
-    g.serve(1000);                                          // 1
-    EXPECT_EQ(rank_of(g.serve(1000)), Rank::lowest);        // 2 < h_min
-    g.serve(1000);                                          // 3 = h_min, not above
-    EXPECT_EQ(rank_of(g.serve(1000)), Rank::highest);       // 4 > h_min
+        for (std::uint64_t i = 1; i <= c; ++i)
+            g.serve(i);                                // hotness 3 each: they fill S_c, h_min = 3
+    g.serve(1000);                                     // 1
+    EXPECT_EQ(rank_of(g.serve(1000)), Rank::lowest);   // 2 < h_min
+    g.serve(1000);                                     // 3 = h_min, not above
+    EXPECT_EQ(rank_of(g.serve(1000)), Rank::highest);  // 4 > h_min
     EXPECT_EQ(g.router.sizes().hot, c);
 }
 
@@ -37,7 +40,8 @@
     const auto sizes = g.router.sizes();
     // S_c is filled with objects of hotness 4; the coldest of the rest has 3 after three rounds.
     for (int round = 0; round < 4; ++round)
-        for (std::uint64_t i = 1; i <= sizes.hot_capacity; ++i) g.serve(i);
+        for (std::uint64_t i = 1; i <= sizes.hot_capacity; ++i)
+            g.serve(i);
     for (int round = 0; round < 3; ++round)
         for (std::uint64_t i = 10000; i < 10000 + sizes.tracker_capacity - sizes.hot_capacity; ++i)
             g.serve(i);
@@ -51,9 +55,11 @@
     Gateway g;
     const auto c = g.router.sizes().hot_capacity;
     for (int round = 0; round < 3; ++round)
-        for (std::uint64_t i = 1; i <= c + 1; ++i) g.serve(i);
-    for (int i = 0; i < 3; ++i) g.tell(Purge{.object = ObjectId{1}});  // 3 reads - 3 purges = 0
-    EXPECT_EQ(rank_of(g.serve(1)), Rank::lowest);                      // 1, under h_min = 3
+        for (std::uint64_t i = 1; i <= c + 1; ++i)
+            g.serve(i);
+    for (int i = 0; i < 3; ++i)
+        g.tell(Purge{.object = ObjectId{1}});      // 3 reads - 3 purges = 0
+    EXPECT_EQ(rank_of(g.serve(1)), Rank::lowest);  // 1, under h_min = 3
     g.serve(c + 1);
     EXPECT_EQ(rank_of(g.serve(c + 1)), Rank::highest);
 }
@@ -79,7 +85,8 @@
 TEST(Resizing, AnImbalanceAtTheParentsDoublesBoth) {
     Gateway g;
     const auto before = g.router.sizes();
-    for (int i = 0; i < 10; ++i) g.serve(1, Note::filled);
+    for (int i = 0; i < 10; ++i)
+        g.serve(1, Note::filled);
     EXPECT_EQ(g.router.sizes().hot_capacity, before.hot_capacity);
     g.pass(11s);  // the epoch's time bound
     g.serve(1, Note::filled);
@@ -90,7 +97,8 @@
 TEST(Resizing, HitsAreNotFillsAndBalanceKeepsTheSizes) {
     Gateway g;
     const auto before = g.router.sizes();
-    for (int i = 0; i < 10; ++i) g.serve(1, Note::hit);  // I_c = (0 + 1) / (0 + 1)
+    for (int i = 0; i < 10; ++i)
+        g.serve(1, Note::hit);  // I_c = (0 + 1) / (0 + 1)
     g.pass(11s);
     g.serve(1);
     EXPECT_EQ(g.router.sizes().hot_capacity, before.hot_capacity);
@@ -99,14 +107,16 @@
 TEST(Resizing, AnEpochAlsoEndsByCount) {
     Gateway g;
     const auto before = g.router.sizes();
-    for (std::size_t i = 0; i < before.tracker_capacity; ++i) g.serve(1, Note::filled);  // E = K requests
+    for (std::size_t i = 0; i < before.tracker_capacity; ++i)
+        g.serve(1, Note::filled);  // E = K requests
     EXPECT_EQ(g.router.sizes().hot_capacity, 2 * before.hot_capacity);
 }
 
 TEST(Resizing, StopsAtACapWithKAtLeastTwiceC) {
     Gateway g;
     for (int epoch = 0; epoch < 20; ++epoch) {
-        for (int i = 0; i < 10; ++i) g.serve(1, Note::filled);
+        for (int i = 0; i < 10; ++i)
+            g.serve(1, Note::filled);
         g.pass(11s);
     }
     const auto sizes = g.router.sizes();
@@ -121,7 +131,8 @@
 TEST(Resizing, WhenBothAlphasFallBothHalve) {
     Gateway g;
     const auto start = g.router.sizes();
-    for (int i = 0; i < 10; ++i) g.serve(1, Note::filled);
+    for (int i = 0; i < 10; ++i)
+        g.serve(1, Note::filled);
     g.pass(11s);
     g.serve(1);  // ends the epoch: doubled, alpha_t = 10
     ASSERT_EQ(g.router.sizes().hot_capacity, 2 * start.hot_capacity);
@@ -141,17 +152,20 @@
 // Only alpha_c falls: all hotness halves, so that a new favourite needs half as many requests.
 TEST(Resizing, WhenOnlyTheKeptFallAllHotnessHalves) {
     Gateway g;
-    for (int i = 0; i < 10; ++i) g.serve(1, Note::filled);
+    for (int i = 0; i < 10; ++i)
+        g.serve(1, Note::filled);
     g.pass(11s);
     g.serve(1);  // doubled; alpha_t = 9 (the first of the ten found it untracked)
     const auto c = g.router.sizes().hot_capacity;
     for (int round = 0; round < 10; ++round)
-        for (std::uint64_t i = 1; i <= c; ++i) g.serve(i);
+        for (std::uint64_t i = 1; i <= c; ++i)
+            g.serve(i);
     g.pass(11s);
     g.serve(1);  // alpha_c is 9 and more: nothing changes; all of S_c have 10 or more
     ASSERT_EQ(g.router.sizes().hot_capacity, c);
     // The next epoch asks for one tracked-only object: alpha_c near 0, alpha_{k-c} = 9.
-    for (int i = 0; i < 9; ++i) g.serve(5000);
+    for (int i = 0; i < 9; ++i)
+        g.serve(5000);
     g.pass(11s);
     EXPECT_EQ(rank_of(g.serve(5000)), Rank::lowest);   // 10, not above h_min = 10; then halved to 5
     EXPECT_EQ(rank_of(g.serve(5000)), Rank::highest);  // 6 > 5
@@ -162,7 +176,8 @@
     Gateway g;
     fill_tracker(g, 1);
     const auto full = g.router.sizes();
-    for (std::uint64_t i = 0; i < 100; ++i) EXPECT_EQ(rank_of(g.serve(1000000 + i)), Rank::unkept);
+    for (std::uint64_t i = 0; i < 100; ++i)
+        EXPECT_EQ(rank_of(g.serve(1000000 + i)), Rank::unkept);
     EXPECT_EQ(g.router.sizes().tracked, full.tracked);
 }
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -126,7 +126,9 @@
     EXPECT_EQ(run(input).out, run(input).out);
 }
 
-TEST(Example, OfTheReadmeSendsToItsOneCache) { EXPECT_EQ(embed_example::first_target(), "10.0.0.1:80"); }
+TEST(Example, OfTheReadmeSendsToItsOneCache) {
+    EXPECT_EQ(embed_example::first_target(), "10.0.0.1:80");
+}
 
 }  // namespace
 }  // namespace winchflow::adapter
