--- a/adapter/link.cpp
+++ b/adapter/link.cpp
@@ -9,9 +9,9 @@
 #include <string>
 
 #include "settings.h"
-#include "winchflow/router.h"
+#include "silverrail/routing/router.h"
 
-namespace winchflow::adapter {
+namespace silverrail::routing::adapter {
 namespace {
 
 using Words = std::vector<std::string_view>;
@@ -81,20 +81,21 @@
     throw Malformed(std::string{"expected "} + what + ", got '" + std::string{word} + "'");
 }
 
-constexpr std::array<std::pair<std::string_view, Ending>, 9> kEndings{{{"GOOD", Ending::good},
-                                                                       {"BAD", Ending::error},
-                                                                       {"FULL", Ending::full},
-                                                                       {"LATE", Ending::late},
-                                                                       {"NOCONN", Ending::no_connection},
-                                                                       {"RST", Ending::reset},
-                                                                       {"CXL", Ending::cancelled},
-                                                                       {"NOP", Ending::not_sent},
-                                                                       {"MISS", Ending::miss}}};
+constexpr std::array<std::pair<std::string_view, AttemptStatus>, 9> kEndings{
+    {{"GOOD", AttemptStatus::success},
+     {"BAD", AttemptStatus::error},
+     {"FULL", AttemptStatus::overloaded},
+     {"LATE", AttemptStatus::timeout},
+     {"NOCONN", AttemptStatus::connect_failed},
+     {"RST", AttemptStatus::reset},
+     {"CXL", AttemptStatus::cancelled},
+     {"NOP", AttemptStatus::not_sent},
+     {"MISS", AttemptStatus::miss}}};
 constexpr std::array<std::pair<std::string_view, Condition>, 3> kConditions{
     {{"ready", Condition::ready}, {"draining", Condition::draining}, {"gone", Condition::gone}}};
 
-Load parse_load(std::string_view text) {
-    Load load;
+LoadReport parse_load(std::string_view text) {
+    LoadReport load;
     if (text.empty())
         return load;
     for (std::string_view pair : split(text, ',')) {
@@ -196,14 +197,14 @@
             if (row[0] != "ROW")
                 throw Malformed("expected ROW, got '" + std::string{row[0]} + "'");
             const Fields r{row, 5};
-            ListedCache c;
+            ListedServer c;
             c.condition = look_up(kConditions, r.text(1), "a condition");
             c.id.address = r.needed(2, "a cache");
             c.weight = r.number_or(3, 1, "a nominal size");
             c.cell = CellId{r.integer_or_0(4, "a group")};
             c.zone = r.text(5);
             if (const auto up = r.integer_or_0(6, "a start time"); up != 0)
-                c.up_since = Time{Span{up}};
+                c.started_at = Time{Span{up}};
             c.kind = r.text(7);
             roster.push_back(std::move(c));
         }
@@ -226,10 +227,10 @@
         if (name == "WAKE")
             return Timer{TimerId{static_cast<std::uint64_t>(Fields{words, 2}.integer(2, "a timer"))}};
         if (name == "ABORTED")
-            return Abandoned{request_id(Fields{words, 2})};
+            return ClientClosed{request_id(Fields{words, 2})};
         if (name == "UNDER_WAY") {
             const Fields f{words, 3};
-            return Started{request_id(f), static_cast<std::uint32_t>(f.integer(3, "an attempt"))};
+            return ResponseStarted{request_id(f), static_cast<std::uint32_t>(f.integer(3, "an attempt"))};
         }
         if (name == "STRUCK_OUT")
             return parse_purge(words);
@@ -266,12 +267,12 @@
         Outcome o;
         o.request = request_id(f);
         o.attempt = static_cast<std::uint32_t>(f.integer(3, "an attempt"));
-        o.ending = look_up(kEndings, f.text(5), "an ending");
+        o.attempt_status = look_up(kEndings, f.text(5), "an ending");
         o.took = Span{f.integer_or_0(6, "a time")};
         o.over = f.text(7) == "1";
-        const auto note = f.integer_or_0(8, "a detail");
-        if (note >= 0 && note <= 10)
-            o.note = static_cast<Note>(note);
+        const auto cache_status = f.integer_or_0(8, "a detail");
+        if (cache_status >= 0 && cache_status <= 10)
+            o.cache_status = static_cast<CacheStatus>(cache_status);
         o.source_wait = Span{f.integer_or_0(9, "a time")};
         o.load = parse_load(f.text(10));
         return o;
@@ -296,7 +297,7 @@
         const auto roster = rosters_.find(f.integer(4, "a list number"));
         if (roster == rosters_.end())
             throw Malformed("PEERS_KNOWN: expected the number of a list given before");
-        return CacheList{form != "delta", roster->second};
+        return ServerList{form != "delta", roster->second};
     }
 
     template <class... Values>
@@ -329,14 +330,15 @@
     void write(const std::string& id, const Send& a) {
         if (!a.fill)
             return line("HAND_OFF", id, a.request, a.target.address, a.timeout);
-        const int bits = (a.fill->join ? 1 : 0) | (a.fill->held_only ? 2 : 0) | (a.fill->renew ? 8 : 0);
-        line("GET", id, a.request, a.target.address, a.timeout, a.fill->source.address, a.fill->rank,
+        const int bits =
+            (a.fill->join ? 1 : 0) | (a.fill->only_if_cached ? 2 : 0) | (a.fill->revalidate ? 8 : 0);
+        line("GET", id, a.request, a.target.address, a.timeout, a.fill->source.address, a.fill->retention,
              a.fill->oldest, bits);
     }
     void write(const std::string& id, const Cancel& a) {
         line("DROP_ATTEMPT", id, a.request, a.attempt);
     }
-    void write(const std::string& id, const Refuse& a) {
+    void write(const std::string& id, const Reject& a) {
         line("OVERLOAD_REPLY", id, a.request, a.retry_after);
     }
     void write(const std::string& id, const Fail& a) {
@@ -352,7 +354,7 @@
     std::size_t line_number_ = 0;
     Time now_{};
     std::string reply_;
-    std::map<std::int64_t, std::vector<ListedCache>> rosters_;
+    std::map<std::int64_t, std::vector<ListedServer>> rosters_;
     std::map<std::string, Instance> instances_;
 };
 
@@ -369,4 +371,4 @@
     }
 }
 
-}  // namespace winchflow::adapter
+}  // namespace silverrail::routing::adapter
--- a/adapter/link.h
+++ b/adapter/link.h
@@ -4,10 +4,10 @@
 
 #include <iosfwd>
 
-namespace winchflow::adapter {
+namespace silverrail::routing::adapter {
 
 // Serves batches until the input ends. Returns the exit code: 0 where it ends between two batches; else a
 // message with the line number goes to `errors`, and no reply is given to the batch it was in.
 int serve(std::istream& in, std::ostream& out, std::ostream& errors);
 
-}  // namespace winchflow::adapter
+}  // namespace silverrail::routing::adapter
--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -4,5 +4,5 @@
 
 int main() {
     std::ios::sync_with_stdio(false);
-    return winchflow::adapter::serve(std::cin, std::cout, std::cerr);
+    return silverrail::routing::adapter::serve(std::cin, std::cout, std::cerr);
 }
--- a/adapter/settings.cpp
+++ b/adapter/settings.cpp
@@ -4,7 +4,7 @@
 #include <charconv>
 #include <map>
 
-namespace winchflow::adapter {
+namespace silverrail::routing::adapter {
 namespace {
 
 class Pairs {
@@ -102,35 +102,37 @@
     const std::string at = "classes." + std::to_string(index) + ".";
     ClassSettings c;
     c.name = pairs.needed(at + "name");
-    c.aim = pairs.needed_span(at + "aim");
-    c.aim_stretch = pairs.number(at + "aim-stretch");
+    c.latency_objective = pairs.needed_span(at + "aim");
+    c.objective_stretch = pairs.number(at + "aim-stretch");
     c.give_up = pairs.needed_span(at + "give-up");
-    c.worth = pairs.number(at + "worth", 1);
-    c.late_worth = pairs.number(at + "late-worth");
-    c.effect = pairs.one_of<Effect>(
-        at + "effect", pairs.needed(at + "effect"),
-        {{"pure", Effect::pure}, {"token", Effect::keyed}, {"side_effect", Effect::unsafe}});
+    c.priority_weight = pairs.number(at + "worth", 1);
+    c.late_weight = pairs.number(at + "late-worth");
+    c.idempotency = pairs.one_of<Idempotency>(at + "effect", pairs.needed(at + "effect"),
+                                              {{"pure", Idempotency::idempotent},
+                                               {"token", Idempotency::keyed},
+                                               {"side_effect", Idempotency::none}});
     if (const auto* scope = pairs.find(at + "group"))
-        c.scope = pairs.one_of<Scope>(at + "group", *scope,
-                                      {{"all", Scope::all}, {"zone", Scope::zone}, {"cell", Scope::cell}});
+        c.key_scope = pairs.one_of<KeyScope>(
+            at + "group", *scope,
+            {{"all", KeyScope::all}, {"zone", KeyScope::zone}, {"cell", KeyScope::cell}});
     c.window = pairs.span(at + "window");
     c.max_age = Span{static_cast<Span::rep>(pairs.item_number("family-info.max-age", index))};
     c.grace = Span{static_cast<Span::rep>(pairs.item_number("family-info.class-grace", index))};
-    c.stale_worth = pairs.item_number("family-info.stale-earns", index);
+    c.stale_weight = pairs.item_number("family-info.stale-earns", index);
     c.segmented = pairs.item_flag("family-info.segmented", index);
     c.uncached = pairs.item_flag("family-info.uncached", index);
     return c;
 }
 
-// How many gateways share this one's zone, and what the zone's link for fills carries.
+// How many routers share this one's zone, and what the zone's link for fills carries.
 void parse_zone(const Pairs& pairs, Settings& s) {
     s.zone = pairs.needed("zone");
     const std::string dcs = pairs.text("dcs");
     const auto zones = split(dcs, ',');
     const auto at = static_cast<std::size_t>(std::find(zones.begin(), zones.end(), s.zone) - zones.begin());
-    s.gateways = std::max(1, static_cast<int>(pairs.number("balancers", 1)));
+    s.routers = std::max(1, static_cast<int>(pairs.number("balancers", 1)));
     const auto here = static_cast<int>(pairs.item_number("family-info.zone-balancers", at));
-    s.gateways_in_zone = here > 0 ? here : s.gateways;
+    s.routers_in_zone = here > 0 ? here : s.routers;
     s.zone_link_kb_per_s = pairs.item_number("family-info.pipe-kb-per-s", at);
 }
 
@@ -181,31 +183,32 @@
     s.parent_kind = parse_kind(pairs, "family-info.second-tier-kind");
     s.origin_kind = parse_kind(pairs, "family-info.origin-kind");
     if (const auto* weights = pairs.find("weights"))
-        s.weights = pairs.one_of<Weights>("weights", *weights,
-                                          {{"off", Weights::none},
-                                           {"nominal", Weights::nominal},
-                                           {"rough", Weights::nominal},
-                                           {"live", Weights::live}});
+        s.server_weights = pairs.one_of<ServerWeights>("weights", *weights,
+                                                       {{"off", ServerWeights::none},
+                                                        {"nominal", ServerWeights::nominal},
+                                                        {"rough", ServerWeights::nominal},
+                                                        {"live", ServerWeights::live}});
     s.flow_kb_per_s = pairs.number("family-info.one-flow-kb-per-s");
     if (const auto* detail = pairs.find("family-info.detail"))
-        s.detail = pairs.one_of<Detail>("family-info.detail", *detail,
-                                        {{"off", Detail::off}, {"hit", Detail::hit}, {"all", Detail::all}});
-    s.may_cancel = pairs.flag("allowed.cancel");
+        s.outcome_detail = pairs.one_of<OutcomeDetail>(
+            "family-info.detail", *detail,
+            {{"off", OutcomeDetail::off}, {"hit", OutcomeDetail::hit}, {"all", OutcomeDetail::all}});
+    s.cancellation_supported = pairs.flag("allowed.cancel");
     s.retry_after = pairs.flag("allowed.retry-after");
     s.direct = pairs.flag("family-info.bypass-allowed");
     s.joins = pairs.flag("family-info.shares-fills");
     s.max_retry_after = pairs.span("allowed.max-retry-after");
-    s.attempt_limit = std::max(1, static_cast<int>(pairs.number("allowed.try-limit", 1)));
-    s.heed_within = pairs.span("family-info.heed-within");
-    s.cleared_within = pairs.span("family-info.cleared-within");
-    s.cold_from = pairs.number("invariants.cold-from");
-    s.cold_for = pairs.span("invariants.cold");
-    s.tip_multiple = pairs.number("invariants.tip-multiple", 1);
-    s.tip_window = pairs.span("invariants.fall");
-    s.parent_cold_from = pairs.number("family-info.upper-cold-from");
-    s.parent_cold_for = pairs.span("family-info.parent-warms-in");
-    s.parent_tip_multiple = pairs.number("family-info.parent-limit-factor", 1);
+    s.max_attempts = std::max(1, static_cast<int>(pairs.number("allowed.try-limit", 1)));
+    s.purge_effective_within = pairs.span("family-info.heed-within");
+    s.purge_complete_within = pairs.span("family-info.cleared-within");
+    s.slow_start_share = pairs.number("invariants.cold-from");
+    s.slow_start_duration = pairs.span("invariants.cold");
+    s.overload_multiple = pairs.number("invariants.tip-multiple", 1);
+    s.overload_window = pairs.span("invariants.fall");
+    s.parent_slow_start_share = pairs.number("family-info.upper-cold-from");
+    s.parent_slow_start_duration = pairs.span("family-info.parent-warms-in");
+    s.parent_overload_multiple = pairs.number("family-info.parent-limit-factor", 1);
     return s;
 }
 
-}  // namespace winchflow::adapter
+}  // namespace silverrail::routing::adapter
--- a/adapter/settings.h
+++ b/adapter/settings.h
@@ -1,4 +1,4 @@
-// Start-up settings as the wire gives them (path=value pairs) into winchflow::Settings.
+// Start-up settings as the wire gives them (path=value pairs) into silverrail::routing::Settings.
 #pragma once
 
 #include <stdexcept>
@@ -6,9 +6,9 @@
 #include <string_view>
 #include <vector>
 
-#include "winchflow/router.h"
+#include "silverrail/routing/router.h"
 
-namespace winchflow::adapter {
+namespace silverrail::routing::adapter {
 
 // A key that is needed and absent, or any key read whose value makes no sense. what() names the key.
 class SettingsError : public std::runtime_error {
@@ -22,4 +22,4 @@
 std::int64_t to_integer(std::string_view text);
 std::vector<std::string_view> split(std::string_view text, char at);
 
-}  // namespace winchflow::adapter
+}  // namespace silverrail::routing::adapter
--- a/include/winchflow/router.h
+++ b/include/silverrail/routing/router.h
@@ -1,5 +1,5 @@
-// The interface of winchflow: what a gateway tells its Router, and what the Router asks of it.
-// All decisions are in src/brain.cpp. Nothing here reads a clock, keeps a thread or does I/O.
+// The interface of the decision module: what the program tells its Router, and what the Router asks of it.
+// The decisions are in src/routing/. Nothing here reads a clock, keeps a thread or does I/O.
 #pragma once
 
 #include <chrono>
@@ -11,7 +11,7 @@
 #include <variant>
 #include <vector>
 
-namespace winchflow {
+namespace silverrail::routing {
 
 // A clock that is never read: time comes in with each event.
 struct Clock {
@@ -30,31 +30,31 @@
 enum class CellId : std::int64_t {};    // caches that share which keys they have seen
 enum class TimerId : std::uint64_t {};
 
-struct CacheId {
+struct ServerId {
     std::string address{};
-    auto operator<=>(const CacheId&) const = default;
+    auto operator<=>(const ServerId&) const = default;
 };
 
 // ---- start-up settings -------------------------------------------------------------------------
 
-enum class Effect { pure, keyed, unsafe };
-enum class Scope { all, zone, cell };        // which caches drop the repeats of a keyed request
-enum class Detail { off, hit, all };         // how much answers tell of how they came about
-enum class Weights { none, nominal, live };  // none: every cache counts the same
+enum class Idempotency { idempotent, keyed, none };
+enum class KeyScope { all, zone, cell };           // which caches drop the repeats of a keyed request
+enum class OutcomeDetail { off, hit, all };        // how much answers tell of how they came about
+enum class ServerWeights { none, nominal, live };  // none: every cache counts the same
 
 struct ClassSettings {
     std::string name{};
-    Span aim{};              // an answer within this earns its full worth
-    double aim_stretch = 0;  // the aim grows by this multiple of the request's own work
+    Span latency_objective{};      // an answer within this earns its full worth
+    double objective_stretch = 0;  // the aim grows by this multiple of the request's own work
     Span give_up{};
-    double worth = 1;
-    double late_worth = 0;
-    Effect effect = Effect::unsafe;
-    Scope scope = Scope::cell;
+    double priority_weight = 1;
+    double late_weight = 0;
+    Idempotency idempotency = Idempotency::none;
+    KeyScope key_scope = KeyScope::cell;
     Span window{};   // for keyed: how long repeats are remembered
     Span max_age{};  // 0: a copy is good until it is purged
     Span grace{};    // how far past max_age a copy may still be served
-    double stale_worth = 0;
+    double stale_weight = 0;
     bool segmented = false;
     bool uncached = false;
 };
@@ -62,47 +62,47 @@
 struct Settings {
     std::vector<ClassSettings> classes;
     std::string zone{};
-    int gateways = 1;  // in the whole tier
-    int gateways_in_zone = 1;
+    int routers = 1;  // in the whole tier
+    int routers_in_zone = 1;
     std::string parent_kind;  // empty: no parents
     std::string origin_kind;
-    Weights weights = Weights::none;
+    ServerWeights server_weights = ServerWeights::none;
     double flow_kb_per_s = 0;       // top pace of one answer; 0: not told
     double zone_link_kb_per_s = 0;  // what the link for this zone's fills carries; 0: not told
-    Detail detail = Detail::off;
-    bool may_cancel = false;
+    OutcomeDetail outcome_detail = OutcomeDetail::off;
+    bool cancellation_supported = false;
     bool retry_after = false;
     bool direct = false;  // requests may go straight to a parent or the origin
     bool joins = false;   // caches let a request join a fill under way
     Span max_retry_after{};
-    int attempt_limit = 1;
-    Span heed_within{};     // a purge must be heeded by then
-    Span cleared_within{};  // and all older copies are dropped by then
-    double cold_from = 0;
-    Span cold_for{};
-    double tip_multiple = 1;
-    Span tip_window{};
-    double parent_cold_from = 0;
-    Span parent_cold_for{};
-    double parent_tip_multiple = 1;
+    int max_attempts = 1;
+    Span purge_effective_within{};  // a purge must be heeded by then
+    Span purge_complete_within{};   // and all older copies are dropped by then
+    double slow_start_share = 0;
+    Span slow_start_duration{};
+    double overload_multiple = 1;
+    Span overload_window{};
+    double parent_slow_start_share = 0;
+    Span parent_slow_start_duration{};
+    double parent_overload_multiple = 1;
 };
 
 // ---- events ------------------------------------------------------------------------------------
 
 enum class Condition { ready, draining, gone };
 
-struct ListedCache {
-    CacheId id{};
+struct ListedServer {
+    ServerId id{};
     Condition condition = Condition::ready;
     double weight = 1;  // its link out, in answers at top pace
     CellId cell{};
     std::string zone{};
     std::string kind{};
-    std::optional<Time> up_since{};  // absent: long ago
+    std::optional<Time> started_at{};  // absent: long ago
 };
-struct CacheList {
+struct ServerList {
     bool complete = false;  // a cache that is absent from a complete list has left
-    std::vector<ListedCache> caches{};
+    std::vector<ListedServer> caches{};
 };
 struct Request {
     RequestId id{};
@@ -113,28 +113,39 @@
     double size_kb = 0;  // 0: not told
     Time deadline{};
     bool is_retry = false;
-    bool referred = false;  // the client goes to the cache itself, and may go on doing so for a while
+    bool redirected = false;  // the client goes to the cache itself, and may go on doing so for a while
 };
-struct Started {  // a streamed answer has begun: the attempt now belongs to the client
+struct ResponseStarted {  // a streamed answer has begun: the attempt now belongs to the client
     RequestId request{};
     std::uint32_t attempt = 0;
 };
-// unseen: the client was sent to the cache itself, so nobody here saw how or whether it ended.
-enum class Ending { good, error, full, late, no_connection, reset, cancelled, not_sent, miss, unseen };
-enum class Note {
+// unobserved: the client was sent to the cache itself, so nobody here saw how or whether it ended.
+enum class AttemptStatus {
+    success,
+    error,
+    overloaded,
+    timeout,
+    connect_failed,
+    reset,
+    cancelled,
+    not_sent,
+    miss,
+    unobserved
+};
+enum class CacheStatus {
     none,
     hit,
     filled,
-    filled_by_origin,
-    joined,
+    filled_from_origin,
+    coalesced,
     stale,
-    source_refused,
-    source_unreached,
-    source_lacks,
-    no_fill_place,
+    source_rejected,
+    source_unreachable,
+    source_missing,
+    no_fill_slot,
     origin_failed
 };
-struct Load {  // what a report told; absent values were not in it
+struct LoadReport {  // what a report told; absent values were not in it
     std::optional<double> in_flight;
     std::optional<double> utilisation;
     std::optional<double> hit_share;
@@ -143,14 +154,14 @@
 struct Outcome {
     RequestId request{};
     std::uint32_t attempt = 0;
-    Ending ending = Ending::error;
+    AttemptStatus attempt_status = AttemptStatus::error;
     Span took{};
     bool over = false;  // the client has its final answer
-    Note note = Note::none;
+    CacheStatus cache_status = CacheStatus::none;
     Span source_wait{};
-    Load load{};
+    LoadReport load{};
 };
-struct Abandoned {
+struct ClientClosed {
     RequestId request{};
 };
 struct Purge {
@@ -161,23 +172,23 @@
 struct Timer {
     TimerId id{};
 };
-using Event = std::variant<CacheList, Request, Started, Outcome, Abandoned, Purge, Timer>;
+using Event = std::variant<ServerList, Request, ResponseStarted, Outcome, ClientClosed, Purge, Timer>;
 
 // ---- actions -----------------------------------------------------------------------------------
 
-enum class Rank { unkept = 0, lowest = 1, middle = 2, highest = 3 };
+enum class RetentionPriority { no_store = 0, lowest = 1, middle = 2, highest = 3 };
 
 struct Fill {
-    CacheId source{};  // the same cache as the target: nothing is filled
-    Rank rank = Rank::unkept;
+    ServerId source{};  // the same cache as the target: nothing is filled
+    RetentionPriority retention = RetentionPriority::no_store;
     Span oldest{};  // 0: the class's max_age
     bool join = false;
-    bool renew = false;
-    bool held_only = false;  // the source gives only what it holds
+    bool revalidate = false;
+    bool only_if_cached = false;  // the source gives only what it holds
 };
 struct Send {
     RequestId request{};
-    CacheId target{};
+    ServerId target{};
     Span timeout{};              // 0: until the client gives up
     std::optional<Fill> fill{};  // absent: a plain look
     // A repeat of a keyed request: not a byte of it may go out at or after that, whatever it waited for.
@@ -187,7 +198,7 @@
     RequestId request{};
     std::uint32_t attempt = 0;
 };
-struct Refuse {  // tells the client that trying again is harmless
+struct Reject {  // tells the client that trying again is harmless
     RequestId request{};
     Span retry_after{};
 };
@@ -198,9 +209,9 @@
     TimerId id{};
     Span after{};
 };
-using Action = std::variant<Send, Cancel, Refuse, Fail, SetTimer>;
+using Action = std::variant<Send, Cancel, Reject, Fail, SetTimer>;
 
-// One gateway's decisions: a deterministic state machine. `now` must not run backwards.
+// One router's decisions: a deterministic state machine. `now` must not run backwards.
 class Router {
 public:
     Router(Settings settings, std::uint64_t seed);
@@ -210,13 +221,13 @@
 
     [[nodiscard]] std::vector<Action> on(const Event& event, Time now);
 
-    // From now on so many processes count as this one gateway, and each keeps to its part of every budget.
+    // From now on so many processes count as this one router, and each keeps to its part of every budget.
     void share_with(int processes);
 
     // A listed cache that requests are kept away from now, or that gets trials only.
-    [[nodiscard]] bool avoids(const CacheId& id) const;
+    [[nodiscard]] bool avoids(const ServerId& id) const;
 
-    // What the design's tracker stands at, for a gateway's own metrics and for tests.
+    // What the design's tracker stands at, for a router's own metrics and for tests.
     struct Sizes {
         std::size_t hot_capacity;      // C
         std::size_t tracker_capacity;  // K
@@ -228,8 +239,8 @@
     [[nodiscard]] Sizes sizes() const;
 
 private:
-    class Brain;
-    std::unique_ptr<Brain> brain_;
+    class Impl;
+    std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace winchflow
+}  // namespace silverrail::routing
--- a/src/app/bans_part.cpp
+++ b/src/app/bans_part.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 constexpr std::chrono::milliseconds kLook{200};
-const std::string kKey = "ban/";  // then the box's id
+const std::string kKey = "ban/";  // then the server's id
 }  // namespace
 
 BansPart::BansPart(net::asio::io_context& io, core::Engine& engine, const std::string& file, Log& log,
@@ -26,22 +26,22 @@
         look();
     // Said before there was a fleet to tell. With a store of its own the fleet's word is the later one.
     if (fleet_ && fleet_->fresh())
-        for (const auto& box : engine_.bans().ids())
-            (void)fleet_->set(kKey + box.address, {});
+        for (const auto& server : engine_.bans().ids())
+            (void)fleet_->set(kKey + server.address, {});
 }
 
-// Guards rule 3 over the fleet: a box that is out anywhere is out here, and back here when it is back.
+// Guards rule 3 over the fleet: a server that is out anywhere is out here, and back here when it is back.
 void BansPart::heard(const std::set<std::string>& keys) {
     members::Bans before = engine_.bans();
     const auto apply = [&](members::Bans& bans) {
         for (const auto& key : keys) {
             if (!key.starts_with(kKey))
                 continue;
-            const core::CacheId box{key.substr(kKey.size())};
+            const core::ServerId server{key.substr(kKey.size())};
             if (!fleet_->in_force(key))
-                bans.remove(box);
-            else if (!bans.add(box))
-                log_.line("bans", "the fleet's ban of %s has no room here", box.address.c_str());
+                bans.remove(server);
+            else if (!bans.add(server))
+                log_.line("bans", "the fleet's ban of %s has no room here", server.address.c_str());
         }
     };
     members::Bans own = before;
@@ -76,8 +76,8 @@
 void BansPart::read() {
     try {
         members::Bans bans = file_->read();
-        for (const auto& box : unwritten_)
-            bans.add(box);
+        for (const auto& server : unwritten_)
+            bans.add(server);
         engine_.set_bans(bans);
         unread_ = false;
     } catch (const std::exception& e) {
@@ -91,8 +91,8 @@
 void BansPart::write_what_is_owed() {
     try {
         engine_.set_bans(file_->change(engine_.bans(), [this](members::Bans& bans) {
-            for (const auto& box : unwritten_)
-                bans.add(box);
+            for (const auto& server : unwritten_)
+                bans.add(server);
         }));
         log_.line("bans", "%zu that were owed to the file are kept", unwritten_.size());
         unwritten_.clear();
@@ -101,20 +101,20 @@
     }
 }
 
-bool BansPart::known(const core::CacheId& box) const {
-    return engine_.lists(box) || engine_.bans().contains(box);
+bool BansPart::known(const core::ServerId& server) const {
+    return engine_.lists(server) || engine_.bans().contains(server);
 }
 
-front::admin::Verdict BansPart::out(const core::CacheId& box) {
-    if (!known(box))
+front::admin::Verdict BansPart::out(const core::ServerId& server) {
+    if (!known(server))
         return {false, "no such box"};
     members::Bans own = engine_.bans();
-    const bool kept = own.contains(box) && !unwritten_.contains(box);
-    if (!own.add(box))
+    const bool kept = own.contains(server) && !unwritten_.contains(server);
+    if (!own.add(server))
         return {false, "too many are out"};
     engine_.set_bans(own);
-    log_.line("box-out", "%s by hand, %zu are out", box.address.c_str(), own.ids().size());
-    if (fleet_ && !fleet_->set(kKey + box.address, {}))
+    log_.line("box-out", "%s by hand, %zu are out", server.address.c_str(), own.ids().size());
+    if (fleet_ && !fleet_->set(kKey + server.address, {}))
         return {false, "out here, but not kept for the fleet"};
     if (!file_)
         return {true, fleet_ ? "out" : "out, in this process only"};
@@ -123,33 +123,33 @@
     if (kept)
         return {true, "out"};
     try {
-        engine_.set_bans(file_->change(own, [&](members::Bans& bans) { bans.add(box); }));
-        unwritten_.erase(box);
+        engine_.set_bans(file_->change(own, [&](members::Bans& bans) { bans.add(server); }));
+        unwritten_.erase(server);
     } catch (const std::exception& e) {
-        unwritten_.insert(box);
+        unwritten_.insert(server);
         log_.line("bans", "%s", e.what());
         return {false, std::string{"out in this process, but not kept for another: "} + e.what()};
     }
     return {true, "out"};
 }
 
-front::admin::Verdict BansPart::back(const core::CacheId& box) {
-    if (!known(box))
+front::admin::Verdict BansPart::back(const core::ServerId& server) {
+    if (!known(server))
         return {false, "no such box"};
     members::Bans own = engine_.bans();
-    own.remove(box);
+    own.remove(server);
     if (file_)
         try {
-            own = file_->change(own, [&](members::Bans& bans) { bans.remove(box); });
+            own = file_->change(own, [&](members::Bans& bans) { bans.remove(server); });
         } catch (const std::exception& e) {
             log_.line("bans", "%s", e.what());
             return {false, std::string{"nothing was changed: "} + e.what()};
         }
-    unwritten_.erase(box);
+    unwritten_.erase(server);
     engine_.set_bans(own);
-    if (fleet_ && !fleet_->clear(kKey + box.address))
+    if (fleet_ && !fleet_->clear(kKey + server.address))
         return {false, "in use here, but not kept for the fleet"};
-    log_.line("box-back", "%s by hand, %zu are out", box.address.c_str(), own.ids().size());
+    log_.line("box-back", "%s by hand, %zu are out", server.address.c_str(), own.ids().size());
     return {true, "in use"};
 }
 
--- a/src/app/bans_part.h
+++ b/src/app/bans_part.h
@@ -1,4 +1,4 @@
-// Boxes taken out by hand: in force in the core, kept in the file, and heard of from the router's other
+// Servers taken out by hand: in force in the core, kept in the file, and heard of from the router's other
 // processes.
 #pragma once
 
@@ -24,23 +24,23 @@
     std::string counters() override {
         return figure_lines("bans", {{"out", engine_.bans().ids().size()}, {"unwritten", unwritten_.size()}});
     }
-    front::admin::Verdict out(const core::CacheId& box) override;
-    front::admin::Verdict back(const core::CacheId& box) override;
+    front::admin::Verdict out(const core::ServerId& server) override;
+    front::admin::Verdict back(const core::ServerId& server) override;
 
 private:
     void look();
     void read();
     void write_what_is_owed();
     void heard(const std::set<std::string>& keys);
-    bool known(const core::CacheId& box) const;  // listed, or out
+    bool known(const core::ServerId& server) const;  // listed, or out
 
     core::Engine& engine_;
     Log& log_;
     net::asio::steady_timer timer_;
     std::optional<store::BanFile> file_;
     ReplicaPart* fleet_;
-    std::set<core::CacheId> unwritten_;  // out here, and owed to the file
-    bool unread_ = false;                // the file could not be read when it was to be
+    std::set<core::ServerId> unwritten_;  // out here, and owed to the file
+    bool unread_ = false;                 // the file could not be read when it was to be
 };
 
 }  // namespace silverrail::app
--- a/src/app/failover_part.cpp
+++ b/src/app/failover_part.cpp
@@ -35,59 +35,63 @@
 
 // What it bears of what it bears when warm, as the settings say: from the later of its start and its zone's
 // return, as the core tells the module too.
-double FailoverPart::warmth(const core::Box& box) const {
+double FailoverPart::warmth(const core::Server& server) const {
     const auto& s = world_.engine.settings();
-    auto since = box.entry.up_since;
+    auto since = server.entry.started_at;
     if (back_since_ && (!since || *back_since_ > *since))
         since = back_since_;
-    if (!since || s.cold_for <= winchflow::Span{})
+    if (!since || s.slow_start_duration <= routing::Span{})
         return 1;
     const auto passed = std::chrono::duration<double>(world_.clock.now() - *since) /
-                        std::chrono::duration<double>(s.cold_for);
-    return s.cold_from + (1 - s.cold_from) * std::clamp(passed, 0.0, 1.0);
+                        std::chrono::duration<double>(s.slow_start_duration);
+    return s.slow_start_share + (1 - s.slow_start_share) * std::clamp(passed, 0.0, 1.0);
 }
 
 // The caches of the own zone, and the weight of all zones' on the way.
-std::vector<FailoverPart::Box> FailoverPart::own_boxes(const std::map<std::string, std::string>& alive) {
+std::vector<FailoverPart::Server> FailoverPart::own_servers(const std::map<std::string, std::string>& alive) {
     const auto doubts = cluster::reports_in(
-        world_.reports.entries(), cluster::box_subject(""), world_.clock.unix_ms(), doubt_for_,
+        world_.reports.entries(), cluster::server_subject(""), world_.clock.unix_ms(), doubt_for_,
         [&](const std::string& reporter) { return reporter != name_ && alive.contains(reporter); });
-    std::vector<Box> out;
+    std::vector<Server> out;
     weights_.clear();
-    world_.engine.each_box([&](const core::Box& box, bool avoided) {
-        if (box.entry.condition != winchflow::Condition::ready || !world_.engine.is_cache(box))
+    world_.engine.each_server([&](const core::Server& server, bool avoided) {
+        if (server.entry.condition != routing::Condition::ready || !world_.engine.is_cache_server(server))
             return;
-        weights_[box.entry.zone] += box.entry.weight;
-        if (box.entry.zone != zone_)
+        weights_[server.entry.zone] += server.entry.weight;
+        if (server.entry.zone != zone_)
             return;
-        const auto& id = box.entry.id.address;
-        Box b{id,
-              box.address,
-              {box.entry.weight, avoided, world_.engine.bans().contains(box.entry.id), {}, warmth(box)}};
+        const auto& id = server.entry.id.address;
+        Server b{id,
+                 server.address,
+                 {server.entry.weight,
+                  avoided,
+                  world_.engine.bans().contains(server.entry.id),
+                  {},
+                  warmth(server)}};
         // Another's word is no reason to believe it, but one to look.
-        b.doubted = steered() || avoided || doubts.contains(cluster::box_subject(id));
+        b.doubted = steered() || avoided || doubts.contains(cluster::server_subject(id));
         const auto probe = probes_.find(id);
         if (b.doubted && probe != probes_.end() && probe->second.told)
-            b.zone_box.probed = probe->second.listens;
+            b.zone_server.probed = probe->second.listens;
         out.push_back(std::move(b));
     });
     return out;
 }
 
-void FailoverPart::probe(const std::vector<Box>& boxes) {
+void FailoverPart::probe(const std::vector<Server>& servers) {
     const auto now = world_.peers.now();
     std::set<std::string> doubted;
-    for (const auto& box : boxes)
-        if (box.doubted)
-            doubted.insert(box.id);
+    for (const auto& server : servers)
+        if (server.doubted)
+            doubted.insert(server.id);
     std::erase_if(probes_, [&](const auto& item) { return !doubted.contains(item.first); });
-    for (const auto& box : boxes) {
-        if (!box.doubted)
+    for (const auto& server : servers) {
+        if (!server.doubted)
             continue;
-        auto& probe = probes_[box.id];
+        auto& probe = probes_[server.id];
         if (probe.under_way || now < probe.next)
             continue;
-        probe.under_way = prober_.look(box.address, [this, id = box.id](bool listens) {
+        probe.under_way = prober_.look(server.address, [this, id = server.id](bool listens) {
             ++probed_;
             probes_failed_ += listens ? 0 : 1;
             if (const auto at = probes_.find(id); at != probes_.end())
@@ -98,12 +102,12 @@
 
 void FailoverPart::tick() {
     const auto alive = world_.peers.alive_zones();
-    const auto boxes = own_boxes(alive);
-    probe(boxes);
-    std::vector<cluster::ZoneBox> zone_boxes;
-    for (const auto& box : boxes)
-        zone_boxes.push_back(box.zone_box);
-    health_ = cluster::health_of(zone_boxes, steered());
+    const auto servers = own_servers(alive);
+    probe(servers);
+    std::vector<cluster::ZoneServer> zone_servers;
+    for (const auto& server : servers)
+        zone_servers.push_back(server.zone_server);
+    health_ = cluster::health_of(zone_servers, steered());
 
     cluster::Failover::Input in;
     in.now = world_.peers.now();
--- a/src/app/failover_part.h
+++ b/src/app/failover_part.h
@@ -36,9 +36,9 @@
     front::admin::Verdict pin(const std::string& zone, const std::string& how);
 
 private:
-    struct Box {
+    struct Server {
         std::string id, address;
-        cluster::ZoneBox zone_box;
+        cluster::ZoneServer zone_server;
         bool doubted = false;  // a connect is to tell
     };
     struct Probe {
@@ -48,14 +48,14 @@
     };
     void tick();
     bool steered() const;  // does the own zone get nothing?
-    double warmth(const core::Box& box) const;
-    std::vector<Box> own_boxes(const std::map<std::string, std::string>& alive);
-    void probe(const std::vector<Box>& boxes);
+    double warmth(const core::Server& server) const;
+    std::vector<Server> own_servers(const std::map<std::string, std::string>& alive);
+    void probe(const std::vector<Server>& servers);
     void logged(const cluster::Failover::Change& change);
 
     World world_;
     std::string name_, zone_;
-    cluster::UnixMs doubt_for_;  // another's word on a box is a reason to look for so long
+    cluster::UnixMs doubt_for_;  // another's word on a server is a reason to look for so long
     cluster::Failover failover_;
     cluster::Voice voice_;
     net::Prober prober_;
--- a/src/app/hearsay_part.cpp
+++ b/src/app/hearsay_part.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 constexpr std::chrono::milliseconds kTick{100};
-// A box that is gone is told of for as long as another's list may well be late.
+// A server that is gone is told of for as long as another's list may well be late.
 constexpr auto kGoneToldFor = std::chrono::seconds{60};
 }  // namespace
 
@@ -14,29 +14,29 @@
       hearsay_(settings.name, {.age = settings.hearsay_ms}, seed ^ 0xa0761d6478bd642fULL),
       timer_(world.io) {}
 
-std::vector<cluster::SeenBox> HearsayPart::boxes() const {
-    using winchflow::Condition;
-    std::vector<cluster::SeenBox> out;
+std::vector<cluster::SeenServer> HearsayPart::servers() const {
+    using routing::Condition;
+    std::vector<cluster::SeenServer> out;
     const auto now = world_.clock.now();
-    world_.engine.each_box([&](const core::Box& box, bool avoided) {
-        const bool gone = box.entry.condition == Condition::gone;
-        if (gone && (!box.barred || now > *box.barred + kGoneToldFor))
+    world_.engine.each_server([&](const core::Server& server, bool avoided) {
+        const bool gone = server.entry.condition == Condition::gone;
+        if (gone && (!server.barred || now > *server.barred + kGoneToldFor))
             return;
-        out.push_back({box.entry.id.address, box.entry.zone, box.started_ms, avoided,
-                       box.entry.condition != Condition::ready});
+        out.push_back({server.entry.id.address, server.entry.zone, server.started_ms, avoided,
+                       server.entry.condition != Condition::ready});
     });
     return out;
 }
 
 void HearsayPart::tick() {
-    const auto step = hearsay_.tick(world_.peers.now(), world_.clock.unix_ms(), boxes(),
+    const auto step = hearsay_.tick(world_.peers.now(), world_.clock.unix_ms(), servers(),
                                     world_.reports.entries(), world_.peers.alive_zones());
     for (const auto& say : step.say)
         world_.reports.say(name_, say);
     if (step.changed) {
-        std::set<core::CacheId> ids;
+        std::set<core::ServerId> ids;
         for (const auto& id : step.out)
-            ids.insert(core::CacheId{id});
+            ids.insert(core::ServerId{id});
         world_.engine.hold_out(std::move(ids));
         world_.log.line("hearsay", R"({"held_out":%zu,"one":"%s"})", step.out.size(),
                         step.out.empty() ? "" : step.out.begin()->c_str());
--- a/src/app/hearsay_part.h
+++ b/src/app/hearsay_part.h
@@ -1,5 +1,5 @@
-// What routers learned of boxes in the running program: the state machine of src/cluster/hearsay between the
-// core and the reports' replica. Made only where the settings have a `peers` section.
+// What routers learned of servers in the running program: the state machine of src/cluster/hearsay between
+// the core and the reports' replica. Made only where the settings have a `peers` section.
 #pragma once
 
 #include "app/part.h"
@@ -30,7 +30,7 @@
 
 private:
     void tick();
-    std::vector<cluster::SeenBox> boxes() const;
+    std::vector<cluster::SeenServer> servers() const;
 
     World world_;
     std::string name_;
--- a/src/app/program.cpp
+++ b/src/app/program.cpp
@@ -24,8 +24,8 @@
 #include "front/platform/platform.h"
 #include "lifecycle.h"
 #include "members/shares.h"
-#include "net/bulletin.h"
 #include "net/clock.h"
+#include "net/discovery_watch.h"
 #include "net/http_server.h"
 #include "net/upstream.h"
 #include "store/read_file.h"
@@ -56,7 +56,7 @@
 constexpr auto kStartTriedFor = 6s;
 constexpr auto kBetweenStarts = 50ms;
 
-core::Span kill_after(const winchflow::Settings& settings) {
+core::Span kill_after(const routing::Settings& settings) {
     const core::Span longest = core::longest_deadline(settings);
     return (longest > core::Span{} ? std::min(longest, kLongestCounted) : kLongestCounted) + kKilledAfter;
 }
@@ -84,11 +84,11 @@
 
 net::UpstreamLimits upstream_limits(const config::Config& c, const members::Shares& shares) {
     net::UpstreamLimits limits;
-    limits.sockets = shares.boxes;
-    if (c.connect_timeout > winchflow::Span{})
+    limits.sockets = shares.servers;
+    if (c.connect_timeout > routing::Span{})
         limits.connect_timeout = c.connect_timeout;
     // A connection that both sides may close at the same moment is not worth keeping.
-    if (c.conn_idle > winchflow::Span{})
+    if (c.conn_idle > routing::Span{})
         limits.idle = c.conn_idle * 2 / 3;
     return limits;
 }
@@ -213,18 +213,18 @@
             part->start();
         for (const Json::Value& item : config_.known)
             take(item, core::Span::max());
-        if (!config_.bulletin.empty()) {
-            bulletin_.emplace(
-                io_, endpoint_of(config_.bulletin), config_.known_no,
+        if (!config_.discovery.empty()) {
+            discovery_.emplace(
+                io_, endpoint_of(config_.discovery), config_.known_no,
                 [this](std::int64_t, std::string_view data) {
                     const auto json = config::parse_json(data);
                     if (!json)
                         log_.line("bad-event", "%.*s", static_cast<int>(data.size()), data.data());
-                    return json && take(*json, kNewsLate + bulletin_->unheard_for());
+                    return json && take(*json, kNewsLate + discovery_->unheard_for());
                 },
                 log_, config_.seed);
-            bulletin_->when_sure([this](bool surely) { engine_.told_of_purges(surely); });
-            bulletin_->start();
+            discovery_->when_sure([this](bool surely) { engine_.told_of_purges(surely); });
+            discovery_->start();
         }
         server_.when_out_of_descriptors([this] { upstream_.shed(32); });
         server_.start();
@@ -248,7 +248,7 @@
     void share_with(std::size_t processes) {
         shares_ = members::shares_of(whole_of(config_, settings_), processes);
         engine_.share_with(processes, shares_.copies_bytes);
-        upstream_.limit_sockets(shares_.boxes);
+        upstream_.limit_sockets(shares_.servers);
         server_.limit_connections(shares_.clients);
     }
     // `oldest`: how long ago the news can have come about at most.
@@ -315,13 +315,13 @@
                 log_.line("reload", "%s has changed: not applied, takes a restart", section);
             for (const auto& name : config::need_restart(config_, fresh))
                 log_.line("reload", "%s has changed: not applied, takes a restart", name.c_str());
-            if (fresh.bulletin == config_.bulletin || !bulletin_) {
+            if (fresh.discovery == config_.discovery || !discovery_) {
                 log_.line("reload", "read; the bulletin stays");
                 return true;
             }
-            bulletin_->move_to(endpoint_of(fresh.bulletin));
-            config_.bulletin = fresh.bulletin;
-            log_.line("reload", "the bulletin is now at %s", config_.bulletin.c_str());
+            discovery_->move_to(endpoint_of(fresh.discovery));
+            config_.discovery = fresh.discovery;
+            log_.line("reload", "the bulletin is now at %s", config_.discovery.c_str());
             return true;
         } catch (const std::exception& e) {
             log_.line("reload-failed", "%s; nothing was changed", e.what());
@@ -351,7 +351,7 @@
         }
     }
     // Ends once every call has its answer and every answer is written. Guards what is open when SIGKILL
-    // comes: boxes may hang for longer than that.
+    // comes: servers may hang for longer than that.
     void finish() {
         if (clock_.now() >= last_answers_at_)
             engine_.fail_all();
@@ -376,8 +376,8 @@
         for (const auto& part : parts_)
             out += part->counters();
         out += client_counters();
-        if (bulletin_) {
-            const auto& c = bulletin_->counters();
+        if (discovery_) {
+            const auto& c = discovery_->counters();
             out += figure_lines(
                 "bulletin",
                 {{"connects", c.connects}, {"unreadable", c.unreadable}, {"gaps", c.gaps}, {"slow", c.slow}});
@@ -427,7 +427,7 @@
     net::asio::steady_timer reload_again_;
     int reloads_left_ = 0;
     core::Time last_answers_at_ = core::Time::max();
-    std::optional<net::Bulletin> bulletin_;
+    std::optional<net::DiscoveryWatch> discovery_;
 };
 
 }  // namespace
--- a/src/app/trace_part.h
+++ b/src/app/trace_part.h
@@ -19,7 +19,7 @@
         Log& log;
         std::string router;
         std::uint64_t seed;
-        std::string settings;  // the configuration as JSON, on one line, less what is known of the bulletin
+        std::string settings;  // the configuration as JSON, on one line, less what is known of discovery
     };
     TracePart(World world, const config::TraceSettings& settings);
     ~TracePart() override;
--- a/src/cli/trace.cpp
+++ b/src/cli/trace.cpp
@@ -129,7 +129,7 @@
 // The options that choose calls, for `show` and `cut`.
 struct Choice {
     std::string from, to;
-    std::vector<std::string> classes, outcomes, boxes, calls, objects;
+    std::vector<std::string> classes, outcomes, servers, calls, objects;
     void add(CLI::App& app) {
         app.add_option("--from", from, "this time and later: RFC 3339, or +10s from the begin");
         app.add_option("--to", to, "before this time");
@@ -138,7 +138,7 @@
             "--outcome", outcomes,
             "served, unchanged, referred, refused, failed, abandoned, open, turned_away, or how an "
             "attempt ended: error, full, late, no_connection, reset, miss …");
-        app.add_option("--box", boxes, "with an attempt at this box, or filled from it");
+        app.add_option("--box", servers, "with an attempt at this box, or filled from it");
         app.add_option("--call", calls, "the client's id");
         app.add_option("--object", objects, "16 hex digits");
     }
@@ -152,7 +152,7 @@
             throw Usage("--from is not before --to");
         s.classes = classes;
         s.outcomes = outcomes;
-        s.boxes = boxes;
+        s.servers = servers;
         s.traces = calls;
         for (const std::string& o : objects) {
             std::uint64_t id = 0;
--- a/src/cluster/failover.cpp
+++ b/src/cluster/failover.cpp
@@ -17,7 +17,7 @@
 constexpr Time kSettle{1000};
 constexpr std::size_t kLastTurn = 9;  // further ranks write in the same slot
 constexpr int kMostDamp = 8;
-// Noise of a few boxes that come and go is no cause for a change; a leap is.
+// Noise of a few servers that come and go is no cause for a change; a leap is.
 constexpr double kLeap = 25;
 constexpr std::chrono::duration<double> kSmoothOver{5};
 // A smaller difference is reported once it has lasted.
@@ -108,16 +108,16 @@
     return "pin/" + zone;
 }
 
-Health health_of(const std::vector<ZoneBox>& boxes, bool steered) {
+Health health_of(const std::vector<ZoneServer>& servers, bool steered) {
     double all = 0, up = 0, warm = 0;
-    for (const auto& box : boxes) {
-        all += box.weight;
-        if (box.banned || box.probed == false)
+    for (const auto& server : servers) {
+        all += server.weight;
+        if (server.banned || server.probed == false)
             continue;
-        if (steered ? box.probed != true : box.avoided)
+        if (steered ? server.probed != true : server.avoided)
             continue;
-        up += box.weight;
-        warm += box.weight * box.warm;
+        up += server.weight;
+        warm += server.weight * server.warm;
     }
     const auto fives = [all](double part) {
         return static_cast<int>(part / all * 20 + 1e-9) * 5;
@@ -325,8 +325,8 @@
     return in_order(std::move(order));
 }
 
-// What each zone's boxes count for here. A zone that takes others in counts for less to its own routers by as
-// much, so that what all of them send together stays within its bounds: each part here is a part there.
+// What each zone's servers count for here. A zone that takes others in counts for less to its own routers by
+// as much, so that what all of them send together stays within its bounds: each part here is a part there.
 std::map<std::string, double> Failover::factors(const Input& in) const {
     std::map<std::string, double> out;
     const auto own = zones_.find(zone_);
@@ -428,9 +428,9 @@
             due = std::max(due, z.since + settings_.hold * (back ? z.damp : 1));
         ++wish.epoch;
         const auto order = turns(name, wish.epoch, *in.alive);
-        const auto rank =
+        const auto retention =
             static_cast<std::size_t>(std::find(order.begin(), order.end(), name_) - order.begin());
-        if (in.now < due + settings_.slot * static_cast<Time::rep>(std::min(rank, kLastTurn)))
+        if (in.now < due + settings_.slot * static_cast<Time::rep>(std::min(retention, kLastTurn)))
             continue;
         step.writes.push_back({name, wish});
     }
--- a/src/cluster/failover.h
+++ b/src/cluster/failover.h
@@ -18,8 +18,8 @@
 // - At most one change of a zone per hold-down, counted from when this router saw the last one; a zone that
 // fails
 //   again soon after a step back waits longer with the next one.
-// - Back in steps, and only as far as its boxes have warmed; a zone or box that is let in again counts as
-// just started (core/engine).
+// - Back in steps, and only as far as its servers have warmed; a zone or server that is let in again counts
+// as just started (core/engine).
 #pragma once
 
 #include <map>
@@ -79,8 +79,8 @@
 std::string decision_key(const std::string& zone);
 std::string pin_key(const std::string& zone);
 
-// A box of the own zone as this router has it, for the zone's health.
-struct ZoneBox {
+// A server of the own zone as this router has it, for the zone's health.
+struct ZoneServer {
     double weight = 1;
     bool avoided = false;  // by this router's own decisions
     bool banned = false;   // by hand
@@ -88,14 +88,14 @@
     std::optional<bool> probed;
     double warm = 1;  // of what it bears when it has run for long
 };
-// A zone's health in per cent of its boxes' weight, in fives downwards; all of it where there is no box.
+// A zone's health in per cent of its servers' weight, in fives downwards; all of it where there is no server.
 struct Health {
     int up = 100;
     int warm = 100;  // of all, what those that are up bear now
     bool operator==(const Health&) const = default;
 };
 // `steered`: the zone gets nothing at present, so only connects tell.
-Health health_of(const std::vector<ZoneBox>& boxes, bool steered);
+Health health_of(const std::vector<ZoneServer>& servers, bool steered);
 
 // As a report's value: "UP WARM".
 std::string text_of(Health health);
@@ -112,7 +112,7 @@
         const std::map<std::string, std::string>* alive = nullptr;  // member to its zone, ourselves too
         const std::map<std::string, Entry>* reports = nullptr;
         const std::map<std::string, Entry>* shared = nullptr;
-        std::map<std::string, double> weights;  // of the listed boxes, by zone
+        std::map<std::string, double> weights;  // of the listed servers, by zone
         // Other numbers whenever `alive` or `reports` may have changed; 0: not told, they are looked through
         // each time.
         std::uint64_t view_revision = 0, reports_revision = 0;
@@ -129,7 +129,7 @@
     struct Step {
         std::vector<Write> writes;    // to be set in the replicated state, by decision_key
         std::vector<Change> changes;  // decisions newly in force here
-        // Zone to the factor on its boxes' weight; empty: the own zone alone, as listed.
+        // Zone to the factor on its servers' weight; empty: the own zone alone, as listed.
         std::map<std::string, double> factors;
         std::optional<std::string> report;  // what this router has to say of its zone; none: it is no witness
     };
--- a/src/cluster/hearsay.cpp
+++ b/src/cluster/hearsay.cpp
@@ -8,12 +8,12 @@
 constexpr Time kSpreadPerMember{20};
 constexpr Time kLongestSpread{5000};
 
-std::string drain_of(const SeenBox& box) {
-    return "drain " + std::to_string(box.started_ms);
+std::string drain_of(const SeenServer& server) {
+    return "drain " + std::to_string(server.started_ms);
 }
 }  // namespace
 
-std::string box_subject(const std::string& id) {
+std::string server_subject(const std::string& id) {
     return "box/" + id;
 }
 
@@ -22,12 +22,12 @@
       settings_(settings),
       voice_({.refresh = Time{settings.age / 3}, .enough = settings.enough}, seed) {}
 
-Hearsay::Step Hearsay::tick(Time now, UnixMs unix_now, const std::vector<SeenBox>& boxes,
+Hearsay::Step Hearsay::tick(Time now, UnixMs unix_now, const std::vector<SeenServer>& servers,
                             const std::map<std::string, Entry>& entries,
                             const std::map<std::string, std::string>& alive) {
     Step step;
     const auto reports = reports_in(
-        entries, box_subject(""), unix_now, settings_.age,
+        entries, server_subject(""), unix_now, settings_.age,
         [&](const std::string& reporter) { return reporter != name_ && alive.contains(reporter); });
     const auto sayers = [&reports](const std::string& subject, const std::string& value) {
         const auto at = reports.find(subject);
@@ -39,12 +39,12 @@
     };
 
     std::map<std::string, std::string> wanted;
-    for (const auto& box : boxes) {
-        if ((!box.avoided && !box.leaving) || wanted.size() >= settings_.most_subjects)
+    for (const auto& server : servers) {
+        if ((!server.avoided && !server.leaving) || wanted.size() >= settings_.most_subjects)
             continue;
-        if (report_key(box_subject(box.id), name_).empty())
+        if (report_key(server_subject(server.id), name_).empty())
             continue;
-        wanted.emplace(box_subject(box.id), box.leaving ? drain_of(box) : "out");
+        wanted.emplace(server_subject(server.id), server.leaving ? drain_of(server) : "out");
     }
     voice_.spread(std::min(kLongestSpread, kSpreadPerMember * static_cast<Time::rep>(std::min<std::size_t>(
                                                                   alive.size(), 1'000))));
@@ -55,20 +55,20 @@
 
     std::map<std::string, std::pair<std::size_t, std::size_t>>
         by_zone;  // of usable ones: all, out by hearsay
-    std::vector<const SeenBox*> heard;
-    for (const auto& box : boxes) {
-        if (box.leaving)
+    std::vector<const SeenServer*> heard;
+    for (const auto& server : servers) {
+        if (server.leaving)
             continue;
-        auto& [all, out] = by_zone[box.zone];
+        auto& [all, out] = by_zone[server.zone];
         ++all;
         // Who keeps away from it by itself, or would say so in a moment, judges by itself.
-        if (box.avoided)
+        if (server.avoided)
             continue;
-        const auto subject = box_subject(box.id);
-        if (sayers(subject, "out") < settings_.quorum && sayers(subject, drain_of(box)) < settings_.quorum)
+        const auto subject = server_subject(server.id);
+        if (sayers(subject, "out") < settings_.quorum && sayers(subject, drain_of(server)) < settings_.quorum)
             continue;
         ++out;
-        heard.push_back(&box);
+        heard.push_back(&server);
     }
     std::set<std::string> panicked;
     for (const auto& [zone, count] : by_zone)
@@ -77,9 +77,9 @@
     for (const auto& zone : panicked)
         counts_.panics += panicked_.contains(zone) ? 0 : 1;
     panicked_ = std::move(panicked);
-    for (const auto* box : heard)
-        if (!panicked_.contains(box->zone))
-            step.out.insert(box->id);
+    for (const auto* server : heard)
+        if (!panicked_.contains(server->zone))
+            step.out.insert(server->id);
     for (const auto& id : step.out)
         counts_.held_out += out_.contains(id) ? 0 : 1;
     for (const auto& id : out_)
--- a/src/cluster/hearsay.h
+++ b/src/cluster/hearsay.h
@@ -1,25 +1,26 @@
-// What routers learned of boxes, shared: a box that others keep away from, or that others were told is
+// What routers learned of servers, shared: a server that others keep away from, or that others were told is
 // draining, is held out here too before this router has found out by itself.
 //
 // A state machine without I/O, clocks or threads. Rules (docs/design/replication.md says why):
 // - One router's word moves nobody: `quorum` independent reporters, alive in the view, within the age limit.
-// - Who reports a box judges it by itself: it goes on with its trials, and takes its word back when one
+// - Who reports a server judges it by itself: it goes on with its trials, and takes its word back when one
 //   succeeds.
-// - Where more than `most_share` of a zone's boxes would be out by hearsay, none of them is: that many at
+// - Where more than `most_share` of a zone's servers would be out by hearsay, none of them is: that many at
 // once
 //   is the zone's affair (failover), or the reporters' own.
-// - A drain holds only for the process that was told to drain: a box with another start is another process.
+// - A drain holds only for the process that was told to drain: a server with another start is another
+// process.
 #pragma once
 
 #include "cluster/voice.h"
 
 namespace silverrail::cluster {
 
-// What a report on the box is about; of an empty id: what all such subjects begin with.
-std::string box_subject(const std::string& id);
+// What a report on the server is about; of an empty id: what all such subjects begin with.
+std::string server_subject(const std::string& id);
 
-// A box as this router has it.
-struct SeenBox {
+// A server as this router has it.
+struct SeenServer {
     std::string id;
     std::string zone;
     std::int64_t started_ms = 0;  // as listed; 0: long ago
@@ -30,7 +31,7 @@
 struct HearsaySettings {
     UnixMs age = 10'000;  // a report counts for so long; said again each third of it
     std::size_t quorum = 2;
-    std::size_t enough = 4;  // reporters of a box; further ones add nothing
+    std::size_t enough = 4;  // reporters of a server; further ones add nothing
     double most_share = 0.5;
     std::size_t most_subjects = 512;  // told of at once by this router
 };
@@ -45,7 +46,7 @@
         bool changed = false;         // not the same ones as in the step before
     };
     // `alive`: the members alive, this one or not, by name; their zones are not looked at.
-    Step tick(Time now, UnixMs unix_now, const std::vector<SeenBox>& boxes,
+    Step tick(Time now, UnixMs unix_now, const std::vector<SeenServer>& servers,
               const std::map<std::string, Entry>& entries, const std::map<std::string, std::string>& alive);
 
     struct Counts {
--- a/src/cluster/members.cpp
+++ b/src/cluster/members.cpp
@@ -73,11 +73,11 @@
                  std::vector<std::string> seeds, Time now)
     : self_{std::move(self), start, 0, State::alive, {}},
       settings_(settings),
-      dice_(seed),
+      random_(seed),
       seeds_(std::move(seeds)),
       last_call_(now),
       // Members that start together would probe in step: the first probe falls anywhere in the first period.
-      next_probe_(now + within(dice_, settings.probe_interval)),
+      next_probe_(now + within(random_, settings.probe_interval)),
       next_push_(now),
       next_gossip_(now),
       next_recheck_(now) {
@@ -166,7 +166,7 @@
 // it costs two digests.
 void Members::soon(Time now) {
     const auto span = settings_.probe_interval;
-    next_push_ = std::min(next_push_, now + span / 2 + within(dice_, span));
+    next_push_ = std::min(next_push_, now + span / 2 + within(random_, span));
 }
 
 void Members::event(Event::Kind kind, const Record& record) {
@@ -187,7 +187,7 @@
     const auto limit = settings_.retransmit_mult * static_cast<std::size_t>(std::ceil(std::log10(n + 1)));
     const auto room =
         settings_.gossip_per_message - std::min(out.records.size(), settings_.gossip_per_message);
-    std::vector<std::pair<Rank, Record>> told;
+    std::vector<std::pair<RetentionPriority, Record>> told;
     for (auto it = rumours_.begin(); it != rumours_.end() && told.size() < room;) {
         if (!out.records.empty() && out.records.front().who.name == it->second.who.name) {
             ++it;  // the buddy's suspicion is in it already
@@ -196,13 +196,13 @@
         told.emplace_back(it->first, std::move(it->second));
         it = rumours_.erase(it);
     }
-    for (auto& [rank, record] : told) {
+    for (auto& [retention, record] : told) {
         out.records.push_back(record);
-        if (++rank.told >= std::max<std::size_t>(limit, 1)) {
+        if (++retention.told >= std::max<std::size_t>(limit, 1)) {
             ranks_.erase(record.who.name);
         } else {
-            ranks_[record.who.name] = rank;
-            rumours_.emplace(rank, std::move(record));
+            ranks_[record.who.name] = retention;
+            rumours_.emplace(retention, std::move(record));
         }
     }
 }
@@ -369,14 +369,14 @@
     };
     // Drawn from the round of probes, as a rule; looked for one by one only where that finds too few.
     for (std::size_t tries = 0; tries < 4 * n && !round_.empty() && out.size() < n; ++tries)
-        take(round_[dice_() % round_.size()]);
+        take(round_[random_() % round_.size()]);
     if (out.size() >= n)
         return out;
     std::vector<const std::string*> names;
     for (const auto& [name, member] : members_)
         if (member.record.state == State::alive)
             names.push_back(&name);
-    std::shuffle(names.begin(), names.end(), dice_);
+    std::shuffle(names.begin(), names.end(), random_);
     for (std::size_t i = 0; i < names.size() && out.size() < n; ++i)
         take(*names[i]);
     return out;
@@ -418,7 +418,7 @@
         for (const auto& [name, member] : members_)
             if (probeable(name))
                 round_.push_back(name);
-        std::shuffle(round_.begin(), round_.end(), dice_);
+        std::shuffle(round_.begin(), round_.end(), random_);
         next_ = 0;
     }
     if (round_.empty())
@@ -445,7 +445,7 @@
             suspects.push_back(&record);
     if (suspects.empty())
         return;
-    const Record& one = *suspects[dice_() % suspects.size()];
+    const Record& one = *suspects[random_() % suspects.size()];
     auto ping = message(Message::Kind::ping, ++seq_);
     ping.target = one.who.name;
     ping.records.push_back(one);
@@ -457,14 +457,14 @@
     if (const auto one = some(1, ""); !one.empty())
         to.push_back(one.front()->record.who.address);
     else if (!seeds_.empty())
-        to.push_back(seeds_[dice_() % seeds_.size()]);
+        to.push_back(seeds_[random_() % seeds_.size()]);
     // The way back from a partition: both halves hold the other dead, so one of those is asked too.
     std::vector<const std::string*> dead;
     for (const auto& name : waiting_)
         if (const auto& record = members_.at(name).record; record.state == State::dead)
             dead.push_back(&record.who.address);
     if (!dead.empty())
-        to.push_back(*dead[dice_() % dead.size()]);
+        to.push_back(*dead[random_() % dead.size()]);
     for (const auto& address : to) {
         if (address == self_.who.address)
             continue;
@@ -521,9 +521,9 @@
         } else {
             event(Event::Kind::forgotten, member.record);
             tally(member.record, false);
-            if (const auto rank = ranks_.find(*it); rank != ranks_.end()) {
-                rumours_.erase(rank->second);
-                ranks_.erase(rank);
+            if (const auto retention = ranks_.find(*it); retention != ranks_.end()) {
+                rumours_.erase(retention->second);
+                ranks_.erase(retention);
             }
             members_.erase(*it);
             it = waiting_.erase(it);
@@ -575,7 +575,7 @@
         // Alone, the seed did not answer or had no room: again soon. Else spread around the period, so that
         // members that started together do not stay in step.
         const auto span = members_.empty() ? settings_.probe_interval : settings_.push_pull_interval;
-        next_push_ = now + span * 3 / 4 + within(dice_, span / 2);
+        next_push_ = now + span * 3 / 4 + within(random_, span / 2);
     }
     return out;
 }
--- a/src/cluster/members.h
+++ b/src/cluster/members.h
@@ -219,10 +219,10 @@
         Time deadline{};
     };
     // Fewest told first, then the newest: the order in which rumours are piggybacked.
-    struct Rank {
+    struct RetentionPriority {
         std::size_t told = 0;
         std::uint64_t later = 0;  // counts down as rumours come in
-        auto operator<=>(const Rank&) const = default;
+        auto operator<=>(const RetentionPriority&) const = default;
     };
 
     Message message(Message::Kind kind, std::uint32_t seq);
@@ -253,14 +253,14 @@
 
     Record self_;
     Settings settings_;
-    std::mt19937_64 dice_;
+    std::mt19937_64 random_;
     std::vector<std::string> seeds_;
     std::map<std::string, Member> members_;
     std::set<std::string> waiting_;  // members with a deadline: suspect, dead, left
     std::array<std::size_t, 4> by_state_{};
     Digest digest_{};
-    std::map<Rank, Record> rumours_;
-    std::map<std::string, Rank> ranks_;  // where a member's rumour stands
+    std::map<RetentionPriority, Record> rumours_;
+    std::map<std::string, RetentionPriority> ranks_;  // where a member's rumour stands
     std::uint64_t later_ = UINT64_MAX;
     std::vector<std::string> round_;  // SWIM's shuffled round of probe targets
     std::size_t next_ = 0;
--- a/src/cluster/replica.cpp
+++ b/src/cluster/replica.cpp
@@ -96,8 +96,8 @@
       address_(std::move(address)),
       origin_(std::move(origin)),
       settings_(settings),
-      dice_(seed),
-      next_round_(now + within(dice_, settings.interval)) {
+      random_(seed),
+      next_round_(now + within(random_, settings.interval)) {
     origins_[origin_];
 }
 
@@ -440,7 +440,7 @@
     }
     if (std::exchange(heard_change_, false) && settings_.quick > Time{0}) {
         quick_until_ = now + kQuickFor;
-        next_round_ = std::min(next_round_, now + within(dice_, settings_.quick));
+        next_round_ = std::min(next_round_, now + within(random_, settings_.quick));
     }
     const auto news = std::exchange(news_, {});
     if (peers.empty())
@@ -449,7 +449,7 @@
         // Each to a few, drawn anew; who is missed is reached by the rounds.
         std::set<std::size_t> to;
         for (std::size_t i = 0; i < settings_.news_fanout; ++i)
-            to.insert(dice_() % peers.size());
+            to.insert(random_() % peers.size());
         for (const auto i : to) {
             auto m = message(ReplicaMessage::Kind::news);
             m.updates.push_back(update);
@@ -464,7 +464,7 @@
         ++counts_.rounds;
         auto sum = message(ReplicaMessage::Kind::sum);
         sum.summary = summary_;
-        out.push_back({peers[dice_() % peers.size()], std::move(sum)});
+        out.push_back({peers[random_() % peers.size()], std::move(sum)});
     }
     return out;
 }
--- a/src/cluster/replica.h
+++ b/src/cluster/replica.h
@@ -242,7 +242,7 @@
 
     std::string name_, address_, origin_;
     ReplicaSettings settings_;
-    std::mt19937_64 dice_;
+    std::mt19937_64 random_;
     std::map<std::string, Entry> entries_;
     std::map<std::string, Origin> origins_;
     Summary summary_{};
--- a/src/cluster/voice.cpp
+++ b/src/cluster/voice.cpp
@@ -42,7 +42,7 @@
         Said& said = at->second;
         if (fresh || said.value != value) {
             said.value = value;
-            said.due = now + (settings_.spread > Time{0} ? within(dice_, settings_.spread) : Time{0});
+            said.due = now + (settings_.spread > Time{0} ? within(random_, settings_.spread) : Time{0});
         }
         if (now < said.due)
             continue;
--- a/src/cluster/voice.h
+++ b/src/cluster/voice.h
@@ -48,7 +48,7 @@
         std::optional<std::string> value;  // none: taken back
         bool operator==(const Say&) const = default;
     };
-    Voice(Settings settings, std::uint64_t seed) : settings_(settings), dice_(seed) {}
+    Voice(Settings settings, std::uint64_t seed) : settings_(settings), random_(seed) {}
 
     void spread(Time spread) {
         settings_.spread = spread;
@@ -65,7 +65,7 @@
         bool told = false;  // is it out?
     };
     Settings settings_;
-    std::mt19937_64 dice_;
+    std::mt19937_64 random_;
     std::map<std::string, Said> said_;
 };
 
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-using winchflow::Span;
+using routing::Span;
 
 constexpr std::size_t kLongestFile = 64 * 1024 * 1024;
 
@@ -105,25 +105,27 @@
     std::string path_;
 };
 
-winchflow::ClassSettings parse_class(const Node& at, const Node& info, std::size_t index) {
-    using winchflow::Effect;
-    using winchflow::Scope;
-    winchflow::ClassSettings c;
+routing::ClassSettings parse_class(const Node& at, const Node& info, std::size_t index) {
+    using routing::Idempotency;
+    using routing::KeyScope;
+    routing::ClassSettings c;
     c.name = at.text("name");
-    c.aim = at.needed_span("aim");
-    c.aim_stretch = at.number_or("aim-stretch", 0);
+    c.latency_objective = at.needed_span("aim");
+    c.objective_stretch = at.number_or("aim-stretch", 0);
     c.give_up = at.needed_span("give-up");
-    c.worth = at.number_or("worth", 1);
-    c.late_worth = at.number_or("late-worth", 0);
-    c.effect = at.one_of<Effect>(
-        "effect", at.text("effect"),
-        {{"pure", Effect::pure}, {"token", Effect::keyed}, {"side_effect", Effect::unsafe}});
-    c.scope = at.one_of<Scope>("group", at.text_or("group", "cell"),
-                               {{"all", Scope::all}, {"zone", Scope::zone}, {"cell", Scope::cell}});
+    c.priority_weight = at.number_or("worth", 1);
+    c.late_weight = at.number_or("late-worth", 0);
+    c.idempotency = at.one_of<Idempotency>("effect", at.text("effect"),
+                                           {{"pure", Idempotency::idempotent},
+                                            {"token", Idempotency::keyed},
+                                            {"side_effect", Idempotency::none}});
+    c.key_scope =
+        at.one_of<KeyScope>("group", at.text_or("group", "cell"),
+                            {{"all", KeyScope::all}, {"zone", KeyScope::zone}, {"cell", KeyScope::cell}});
     c.window = at.span("window");
     c.max_age = Span{static_cast<Span::rep>(info.item("max-age", index))};
     c.grace = Span{static_cast<Span::rep>(info.item("class-grace", index))};
-    c.stale_worth = info.item("stale-earns", index);
+    c.stale_weight = info.item("stale-earns", index);
     c.segmented = info.item("segmented", index) != 0;
     c.uncached = info.item("uncached", index) != 0;
     return c;
@@ -136,14 +138,14 @@
                                                                       : std::string{};
 }
 
-winchflow::Settings parse_settings(const Node& at) {
-    using winchflow::Detail;
-    using winchflow::Weights;
+routing::Settings parse_settings(const Node& at) {
+    using routing::OutcomeDetail;
+    using routing::ServerWeights;
     const Json::Value none{Json::objectValue};
     const Node info = at.has("family-info") ? at.child("family-info") : Node{none, "family-info"};
     const Node allowed = at.child("allowed");
     const Node rules = at.child("invariants");
-    winchflow::Settings s;
+    routing::Settings s;
     const auto& classes = at.list("classes");
     if (classes.empty() || classes.size() > 1000)
         throw ConfigError("settings.classes: expected 1 to 1000");
@@ -155,35 +157,36 @@
     for (Json::ArrayIndex i = 0; i < zones.size(); ++i)
         if (zones[i] == s.zone)
             zone = i;
-    s.gateways = std::max(1, static_cast<int>(at.number_or("balancers", 1)));
+    s.routers = std::max(1, static_cast<int>(at.number_or("balancers", 1)));
     const int here = static_cast<int>(info.item("zone-balancers", zone));
-    s.gateways_in_zone = here > 0 ? here : s.gateways;
+    s.routers_in_zone = here > 0 ? here : s.routers;
     s.zone_link_kb_per_s = info.item("pipe-kb-per-s", zone);
     s.parent_kind = kind_at(at, info, "second-tier-kind");
     s.origin_kind = kind_at(at, info, "origin-kind");
-    s.weights = at.one_of<Weights>("weights", at.text_or("weights", "off"),
-                                   {{"off", Weights::none},
-                                    {"nominal", Weights::nominal},
-                                    {"rough", Weights::nominal},
-                                    {"live", Weights::live}});
+    s.server_weights = at.one_of<ServerWeights>("weights", at.text_or("weights", "off"),
+                                                {{"off", ServerWeights::none},
+                                                 {"nominal", ServerWeights::nominal},
+                                                 {"rough", ServerWeights::nominal},
+                                                 {"live", ServerWeights::live}});
     s.flow_kb_per_s = info.number_or("one-flow-kb-per-s", 0);
-    s.detail = info.one_of<Detail>("detail", info.text_or("detail", "off"),
-                                   {{"off", Detail::off}, {"hit", Detail::hit}, {"all", Detail::all}});
-    s.may_cancel = allowed.flag("cancel");
+    s.outcome_detail = info.one_of<OutcomeDetail>(
+        "detail", info.text_or("detail", "off"),
+        {{"off", OutcomeDetail::off}, {"hit", OutcomeDetail::hit}, {"all", OutcomeDetail::all}});
+    s.cancellation_supported = allowed.flag("cancel");
     s.retry_after = allowed.flag("retry-after");
     s.direct = info.flag("bypass-allowed");
     s.joins = info.flag("shares-fills");
     s.max_retry_after = allowed.span("max-retry-after");
-    s.attempt_limit = std::max(1, static_cast<int>(allowed.number_or("try-limit", 1)));
-    s.heed_within = info.span("heed-within");
-    s.cleared_within = info.span("cleared-within");
-    s.cold_from = rules.number_or("cold-from", 0);
-    s.cold_for = rules.span("cold");
-    s.tip_multiple = rules.number_or("tip-multiple", 1);
-    s.tip_window = rules.span("fall");
-    s.parent_cold_from = info.number_or("upper-cold-from", 0);
-    s.parent_cold_for = info.span("parent-warms-in");
-    s.parent_tip_multiple = info.number_or("parent-limit-factor", 1);
+    s.max_attempts = std::max(1, static_cast<int>(allowed.number_or("try-limit", 1)));
+    s.purge_effective_within = info.span("heed-within");
+    s.purge_complete_within = info.span("cleared-within");
+    s.slow_start_share = rules.number_or("cold-from", 0);
+    s.slow_start_duration = rules.span("cold");
+    s.overload_multiple = rules.number_or("tip-multiple", 1);
+    s.overload_window = rules.span("fall");
+    s.parent_slow_start_share = info.number_or("upper-cold-from", 0);
+    s.parent_slow_start_duration = info.span("parent-warms-in");
+    s.parent_overload_multiple = info.number_or("parent-limit-factor", 1);
     return s;
 }
 
@@ -232,7 +235,7 @@
     c.name = root.text_or("name", "");
     c.listen = root.text("listen");
     c.control = root.text_or("control", "");
-    c.bulletin = root.text_or("bulletin", "");
+    c.discovery = root.text_or("bulletin", "");
     const auto seed = parse_hex(root.text_or("seed", "1"));
     if (!seed)
         throw ConfigError("seed: expected up to 16 hex digits");
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "config/bulletin_event.h"
-#include "winchflow/router.h"
+#include "config/discovery_event.h"
+#include "silverrail/routing/router.h"
 
 namespace silverrail::config {
 
@@ -18,19 +18,19 @@
 
 struct Config {
     std::string name;
-    std::string listen;    // address:port
-    std::string control;   // address:port; empty: no second address
-    std::string bulletin;  // address:port
+    std::string listen;     // address:port
+    std::string control;    // address:port; empty: no second address
+    std::string discovery;  // address:port
     std::uint64_t seed = 0;
     std::size_t sockets = 1024;
     std::size_t memory_mb = 0;    // 0: not told
     double flow_bytes_per_s = 0;  // of copies of its own: one transfer at most; 0: not told
     double link_bytes_per_s = 0;  // and all together
-    winchflow::Span connect_timeout{};
-    winchflow::Span conn_idle{};  // after that the other side closes an idle connection
-    std::int64_t known_no = 0;    // the last event of `known`
+    routing::Span connect_timeout{};
+    routing::Span conn_idle{};  // after that the other side closes an idle connection
+    std::int64_t known_no = 0;  // the last event of `known`
     std::vector<Json::Value> known;
-    winchflow::Settings settings;
+    routing::Settings settings;
     Json::Value root;  // as read, less `known`
 };
 
@@ -38,8 +38,8 @@
 Config parse_config(const Json::Value& root);
 Config load_config(const std::string& path);
 
-// The settings, by name, that differ in `fresh` and take a restart: all but the bulletin's address. What is
-// known so far is no setting; the bulletin itself tells what has come since.
+// The settings, by name, that differ in `fresh` and take a restart: all but discovery's address. What is
+// known so far is no setting; discovery itself tells what has come since.
 std::vector<std::string> need_restart(const Config& running, const Config& fresh);
 
 // address:port
--- a/src/config/bulletin_event.cpp
+++ b/src/config/discovery_event.cpp
@@ -1,4 +1,4 @@
-#include "config/bulletin_event.h"
+#include "config/discovery_event.h"
 
 #include <algorithm>
 #include <charconv>
@@ -7,9 +7,9 @@
 
 namespace {
 
-using winchflow::Condition;
+using routing::Condition;
 
-constexpr Json::ArrayIndex kMostBoxes = 4096;
+constexpr Json::ArrayIndex kMostServers = 4096;
 
 std::optional<Condition> condition_of(const std::string& state) {
     if (state == "active")
@@ -34,21 +34,21 @@
     return json[key].isString() ? json[key].asString() : std::string{};
 }
 
-std::optional<core::Box> parse_box(const Json::Value& json) {
+std::optional<core::Server> parse_server(const Json::Value& json) {
     const auto condition = condition_of(text(json, "state"));
-    core::Box box;
-    box.entry.id = winchflow::CacheId{text(json, "id")};
-    box.address = text(json, "addr");
-    if (!condition || box.entry.id.address.empty())
+    core::Server server;
+    server.entry.id = routing::ServerId{text(json, "id")};
+    server.address = text(json, "addr");
+    if (!condition || server.entry.id.address.empty())
         return std::nullopt;
-    box.entry.condition = *condition;
-    box.entry.zone = text(json, "zone");
-    box.entry.kind = text(json, "kind");
-    box.entry.cell = winchflow::CellId{integer(json, "cell")};
+    server.entry.condition = *condition;
+    server.entry.zone = text(json, "zone");
+    server.entry.kind = text(json, "kind");
+    server.entry.cell = routing::CellId{integer(json, "cell")};
     if (json["weight"].isNumeric())
-        box.entry.weight = json["weight"].asDouble();
-    box.started_ms = integer(json, "started_ms");
-    return box;
+        server.entry.weight = json["weight"].asDouble();
+    server.started_ms = integer(json, "started_ms");
+    return server;
 }
 
 }  // namespace
@@ -63,22 +63,22 @@
     return id;
 }
 
-std::optional<BulletinEvent> parse_event(const Json::Value& json) {
+std::optional<DiscoveryEvent> parse_event(const Json::Value& json) {
     if (!json.isObject())
         return std::nullopt;
-    BulletinEvent event;
+    DiscoveryEvent event;
     event.no = integer(json, "no");
     if (const Json::Value& roster = json["roster"]; roster.isObject()) {
-        core::BoxChange change;
+        core::ServerChange change;
         change.complete = roster["full"].isBool() && roster["full"].asBool();
         const Json::Value& servers = roster["servers"];
-        if (!servers.isArray() || servers.size() > kMostBoxes)
+        if (!servers.isArray() || servers.size() > kMostServers)
             return std::nullopt;
-        for (const Json::Value& server : servers) {
-            if (!server.isObject())
+        for (const Json::Value& item : servers) {
+            if (!item.isObject())
                 return std::nullopt;
-            if (auto box = parse_box(server))
-                change.boxes.push_back(std::move(*box));
+            if (auto server = parse_server(item))
+                change.servers.push_back(std::move(*server));
         }
         event.what = std::move(change);
         return event;
@@ -89,11 +89,11 @@
             const auto object = parse_hex(recall["item"].asString());
             if (!object)
                 return std::nullopt;
-            purge.object = winchflow::ObjectId{*object};
+            purge.object = routing::ObjectId{*object};
         } else if (!recall["lot"].isIntegral()) {
             return std::nullopt;
         }
-        purge.group = winchflow::GroupId{static_cast<std::uint64_t>(integer(recall, "lot"))};
+        purge.group = routing::GroupId{static_cast<std::uint64_t>(integer(recall, "lot"))};
         purge.issued_ms = integer(recall, "issued");
         event.what = purge;
         return event;
--- a/src/config/operator.cpp
+++ b/src/config/operator.cpp
@@ -13,8 +13,8 @@
 
 constexpr std::size_t kLongestFile = 1024 * 1024;
 
-// Rule 3 (drains): a box may be named in a cache for 2 s after it was said to drain. Half of that is kept for
-// the answer's way, so more than a second is not to be had.
+// Rule 3 (drains): a server may be named in a cache for 2 s after it was said to drain. Half of that is kept
+// for the answer's way, so more than a second is not to be had.
 constexpr std::int64_t kLongestTtl = 1;
 
 std::string endpoint(Section& s, const char* key) {
--- a/src/config/operator.h
+++ b/src/config/operator.h
@@ -17,7 +17,7 @@
     std::string server_address;  // its address, for its own A or AAAA
     std::string mailbox;
     std::uint32_t ttl_s = 1;
-    winchflow::Span deadline = std::chrono::seconds{1};
+    routing::Span deadline = std::chrono::seconds{1};
     bool on() const {
         return !udp.empty() || !tcp.empty() || !tls.empty();
     }
@@ -75,7 +75,7 @@
     std::int64_t replica_ms = 1000;
     std::int64_t tombstone_keep_ms = 86'400'000;
     std::int64_t hearsay_ms =
-        10'000;  // what others learned of boxes counts for so long; 0: nothing is shared
+        10'000;  // what others learned of servers counts for so long; 0: nothing is shared
     cluster::FailoverSettings failover;  // no zones: off
     bool on() const {
         return !bind.empty();
--- a/src/copies/copies.cpp
+++ b/src/copies/copies.cpp
@@ -50,8 +50,9 @@
     if (of.max_age > Span{} && unix_ms + kAgeMarginMs >= copy->made_ms + ms(of.max_age))
         return std::nullopt;
     const double bytes = bytes_to_send(call, *copy);
-    const auto aim = of.aim + std::chrono::duration_cast<Span>(of.aim_stretch * link_.alone(bytes));
-    if (link_.finish(bytes, now) > kOfAim * aim)
+    const auto latency_objective =
+        of.latency_objective + std::chrono::duration_cast<Span>(of.objective_stretch * link_.alone(bytes));
+    if (link_.finish(bytes, now) > kOfAim * latency_objective)
         return std::nullopt;
     return serve(call, *copy, now, false);
 }
--- a/src/copies/copies.h
+++ b/src/copies/copies.h
@@ -35,7 +35,7 @@
 
 class Copies {
 public:
-    Copies(const std::vector<winchflow::ClassSettings>& classes, Limits limits)
+    Copies(const std::vector<routing::ClassSettings>& classes, Limits limits)
         : classes_(classes), link_(limits.link), store_(limits.on() ? limits.bytes : 0), on_(limits.on()) {}
 
     // Guards rule 5 (no purged copy): caches drop what was purged by themselves, this store only what it is
@@ -44,7 +44,7 @@
         sure_ = surely;
     }
 
-    // Keeps what came from a box. `purged_ms`: when its object or group was last purged, 0 for never.
+    // Keeps what came from a server. `purged_ms`: when its object or group was last purged, 0 for never.
     void keep(const Wanted& call, std::string_view body, std::string_view tag, std::int64_t made_ms,
               std::int64_t purged_ms);
     // A fresh copy that is through within the call's aim.
@@ -71,7 +71,7 @@
     double bytes_to_send(const Wanted& call, const Copy& copy) const;
     Served serve(const Wanted& call, const Copy& copy, Time now, bool stale);
 
-    const std::vector<winchflow::ClassSettings>& classes_;
+    const std::vector<routing::ClassSettings>& classes_;
     OwnLink link_;
     Store store_;
     bool on_;
--- a/src/copies/own_link.h
+++ b/src/copies/own_link.h
@@ -2,12 +2,12 @@
 // answers, and one alone runs no faster than its own bound. No clock: time comes in.
 #pragma once
 
-#include "winchflow/router.h"
+#include "silverrail/routing/router.h"
 
 namespace silverrail::copies {
 
-using winchflow::Span;
-using winchflow::Time;
+using routing::Span;
+using routing::Time;
 
 struct LinkRates {
     double flow_bytes_per_s = 0;  // one transfer, at most
--- a/src/copies/store.h
+++ b/src/copies/store.h
@@ -10,12 +10,12 @@
 #include <set>
 #include <string>
 
-#include "winchflow/router.h"
+#include "silverrail/routing/router.h"
 
 namespace silverrail::copies {
 
-using winchflow::GroupId;
-using winchflow::ObjectId;
+using routing::GroupId;
+using routing::ObjectId;
 
 struct Key {
     ObjectId object{};
--- a/src/core/book.cpp
+++ b/src/core/book.cpp
@@ -4,18 +4,18 @@
 
 namespace silverrail::core {
 
-winchflow::Outcome Book::outcome(const AttemptKey& key, const AttemptEnd& end, const OpenAttempt& attempt,
-                                 bool over, Time now) {
-    const auto at = static_cast<std::size_t>(end.ending);
+routing::Outcome Book::outcome(const AttemptKey& key, const AttemptEnd& end, const OpenAttempt& attempt,
+                               bool over, Time now) {
+    const auto at = static_cast<std::size_t>(end.attempt_status);
     if (at < counters_.endings.size())
         ++counters_.endings[at];
-    winchflow::Outcome o;
+    routing::Outcome o;
     o.request = key.request;
     o.attempt = key.attempt;
-    o.ending = end.ending;
+    o.attempt_status = end.attempt_status;
     o.took = std::max(Span{}, now - attempt.sent);
     o.over = over;
-    o.note = end.note;
+    o.cache_status = end.cache_status;
     o.source_wait = end.source_wait;
     o.load = end.load;
     return o;
--- a/src/core/book.h
+++ b/src/core/book.h
@@ -9,8 +9,8 @@
 class Book {
 public:
     explicit Book(Counters& counters) : counters_(counters) {}
-    winchflow::Outcome outcome(const AttemptKey& key, const AttemptEnd& end, const OpenAttempt& attempt,
-                               bool over, Time now);
+    routing::Outcome outcome(const AttemptKey& key, const AttemptEnd& end, const OpenAttempt& attempt,
+                             bool over, Time now);
 
 private:
     Counters& counters_;
--- a/src/core/counters.cpp
+++ b/src/core/counters.cpp
@@ -9,8 +9,8 @@
                                     "reset", "cancelled", "not_sent", "miss", "unseen"};
 }
 
-const char* Counters::name_of(Ending ending) {
-    return kEndings[static_cast<std::size_t>(ending)];
+const char* Counters::name_of(AttemptStatus attempt_status) {
+    return kEndings[static_cast<std::size_t>(attempt_status)];
 }
 
 std::uint64_t Counters::all_violations() const {
@@ -35,7 +35,7 @@
     put("unchanged", unchanged);
     put("own_fresh", own_fresh);
     put("own_stale", own_stale);
-    put("referred", referred);
+    put("referred", redirected);
     put("not_carried", not_carried);
     put("refused", refused);
     put("failed", failed);
--- a/src/core/counters.h
+++ b/src/core/counters.h
@@ -23,7 +23,7 @@
     std::uint64_t unchanged = 0;
     std::uint64_t own_fresh = 0;    // of those, answered from a copy of its own
     std::uint64_t own_stale = 0;    // and past its fresh time, in place of a refusal
-    std::uint64_t referred = 0;     // named to a client that goes there by itself
+    std::uint64_t redirected = 0;   // named to a client that goes there by itself
     std::uint64_t not_carried = 0;  // refused: the send needs more than a name
     std::uint64_t refused = 0;
     std::uint64_t failed = 0;
@@ -36,11 +36,11 @@
     std::uint64_t open = 0;
     std::array<std::uint64_t, kHeldReasons> held{};       // of held_at_first_byte, by reason
     std::array<std::uint64_t, kViolations> violations{};  // seen by the guard, by rule
-    std::array<std::uint64_t, 10> endings{};              // by winchflow::Ending
-    std::uint64_t backend_calls = 0;                      // attempts written whole to a box
+    std::array<std::uint64_t, 10> endings{};              // by routing::AttemptStatus
+    std::uint64_t backend_calls = 0;                      // attempts written whole to a server
     // Computed when asked.
     std::uint64_t inflight = 0;      // of `open`, those without their answer
-    std::uint64_t hosts_listed = 0;  // boxes that the list names and has not given up
+    std::uint64_t hosts_listed = 0;  // servers that the list names and has not given up
     std::uint64_t hosts_down = 0;    // of those, the ones avoided now
     struct ByClass {
         std::string name;
@@ -50,7 +50,7 @@
     };
     std::vector<ByClass> classes;  // in the order of the settings
 
-    static const char* name_of(Ending ending);
+    static const char* name_of(AttemptStatus attempt_status);
     std::uint64_t all_violations() const;
     std::string text() const;  // one "name value" a line
 };
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -19,16 +19,16 @@
 constexpr Span kJustTaken = std::chrono::milliseconds{2};
 constexpr std::size_t kMostZones = 64;  // that sends are counted for
 
-using winchflow::Condition;
+using routing::Condition;
 
-// The core gives each box the weight that counts, so that a share of a zone can be told as a part of it.
-winchflow::Settings weighted(winchflow::Settings settings) {
-    settings.weights = winchflow::Weights::nominal;
+// The core gives each server the weight that counts, so that a share of a zone can be told as a part of it.
+routing::Settings weighted(routing::Settings settings) {
+    settings.server_weights = routing::ServerWeights::nominal;
     return settings;
 }
 }  // namespace
 
-Engine::Engine(winchflow::Settings settings, std::uint64_t seed, std::size_t most_open, const Clock& clock,
+Engine::Engine(routing::Settings settings, std::uint64_t seed, std::size_t most_open, const Clock& clock,
                Timers& timers, AttemptSender& sender, Log& log)
     : settings_(std::move(settings)),
       clock_(clock),
@@ -36,7 +36,7 @@
       sender_(sender),
       log_(log),
       fleet_(settings_),
-      purges_(settings_.cleared_within + settings_.heed_within + std::chrono::seconds{1},
+      purges_(settings_.purge_complete_within + settings_.purge_effective_within + std::chrono::seconds{1},
               longest_deadline(settings_)),
       take_in_(settings_),
       admit_(most_open),
@@ -60,12 +60,12 @@
     Call call;
     call.class_name = name;
     const auto index = take_in_.class_of(call);
-    return !index || settings_.classes[*index].effect != winchflow::Effect::pure;
+    return !index || settings_.classes[*index].idempotency != routing::Idempotency::idempotent;
 }
 
 bool Engine::lists_address(bool v6) const {
-    return fleet_.any([&](const Box& box) {
-        return box.entry.zone == settings_.zone && (box.address.find('[') != std::string::npos) == v6;
+    return fleet_.any([&](const Server& server) {
+        return server.entry.zone == settings_.zone && (server.address.find('[') != std::string::npos) == v6;
     });
 }
 
@@ -78,9 +78,9 @@
         counters_.violations[i] = guard_.violations(static_cast<Violation>(i));
     counters_.inflight = static_cast<std::uint64_t>(
         std::count_if(open_.begin(), open_.end(), [](const auto& e) { return !e.second.answered(); }));
-    counters_.hosts_listed = fleet_.count_listed([](const Box&) { return true; });
+    counters_.hosts_listed = fleet_.count_listed([](const Server&) { return true; });
     counters_.hosts_down = fleet_.count_listed(
-        [&](const Box& box) { return fleet_.kept_out(box) || route_.avoids(box.entry.id); });
+        [&](const Server& server) { return fleet_.kept_out(server) || route_.avoids(server.entry.id); });
     return counters_;
 }
 
@@ -153,9 +153,9 @@
     let_go(id);
 }
 
-// The module has nothing more to do for it, and what is still out serves nobody: given up at the box too.
+// The module has nothing more to do for it, and what is still out serves nobody: given up at the server too.
 void Engine::let_go(RequestId id) {
-    tell(winchflow::Abandoned{id});
+    tell(routing::ClientClosed{id});
     withdraw(id);
     drop_if_done(id);
 }
@@ -165,7 +165,7 @@
         const auto at = open_.find(id);
         if (at == open_.end() || i >= at->second.attempts.size())
             return;
-        act(winchflow::Cancel{id, i});
+        act(routing::Cancel{id, i});
     }
 }
 
@@ -174,40 +174,40 @@
     return unix_time_;
 }
 
-void Engine::apply(BoxChange change, Span oldest) {
+void Engine::apply(ServerChange change, Span oldest) {
     ++counters_.lists;
     const Time now = clock_.now();
-    for (Box& box : change.boxes)
-        if (box.started_ms > 0)
-            box.entry.up_since = started(box, now, oldest);
-    for (const CacheId& id : fleet_.apply(change, now))
+    for (Server& server : change.servers)
+        if (server.started_ms > 0)
+            server.entry.started_at = started(server, now, oldest);
+    for (const ServerId& id : fleet_.apply(change, now))
         sender_.forget(id);
     tell_list(change);
 }
 
 // Guards rule 4 (cold starts): a start counts from the same moment however often it is told, and from its
 // telling where its age can't be right.
-Time Engine::started(const Box& box, Time now, Span oldest) {
-    const Box* known = fleet_.find(box.entry.id);
-    if (known && known->started_ms == box.started_ms && known->entry.up_since)
-        return *known->entry.up_since;
-    const Span age = unix_time(now).least_age(now, box.started_ms);
+Time Engine::started(const Server& server, Time now, Span oldest) {
+    const Server* known = fleet_.find(server.entry.id);
+    if (known && known->started_ms == server.started_ms && known->entry.started_at)
+        return *known->entry.started_at;
+    const Span age = unix_time(now).least_age(now, server.started_ms);
     const bool plausible = oldest >= Span::max() - kLongestStart || age <= oldest + kLongestStart;
     if (!plausible)
         ++counters_.clock_doubts;
     return plausible ? now - age : now;
 }
 
-bool Engine::lists(const CacheId& id) const {
-    const Box* box = fleet_.find(id);
-    return box && box->entry.condition != winchflow::Condition::gone;
+bool Engine::lists(const ServerId& id) const {
+    const Server* server = fleet_.find(id);
+    return server && server->entry.condition != routing::Condition::gone;
 }
 
 void Engine::set_bans(const members::Bans& bans) {
     restate([&] { fleet_.set_bans(bans); });
 }
 
-void Engine::hold_out(std::set<CacheId> ids) {
+void Engine::hold_out(std::set<ServerId> ids) {
     restate([&] { fleet_.hold_out(std::move(ids)); });
 }
 
@@ -215,40 +215,40 @@
     restate([&] { fleet_.steer(steering); });
 }
 
-// Tells the module of every box that it is to see otherwise than before, whatever the list says of it.
+// Tells the module of every server that it is to see otherwise than before, whatever the list says of it.
 void Engine::restate(const std::function<void()>& change) {
-    std::map<CacheId, winchflow::ListedCache> before;
-    for (const auto& [id, box] : fleet_.boxes())
-        before.emplace(id, fleet_.entry(box));
+    std::map<ServerId, routing::ListedServer> before;
+    for (const auto& [id, server] : fleet_.servers())
+        before.emplace(id, fleet_.entry(server));
     change();
-    BoxChange told;
-    for (const auto& [id, box] : fleet_.boxes()) {
+    ServerChange told;
+    for (const auto& [id, server] : fleet_.servers()) {
         const auto& was = before.at(id);
-        const auto is = fleet_.entry(box);
+        const auto is = fleet_.entry(server);
         const bool out = is.condition != was.condition && is.condition != Condition::ready;
         const bool back = is.condition != was.condition && is.condition == Condition::ready;
         if (!out && !back && is.zone == was.zone && is.weight == was.weight)
             continue;
         if (out)
             sender_.forget(id);
-        told.boxes.push_back(box);
+        told.servers.push_back(server);
         // Guards rule 4: out, it may have been restarted, whatever the list says of its start.
         if (back)
-            told.boxes.back().entry.up_since = clock_.now();
+            told.servers.back().entry.started_at = clock_.now();
     }
-    if (!told.boxes.empty())
+    if (!told.servers.empty())
         tell_list(told);
 }
 
-void Engine::each_box(const std::function<void(const Box&, bool avoided)>& see) const {
-    for (const auto& [id, box] : fleet_.boxes())
-        see(box, route_.avoids(id));
+void Engine::each_server(const std::function<void(const Server&, bool avoided)>& see) const {
+    for (const auto& [id, server] : fleet_.servers())
+        see(server, route_.avoids(id));
 }
 
-void Engine::tell_list(const BoxChange& change) {
-    winchflow::CacheList list{change.complete, {}};
-    for (const Box& box : change.boxes)
-        list.caches.push_back(fleet_.entry(box));
+void Engine::tell_list(const ServerChange& change) {
+    routing::ServerList list{change.complete, {}};
+    for (const Server& server : change.servers)
+        list.caches.push_back(fleet_.entry(server));
     origin_.change = &change;
     tell(std::move(list));
     origin_ = {};
@@ -270,36 +270,36 @@
     purges_.add(purge, now);
     hold_.purge(purge);
     origin_.purge = &purge;
-    tell(winchflow::Purge{purge.object, purge.group, age});
+    tell(routing::Purge{purge.object, purge.group, age});
     origin_ = {};
 }
 
 // Events that arise while the module is being told of one wait for their turn.
-void Engine::tell(winchflow::Event event) {
+void Engine::tell(routing::Event event) {
     events_.push_back(std::move(event));
     if (std::exchange(telling_, true))
         return;
     while (!events_.empty()) {
-        const winchflow::Event next = std::move(events_.front());
+        const routing::Event next = std::move(events_.front());
         events_.pop_front();
         const auto actions = route_.tell(next, clock_.now());
         if (observer_)
             observe(next, actions);
         for (const auto& action : actions)
             std::visit([this](const auto& a) { act(a); }, action);
-        if (const auto* outcome = std::get_if<winchflow::Outcome>(&next))
+        if (const auto* outcome = std::get_if<routing::Outcome>(&next))
             drop_if_done(outcome->request);
     }
     telling_ = false;
 }
 
-void Engine::observe(const winchflow::Event& event, const std::vector<winchflow::Action>& actions) {
+void Engine::observe(const routing::Event& event, const std::vector<routing::Action>& actions) {
     Origin origin = origin_;
     origin.calls = &open_;
     observer_->told(event, route_.last(), actions, origin);
 }
 
-void Engine::act(const winchflow::Send& send) {
+void Engine::act(const routing::Send& send) {
     auto at = open_.find(send.request);
     if (at == open_.end())
         return;
@@ -310,22 +310,22 @@
     open.attempts.push_back({.sent = now});
     auto order = send_.order(send, open, attempt, now);
     if (!order || open.answered() || now >= order->give_up) {
-        ended(key, {.ending = Ending::not_sent});
+        ended(key, {.attempt_status = AttemptStatus::not_sent});
         return;
     }
     // Guards rule 2 (no repeated effect) and the limits of attempts, whatever was decided.
     if (!guard_.start(key)) {
         tell_of_violation();
-        ended(key, {.ending = Ending::not_sent});
+        ended(key, {.attempt_status = AttemptStatus::not_sent});
         return;
     }
     if (attempt > 0)
         tell_why("retry", open);
-    if (open.call->referred)
+    if (open.call->redirected)
         return refer(open, *order);
     ++counters_.sent;
-    const Box* target = fleet_.find(order->target);
-    if (target && fleet_.is_cache(*target) && target->entry.zone != fleet_.zone() &&
+    const Server* target = fleet_.find(order->target);
+    if (target && fleet_.is_cache_server(*target) && target->entry.zone != fleet_.zone() &&
         (sent_away_.size() < kMostZones || sent_away_.contains(target->entry.zone)))
         ++sent_away_[target->entry.zone];
     open.attempts.back().timer = timers_.at(order->give_up, [this, key] { timed_out(key); });
@@ -333,17 +333,17 @@
     sender_.start(std::move(*order), *this);
 }
 
-// The client goes to the box by itself: nobody here will see how that ends, and the module is told so.
+// The client goes to the server by itself: nobody here will see how that ends, and the module is told so.
 void Engine::refer(OpenCall& open, const Order& order) {
     const auto address = send_.referral(order, settings_.parent_kind, clock_.now());
     const AttemptKey key = order.key;
     if (!address)
         ++counters_.not_carried;
-    answer(open, address ? Relay::referred(*address) : Relay::refused(kNotCarriedHoldOff, false));
-    ended(key, {.ending = Ending::unseen});
+    answer(open, address ? Relay::redirected(*address) : Relay::refused(kNotCarriedHoldOff, false));
+    ended(key, {.attempt_status = AttemptStatus::unobserved});
 }
 
-void Engine::act(const winchflow::Cancel& cancel) {
+void Engine::act(const routing::Cancel& cancel) {
     auto at = open_.find(cancel.request);
     if (at == open_.end() || cancel.attempt >= at->second.attempts.size())
         return;
@@ -352,10 +352,10 @@
     ++counters_.cancelled;
     const AttemptKey key{cancel.request, cancel.attempt};
     sender_.cancel(key);
-    ended(key, {.ending = Ending::cancelled});
+    ended(key, {.attempt_status = AttemptStatus::cancelled});
 }
 
-void Engine::act(const winchflow::Refuse& refuse) {
+void Engine::act(const routing::Reject& refuse) {
     auto at = open_.find(refuse.request);
     if (at == open_.end())
         return;
@@ -367,15 +367,15 @@
     finish(refuse.request, Relay::refused(refuse.retry_after, now >= open.call->deadline));
 }
 
-void Engine::act(const winchflow::Fail& fail) {
+void Engine::act(const routing::Fail& fail) {
     auto at = open_.find(fail.request);
     if (at == open_.end())
         return;
     finish(fail.request, Relay::failed(clock_.now() >= at->second.call->deadline));
 }
 
-void Engine::act(const winchflow::SetTimer& timer) {
-    timers_.at(clock_.now() + timer.after, [this, id = timer.id] { tell(winchflow::Timer{id}); });
+void Engine::act(const routing::SetTimer& timer) {
+    timers_.at(clock_.now() + timer.after, [this, id = timer.id] { tell(routing::Timer{id}); });
 }
 
 std::optional<Span> Engine::before_first_byte(const AttemptKey& key) {
@@ -446,11 +446,11 @@
         return;
     attempt.out = false;
     attempt.order.reset();
-    open.last_ending = end.ending;
-    guard_.ended(key, end.ending);
+    open.last_ending = end.attempt_status;
+    guard_.ended(key, end.attempt_status);
     if (attempt.timer)
         timers_.cancel(std::exchange(attempt.timer, 0));
-    const bool good = end.ending == Ending::good;
+    const bool good = end.attempt_status == AttemptStatus::success;
     const Time now = clock_.now();
     (void)unix_time(now);
     if (end.made_ms > 0)
@@ -470,7 +470,7 @@
     if (!at->second.attempts[key.attempt].out)
         return;
     sender_.cancel(key);
-    ended(key, {.ending = Ending::late});
+    ended(key, {.attempt_status = AttemptStatus::timeout});
 }
 
 // Guards rule 1 (every request answered): a call that the module still holds at its deadline.
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -22,7 +22,7 @@
 
 class Engine : private AttemptEvents {
 public:
-    Engine(winchflow::Settings settings, std::uint64_t seed, std::size_t most_open, const Clock& clock,
+    Engine(routing::Settings settings, std::uint64_t seed, std::size_t most_open, const Clock& clock,
            Timers& timers, AttemptSender& sender, Log& log);
 
     // From here on copies of its own answer calls, where the limits are on. Not before told_of_purges(true).
@@ -50,7 +50,7 @@
 
     // News from discovery, in its order. `oldest`: how long ago they can have come about at most, by when
     // discovery was last heard to the end; more than that is taken for a clock that is wrong.
-    void apply(BoxChange change, Span oldest = Span::max());
+    void apply(ServerChange change, Span oldest = Span::max());
     void apply(const PurgeNotice& purge, Span oldest = Span::max());
 
     // Takes out by hand what `bans` names and was not out, and back what it names no more.
@@ -59,25 +59,25 @@
         return fleet_.bans();
     }
     // Keeps away from these on the word of other routers, and from no others that it kept away from so.
-    void hold_out(std::set<CacheId> ids);
+    void hold_out(std::set<ServerId> ids);
     // From here on requests go to the zones that are named, in these parts.
     void steer(const Steering& steering);
-    // Every box that is known, with: is it avoided by this router itself?
-    void each_box(const std::function<void(const Box&, bool avoided)>& see) const;
-    bool is_cache(const Box& box) const {
-        return fleet_.is_cache(box);
+    // Every server that is known, with: is it avoided by this router itself?
+    void each_server(const std::function<void(const Server&, bool avoided)>& see) const;
+    bool is_cache_server(const Server& server) const {
+        return fleet_.is_cache_server(server);
     }
     const std::string& zone() const {
         return fleet_.zone();
     }
-    const winchflow::Settings& settings() const {
+    const routing::Settings& settings() const {
         return settings_;
     }
     // Attempts ordered to caches of other zones, by zone.
     const std::map<std::string, std::uint64_t>& sent_away() const {
         return sent_away_;
     }
-    bool lists(const CacheId& box) const;
+    bool lists(const ServerId& server) const;
 
     std::size_t open() const {
         return open_.size();
@@ -85,10 +85,10 @@
     bool knows_class(const std::string& name) const;
     // Never to run twice: nothing that repeats by itself may carry it.
     bool unsafe_class(const std::string& name) const;
-    // Is any box of this zone listed with an address of that family?
+    // Is any server of this zone listed with an address of that family?
     bool lists_address(bool v6) const;
     const Counters& counters();
-    winchflow::Router::Sizes sizes() const {
+    routing::Router::Sizes sizes() const {
         return route_.sizes();
     }
 
@@ -101,17 +101,17 @@
 
     // Both clocks are read now.
     const UnixTime& unix_time(Time now);
-    Time started(const Box& box, Time now, Span oldest);
-    void tell_list(const BoxChange& change);
+    Time started(const Server& server, Time now, Span oldest);
+    void tell_list(const ServerChange& change);
     void restate(const std::function<void()>& change);
-    void tell(winchflow::Event event);
-    void observe(const winchflow::Event& event, const std::vector<winchflow::Action>& actions);
+    void tell(routing::Event event);
+    void observe(const routing::Event& event, const std::vector<routing::Action>& actions);
     void turn_away(OpenCall& open, const Call& call, std::optional<std::size_t> class_index, Answer answer);
-    void act(const winchflow::Send& send);
-    void act(const winchflow::Cancel& cancel);
-    void act(const winchflow::Refuse& refuse);
-    void act(const winchflow::Fail& fail);
-    void act(const winchflow::SetTimer& timer);
+    void act(const routing::Send& send);
+    void act(const routing::Cancel& cancel);
+    void act(const routing::Reject& refuse);
+    void act(const routing::Fail& fail);
+    void act(const routing::SetTimer& timer);
     void refer(OpenCall& open, const Order& order);
     Guard::Facts facts_at_first_byte(const OpenCall& call, const OpenAttempt& attempt, Time now) const;
     void answer(OpenCall& open, Answer answer);
@@ -125,7 +125,7 @@
     void withdraw(RequestId id);  // cancels what is out
     void drop_if_done(RequestId id);
 
-    winchflow::Settings settings_;
+    routing::Settings settings_;
     const Clock& clock_;
     Timers& timers_;
     AttemptSender& sender_;
@@ -146,7 +146,7 @@
     std::map<std::string, std::uint64_t> sent_away_;
     Observer* observer_ = nullptr;
     Origin origin_;  // of the list or purge that is being applied
-    std::deque<winchflow::Event> events_;
+    std::deque<routing::Event> events_;
     bool telling_ = false;
 };
 
--- a/src/core/fleet.cpp
+++ b/src/core/fleet.cpp
@@ -2,17 +2,17 @@
 
 namespace silverrail::core {
 
-std::vector<CacheId> Fleet::apply(const BoxChange& change, Time now) {
-    using winchflow::Condition;
-    std::vector<CacheId> dropped;
-    std::map<CacheId, Box> before;
+std::vector<ServerId> Fleet::apply(const ServerChange& change, Time now) {
+    using routing::Condition;
+    std::vector<ServerId> dropped;
+    std::map<ServerId, Server> before;
     if (change.complete) {
-        before = boxes_;
-        for (auto& [id, box] : boxes_)
-            box.entry.condition = Condition::gone;
+        before = servers_;
+        for (auto& [id, server] : servers_)
+            server.entry.condition = Condition::gone;
     }
-    for (const Box& told : change.boxes) {
-        auto [at, fresh] = boxes_.try_emplace(told.entry.id, told);
+    for (const Server& told : change.servers) {
+        auto [at, fresh] = servers_.try_emplace(told.entry.id, told);
         if (fresh)
             continue;
         before.try_emplace(at->first, at->second);
@@ -20,60 +20,60 @@
         at->second = told;
         at->second.barred = barred;
     }
-    for (auto& [id, box] : boxes_) {
-        if (box.entry.condition == Condition::ready)
-            box.barred.reset();
-        else if (!box.barred)
-            box.barred = now;
+    for (auto& [id, server] : servers_) {
+        if (server.entry.condition == Condition::ready)
+            server.barred.reset();
+        else if (!server.barred)
+            server.barred = now;
     }
     // Guards against a connection to a process that is no more: gone (also after it drained), restarted under
     // the same id, or moved.
     for (const auto& [id, old] : before) {
-        const Box& box = boxes_.at(id);
-        const bool left = box.entry.condition == Condition::gone && old.entry.condition != Condition::gone;
-        if (left || box.started_ms != old.started_ms || box.address != old.address)
+        const Server& server = servers_.at(id);
+        const bool left = server.entry.condition == Condition::gone && old.entry.condition != Condition::gone;
+        if (left || server.started_ms != old.started_ms || server.address != old.address)
             dropped.push_back(id);
     }
-    if (boxes_.size() > kGoneKept)
-        std::erase_if(boxes_, [](const auto& e) { return e.second.entry.condition == Condition::gone; });
+    if (servers_.size() > kGoneKept)
+        std::erase_if(servers_, [](const auto& e) { return e.second.entry.condition == Condition::gone; });
     return dropped;
 }
 
-bool Fleet::is_cache(const Box& box) const {
-    return box.entry.kind != origin_kind_ && (parent_kind_.empty() || box.entry.kind != parent_kind_);
+bool Fleet::is_cache_server(const Server& server) const {
+    return server.entry.kind != origin_kind_ && (parent_kind_.empty() || server.entry.kind != parent_kind_);
 }
 
-bool Fleet::kept_out(const Box& box) const {
-    if (bans_.contains(box.entry.id) || held_out_.contains(box.entry.id))
+bool Fleet::kept_out(const Server& server) const {
+    if (bans_.contains(server.entry.id) || held_out_.contains(server.entry.id))
         return true;
-    if (steering_.empty() || box.entry.zone != zone_ || !is_cache(box))
+    if (steering_.empty() || server.entry.zone != zone_ || !is_cache_server(server))
         return false;
     const auto factor = steering_.find(zone_);
     return factor == steering_.end() || factor->second <= 0;
 }
 
-winchflow::ListedCache Fleet::entry(const Box& box) const {
-    winchflow::ListedCache entry = box.entry;
+routing::ListedServer Fleet::entry(const Server& server) const {
+    routing::ListedServer entry = server.entry;
     if (!weighted_)
         entry.weight = 1;
-    if (kept_out(box) && entry.condition == winchflow::Condition::ready)
-        entry.condition = winchflow::Condition::draining;
+    if (kept_out(server) && entry.condition == routing::Condition::ready)
+        entry.condition = routing::Condition::draining;
     if (const auto factor = steering_.find(entry.zone);
-        factor != steering_.end() && factor->second > 0 && is_cache(box)) {
+        factor != steering_.end() && factor->second > 0 && is_cache_server(server)) {
         entry.zone = zone_;
         entry.weight *= factor->second;
     }
     return entry;
 }
 
-const Box* Fleet::find(const CacheId& id) const {
-    auto at = boxes_.find(id);
-    return at == boxes_.end() ? nullptr : &at->second;
+const Server* Fleet::find(const ServerId& id) const {
+    auto at = servers_.find(id);
+    return at == servers_.end() ? nullptr : &at->second;
 }
 
-bool Fleet::may_be_named(const CacheId& id) const {
-    const Box* box = find(id);
-    return box && !kept_out(*box) && !box->barred;
+bool Fleet::may_be_named(const ServerId& id) const {
+    const Server* server = find(id);
+    return server && !kept_out(*server) && !server->barred;
 }
 
 }  // namespace silverrail::core
--- a/src/core/guard.cpp
+++ b/src/core/guard.cpp
@@ -64,7 +64,7 @@
 
 // Has another attempt of it run, or may it have, where that is not to happen again?
 bool Guard::could_run_twice(const Call& call, std::uint32_t attempt) const {
-    if (settings_.classes[call.class_index].effect != winchflow::Effect::unsafe)
+    if (settings_.classes[call.class_index].idempotency != routing::Idempotency::none)
         return false;
     return std::ranges::any_of(call.attempts, [attempt](const auto& entry) {
         return entry.first != attempt && entry.second.may_have_run;
@@ -78,7 +78,7 @@
         std::ranges::any_of(call.attempts, [](const auto& entry) { return entry.second.out; });
     if (beside)
         return Violation::start_beside;
-    if (static_cast<int>(call.attempts.size()) >= settings_.attempt_limit)
+    if (static_cast<int>(call.attempts.size()) >= settings_.max_attempts)
         return Violation::start_past_limit;
     if (could_run_twice(call, ~std::uint32_t{0}))
         return Violation::repeat;
@@ -134,7 +134,7 @@
     return std::nullopt;
 }
 
-void Guard::ended(const AttemptKey& key, Ending ending) {
+void Guard::ended(const AttemptKey& key, AttemptStatus attempt_status) {
     Call* call = find(key.request);
     if (!call)
         return count(Violation::unknown_call, key.request, nullptr);
@@ -143,8 +143,8 @@
         return;
     at->second.out = false;
     // The server's own word that it never ran.
-    if (ending == Ending::full || ending == Ending::miss || ending == Ending::not_sent ||
-        ending == Ending::no_connection)
+    if (attempt_status == AttemptStatus::overloaded || attempt_status == AttemptStatus::miss ||
+        attempt_status == AttemptStatus::not_sent || attempt_status == AttemptStatus::connect_failed)
         at->second.may_have_run = false;
     if (!over(*call))
         move(key.request, *call, CallState::deciding);
--- a/src/core/guard.h
+++ b/src/core/guard.h
@@ -57,7 +57,7 @@
 
 class Guard {
 public:
-    explicit Guard(const winchflow::Settings& settings) : settings_(settings) {}
+    explicit Guard(const routing::Settings& settings) : settings_(settings) {}
 
     void taken(RequestId id, std::size_t class_index);
     // May a further attempt start? It is on record from here on if so; else the violation is counted.
@@ -72,7 +72,7 @@
         bool source_usable = true;
     };
     [[nodiscard]] std::optional<Held> send(const AttemptKey& key, const Facts& facts);
-    void ended(const AttemptKey& key, Ending ending);
+    void ended(const AttemptKey& key, AttemptStatus attempt_status);
     void answered(RequestId id) {
         move(id, CallState::answered);
     }
@@ -117,7 +117,7 @@
     void move(RequestId id, Call& call, CallState to);
     void count(Violation violation, RequestId id, const Call* call);
 
-    const winchflow::Settings& settings_;
+    const routing::Settings& settings_;
     std::map<RequestId, Call> calls_;
     std::array<std::uint64_t, kHeldReasons> held_{};
     std::array<std::uint64_t, kViolations> violations_{};
--- a/src/core/hold.cpp
+++ b/src/core/hold.cpp
@@ -12,7 +12,7 @@
 }
 
 std::optional<copies::Wanted> Hold::wanted(const Call& call, std::size_t class_index) const {
-    if (!copies_ || call.write || call.referred || settings_.classes[class_index].uncached)
+    if (!copies_ || call.write || call.redirected || settings_.classes[class_index].uncached)
         return std::nullopt;
     return copies::Wanted{{call.object_id, class_index, call.part}, call.group, call.group_known, call.have};
 }
@@ -43,7 +43,7 @@
 }
 
 void Hold::keep(const OpenCall& open, const AttemptEnd& end, Time now, std::int64_t unix_ms) {
-    if (end.ending != Ending::good || end.unchanged)
+    if (end.attempt_status != AttemptStatus::success || end.unchanged)
         return;
     // Guards rule 5 (no purged copy): past that, the purges that it may be older than are forgotten.
     if (now - open.taken > longest_call_)
--- a/src/core/hold.h
+++ b/src/core/hold.h
@@ -11,7 +11,7 @@
 
 class Hold {
 public:
-    Hold(const winchflow::Settings& settings, const Purges& purges, Counters& counters)
+    Hold(const routing::Settings& settings, const Purges& purges, Counters& counters)
         : settings_(settings),
           longest_call_(longest_deadline(settings)),
           purges_(purges),
@@ -37,7 +37,7 @@
     std::optional<copies::Wanted> wanted(const Call& call, std::size_t class_index) const;
     std::optional<Answer> answer_of(std::optional<copies::Served> served);
 
-    const winchflow::Settings& settings_;
+    const routing::Settings& settings_;
     const Span longest_call_;
     const Purges& purges_;
     Counters& counters_;
--- a/src/core/observer.h
+++ b/src/core/observer.h
@@ -13,7 +13,7 @@
 // What an event that the module was told of came from; those that it did not come from are absent.
 struct Origin {
     const OpenCalls* calls = nullptr;  // all that are open, before the module's actions are carried out
-    const BoxChange* change = nullptr;
+    const ServerChange* change = nullptr;
     const PurgeNotice* purge = nullptr;
 };
 
@@ -22,7 +22,7 @@
     virtual ~Observer() = default;
     // The module was told `event` at `now`, the time it was given, and said `actions`. In order, no two at
     // once.
-    virtual void told(const winchflow::Event& event, Time now, const std::vector<winchflow::Action>& actions,
+    virtual void told(const routing::Event& event, Time now, const std::vector<routing::Action>& actions,
                       const Origin& origin) = 0;
     // A call that was answered at the door: the module never hears of it. Its answer comes next.
     virtual void turned_away(const Call& call, std::size_t class_index, Time now) = 0;
--- a/src/core/open_call.h
+++ b/src/core/open_call.h
@@ -24,7 +24,7 @@
     std::shared_ptr<ReplySink> sink;  // absent once the final answer is given or the client has gone
     Timers::Handle guard = 0;         // the deadline
     std::vector<OpenAttempt> attempts;
-    std::optional<Ending> last_ending{};  // of an attempt
+    std::optional<AttemptStatus> last_ending{};  // of an attempt
 
     bool answered() const {
         return !sink;
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -48,8 +48,8 @@
 public:
     virtual ~AttemptSender() = default;
     virtual void start(Order order, AttemptEvents& events) = 0;
-    virtual void cancel(const AttemptKey& key) = 0;  // no event follows
-    virtual void forget(const CacheId& box) = 0;     // gone or restarted: its open connections are void
+    virtual void cancel(const AttemptKey& key) = 0;   // no event follows
+    virtual void forget(const ServerId& server) = 0;  // gone or restarted: its open connections are void
 };
 
 }  // namespace silverrail::core
--- a/src/core/purges.cpp
+++ b/src/core/purges.cpp
@@ -8,7 +8,7 @@
 constexpr Span kBetweenSweeps = std::chrono::seconds{1};
 }
 
-void Purges::Known::renew(const Known& other) {
+void Purges::Known::revalidate(const Known& other) {
     issued_ms = std::max(issued_ms, other.issued_ms);
     told = std::max(told, other.told);
 }
@@ -16,7 +16,7 @@
 void Purges::add(const PurgeNotice& purge, Time now) {
     forget(now);
     Known& known = purge.object ? objects_[*purge.object] : groups_[purge.group];
-    known.renew({purge.issued_ms, now});
+    known.revalidate({purge.issued_ms, now});
 }
 
 std::optional<Purges::Known> Purges::latest(const Call& call) const {
@@ -24,7 +24,7 @@
     const auto take = [&found](const Known& known) {
         if (!found)
             found.emplace();
-        found->renew(known);
+        found->revalidate(known);
     };
     if (const auto object = objects_.find(call.object_id); object != objects_.end())
         take(object->second);
--- a/src/core/purges.h
+++ b/src/core/purges.h
@@ -9,8 +9,8 @@
 namespace silverrail::core {
 
 struct PurgeNotice {
-    std::optional<winchflow::ObjectId> object;  // absent: the whole group
-    winchflow::GroupId group{};
+    std::optional<routing::ObjectId> object;  // absent: the whole group
+    routing::GroupId group{};
     std::int64_t issued_ms = 0;  // Unix time, by the clock of whoever issued it
 };
 
@@ -26,7 +26,7 @@
     void add(const PurgeNotice& purge, Time now);
     // When it was last purged, in Unix ms; absent: no answer that comes now is older than a purge of it.
     std::optional<std::int64_t> issued(const Call& call, Time now) const;
-    // The oldest copy of it that a box may give; absent: boxes hold none that a purge touches.
+    // The oldest copy of it that a server may give; absent: servers hold none that a purge touches.
     std::optional<Span> bound(const Call& call, Time now, const UnixTime& unix_time) const;
     std::size_t size() const {
         return objects_.size() + groups_.size();
@@ -36,7 +36,7 @@
     struct Known {
         std::int64_t issued_ms = 0;
         Time told{};
-        void renew(const Known& other);
+        void revalidate(const Known& other);
     };
     std::optional<Known> latest(const Call& call) const;
     void forget(Time now);
@@ -44,8 +44,8 @@
     Span cleared_after_;
     Span kept_for_;
     Time swept_{};
-    std::map<winchflow::ObjectId, Known> objects_;
-    std::map<winchflow::GroupId, Known> groups_;
+    std::map<routing::ObjectId, Known> objects_;
+    std::map<routing::GroupId, Known> groups_;
 };
 
 }  // namespace silverrail::core
--- a/src/core/relay.cpp
+++ b/src/core/relay.cpp
@@ -27,8 +27,8 @@
         case Answer::Kind::unchanged:
             ++counters_.unchanged, ++of_class.success;
             break;
-        case Answer::Kind::referred:
-            ++counters_.referred, ++of_class.success;
+        case Answer::Kind::redirected:
+            ++counters_.redirected, ++of_class.success;
             break;
         case Answer::Kind::refused:
             ++counters_.refused, ++of_class.busy;
@@ -62,10 +62,10 @@
     return a;
 }
 
-Answer Relay::referred(std::string address) {
+Answer Relay::redirected(std::string address) {
     Answer a;
-    a.kind = Answer::Kind::referred;
-    a.box_address = std::move(address);
+    a.kind = Answer::Kind::redirected;
+    a.server_address = std::move(address);
     return a;
 }
 
--- a/src/core/relay.h
+++ b/src/core/relay.h
@@ -19,7 +19,7 @@
     static Answer served(AttemptEnd end);
     static Answer refused(Span hold_off, bool timed_out);
     static Answer failed(bool timed_out);
-    static Answer referred(std::string address);
+    static Answer redirected(std::string address);
 
 private:
     void count(std::size_t class_index, Answer::Kind kind);
--- a/src/core/route.cpp
+++ b/src/core/route.cpp
@@ -4,7 +4,7 @@
 
 namespace silverrail::core {
 
-std::vector<winchflow::Action> Route::tell(const winchflow::Event& event, Time now) {
+std::vector<routing::Action> Route::tell(const routing::Event& event, Time now) {
     last_ = std::max(last_, now);
     return router_.on(event, last_);
 }
--- a/src/core/send.h
+++ b/src/core/send.h
@@ -11,12 +11,12 @@
 public:
     Send(const Fleet& fleet, const Purges& purges, const UnixTime& unix_time)
         : fleet_(fleet), purges_(purges), unix_time_(unix_time) {}
-    // Absent: the box is not known, nothing may be sent.
-    std::optional<Order> order(const winchflow::Send& send, const OpenCall& open, std::uint32_t attempt,
+    // Absent: the server is not known, nothing may be sent.
+    std::optional<Order> order(const routing::Send& send, const OpenCall& open, std::uint32_t attempt,
                                Time now) const;
-    // May the box be named in what goes out now, as target or as source?
-    bool usable(const CacheId& box) const {
-        return fleet_.may_be_named(box);
+    // May the server be named in what goes out now, as target or as source?
+    bool usable(const ServerId& server) const {
+        return fleet_.may_be_named(server);
     }
     // The oldest copy that will do at the first byte. `tightened` tells of a late purge.
     Span oldest(const Order& order, Time now, bool& tightened) const;
--- a/src/core/take_in.cpp
+++ b/src/core/take_in.cpp
@@ -2,17 +2,17 @@
 
 namespace silverrail::core {
 
-TakeIn::TakeIn(const winchflow::Settings& settings) {
+TakeIn::TakeIn(const routing::Settings& settings) {
     for (std::size_t i = 0; i < settings.classes.size(); ++i) {
         const auto& c = settings.classes[i];
         classes_[c.name] = i;
-        forms_.push_back({c.give_up, c.uncached, c.effect == winchflow::Effect::keyed});
+        forms_.push_back({c.give_up, c.uncached, c.idempotency == routing::Idempotency::keyed});
     }
 }
 
 bool TakeIn::fits(const Call& call, std::size_t class_index, Time now) const {
     const Form& form = forms_[class_index];
-    // Guards rule 2 (no repeated effect): a repeat of one without a key would be a new request to any box.
+    // Guards rule 2 (no repeated effect): a repeat of one without a key would be a new request to any server.
     if (form.keyed && call.idempotency_key.empty())
         return false;
     // Clients give a try all of the class's time or less; twice that is a figure that went wrong.
@@ -26,16 +26,16 @@
     return at->second;
 }
 
-winchflow::Request TakeIn::request(RequestId id, std::size_t class_index, const Call& call) const {
-    winchflow::Request r;
+routing::Request TakeIn::request(RequestId id, std::size_t class_index, const Call& call) const {
+    routing::Request r;
     r.id = id;
     r.class_index = class_index;
     r.object = call.object_id;
-    r.group = call.group_known ? call.group : winchflow::GroupId{~std::uint64_t{0}};
+    r.group = call.group_known ? call.group : routing::GroupId{~std::uint64_t{0}};
     r.part = call.part;
     r.size_kb = call.size_kb;
     r.deadline = call.deadline;
-    r.referred = call.referred;
+    r.redirected = call.redirected;
     return r;
 }
 
--- a/src/core/take_in.h
+++ b/src/core/take_in.h
@@ -11,7 +11,7 @@
 
 class TakeIn {
 public:
-    explicit TakeIn(const winchflow::Settings& settings);
+    explicit TakeIn(const routing::Settings& settings);
     // Its class; absent: there is none of that name.
     std::optional<std::size_t> class_of(const Call& call) const;
     // Can it be one that clients of this class send? The form of a write, a wait that the class knows, and a
@@ -31,13 +31,13 @@
     RequestId next_id() {
         return RequestId{++last_id_};
     }
-    winchflow::Request request(RequestId id, std::size_t class_index, const Call& call) const;
+    routing::Request request(RequestId id, std::size_t class_index, const Call& call) const;
 
 private:
     struct Form {
         Span give_up;
         bool write;
-        bool keyed;  // may be sent again, as boxes tell a repeat by its key
+        bool keyed;  // may be sent again, as servers tell a repeat by its key
     };
     std::unordered_map<std::string, std::size_t> classes_;
     std::vector<Form> forms_;
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -8,16 +8,16 @@
 #include <optional>
 #include <string>
 
-#include "winchflow/router.h"
+#include "silverrail/routing/router.h"
 
 namespace silverrail::core {
 
-using winchflow::CacheId;
-using winchflow::Ending;
-using winchflow::Note;
-using winchflow::RequestId;
-using winchflow::Span;
-using winchflow::Time;
+using routing::AttemptStatus;
+using routing::CacheStatus;
+using routing::RequestId;
+using routing::ServerId;
+using routing::Span;
+using routing::Time;
 
 // Which front a call came through.
 enum class Front : std::uint8_t { platform, dns };
@@ -33,29 +33,29 @@
     std::string trace;       // the client's own id, passed on unchanged
     std::string class_name;  // as the settings name it
     std::string object;      // as the client wrote it
-    winchflow::ObjectId object_id{};
+    routing::ObjectId object_id{};
     std::uint32_t part = 0;
-    winchflow::GroupId group{};
+    routing::GroupId group{};
     bool group_known = true;  // false: any group's purge may concern it
     double size_kb = 0;
     Time deadline{};
     bool write = false;
     std::shared_ptr<const std::string> body;  // of a write
     std::string have;                         // bare tag of the client's copy; empty: none
-    std::string idempotency_key;              // by which boxes know a repeat, a client's own too; empty: none
-    bool referred = false;                    // the client goes to the box by itself: only a name is wanted
+    std::string idempotency_key;  // by which servers know a repeat, a client's own too; empty: none
+    bool redirected = false;      // the client goes to the server by itself: only a name is wanted
     Front front = Front::platform;
     ClientAddress client;
 };
 
 struct Answer {
-    enum class Kind { served, unchanged, referred, refused, failed };
+    enum class Kind { served, unchanged, redirected, refused, failed };
     Kind kind = Kind::failed;
-    std::string body;         // served
-    std::string tag;          // served, unchanged
-    Span hold_off{};          // refused: how long to stay away; 0: nothing is said
-    std::string box_address;  // referred
-    bool timed_out = false;   // refused, failed: the deadline has passed
+    std::string body;            // served
+    std::string tag;             // served, unchanged
+    Span hold_off{};             // refused: how long to stay away; 0: nothing is said
+    std::string server_address;  // referred
+    bool timed_out = false;      // refused, failed: the deadline has passed
     std::int64_t made_ms =
         0;  // served, unchanged: Unix time at which the origin gave this copy out; 0: not told
 };
@@ -70,24 +70,24 @@
 struct Order {
     AttemptKey key{};
     std::shared_ptr<const Call> call;
-    CacheId target{};
+    ServerId target{};
     std::string address;
-    std::optional<CacheId> source{};  // absent: a miss is not filled
-    int rank = 0;
+    std::optional<ServerId> source{};  // absent: a miss is not filled
+    int retention = 0;
     Span oldest{};  // 0: the class's fresh time
     bool join = false;
-    bool renew = false;
-    bool held_only = false;
+    bool revalidate = false;
+    bool only_if_cached = false;
     Time give_up{};
     std::optional<Time> repeat_before{};  // not sent at or after that; absent: nothing of it may have run
 };
 
 // How an attempt ended, as seen on the wire.
 struct AttemptEnd {
-    Ending ending = Ending::error;
-    Note note = Note::none;
+    AttemptStatus attempt_status = AttemptStatus::error;
+    CacheStatus cache_status = CacheStatus::none;
     Span source_wait{};
-    winchflow::Load load{};
+    routing::LoadReport load{};
     bool unchanged = false;    // good: the client's copy is the one
     std::string body{};        // good
     std::string tag{};         // good
@@ -95,7 +95,7 @@
 };
 
 // How long a client of any class waits at most, by the settings.
-inline Span longest_deadline(const winchflow::Settings& settings) {
+inline Span longest_deadline(const routing::Settings& settings) {
     Span longest{};
     for (const auto& c : settings.classes)
         longest = std::max(longest, c.give_up);
--- a/src/core/unix_time.h
+++ b/src/core/unix_time.h
@@ -7,12 +7,12 @@
 #include <cstdint>
 #include <optional>
 
-#include "winchflow/router.h"
+#include "silverrail/routing/router.h"
 
 namespace silverrail::core {
 
-using winchflow::Span;
-using winchflow::Time;
+using routing::Span;
+using routing::Time;
 
 class UnixTime {
 public:
--- a/src/front/admin/admin.cpp
+++ b/src/front/admin/admin.cpp
@@ -15,16 +15,16 @@
     const auto said = [](const Verdict& v) {
         return v.yes ? yes(v.words) : no(v.words);
     };
-    const core::CacheId box{std::get<Call>(call).box};
+    const core::ServerId server{std::get<Call>(call).server};
     switch (std::get<Call>(call).kind) {
         case Call::Kind::health:
             return lifecycle_.ready() ? yes("takes clients") : no(Lifecycle::name(lifecycle_.phase()));
         case Call::Kind::dump:
             return figures(engine_.counters());
         case Call::Kind::offline:
-            return said(hands_.out(box));
+            return said(hands_.out(server));
         case Call::Kind::online:
-            return said(hands_.back(box));
+            return said(hands_.back(server));
         case Call::Kind::members:
             return fleet_.members ? fleet_.members() : no("no peers: this router keeps no view of the fleet");
         case Call::Kind::replica:
@@ -32,7 +32,7 @@
         case Call::Kind::failover:
             return fleet_.failover ? fleet_.failover() : no(kNoFailover);
         case Call::Kind::pin:
-            return fleet_.pin ? said(fleet_.pin(box.address, std::get<Call>(call).how)) : no(kNoFailover);
+            return fleet_.pin ? said(fleet_.pin(server.address, std::get<Call>(call).how)) : no(kNoFailover);
     }
     return no("unknown call");
 }
--- a/src/front/admin/admin.h
+++ b/src/front/admin/admin.h
@@ -13,12 +13,12 @@
     std::string words;
 };
 
-// Whoever takes boxes out and back.
+// Whoever takes servers out and back.
 class Hands {
 public:
     virtual ~Hands() = default;
-    virtual Verdict out(const core::CacheId& box) = 0;
-    virtual Verdict back(const core::CacheId& box) = 0;
+    virtual Verdict out(const core::ServerId& server) = 0;
+    virtual Verdict back(const core::ServerId& server) = 0;
 };
 
 // What the fleet answers: MEMBERS, REPLICA, FAILOVER and PIN; each empty where the router has no such part.
--- a/src/front/admin/words.cpp
+++ b/src/front/admin/words.cpp
@@ -42,10 +42,10 @@
         return Call{kind};
     }
     if (word == "OFFLINE" || word == "ONLINE") {
-        const std::string_view box = alone ? std::string_view{} : line.substr(word.size() + 1);
-        if (!members::Bans::fits(box))
+        const std::string_view server = alone ? std::string_view{} : line.substr(word.size() + 1);
+        if (!members::Bans::fits(server))
             return std::string{word} + " takes the id of one box behind it";
-        return Call{word == "OFFLINE" ? Call::Kind::offline : Call::Kind::online, std::string{box}};
+        return Call{word == "OFFLINE" ? Call::Kind::offline : Call::Kind::online, std::string{server}};
     }
     if (word == "PIN") {
         const std::string_view rest = alone ? std::string_view{} : line.substr(word.size() + 1);
--- a/src/front/admin/words.h
+++ b/src/front/admin/words.h
@@ -12,8 +12,8 @@
 struct Call {
     enum class Kind { health, dump, offline, online, members, replica, failover, pin };
     Kind kind = Kind::health;
-    std::string box{};  // offline, online: its id; pin: the zone
-    std::string how{};  // pin: IN, OUT or OFF
+    std::string server{};  // offline, online: its id; pin: the zone
+    std::string how{};     // pin: IN, OUT or OFF
     bool operator==(const Call&) const = default;
 };
 
--- a/src/front/dns/front.cpp
+++ b/src/front/dns/front.cpp
@@ -7,7 +7,7 @@
 namespace {
 using namespace std::chrono_literals;
 
-// Rule: no answer names a box later than 2 s after it was said to drain. One given just before that lives
+// Rule: no answer names a server later than 2 s after it was said to drain. One given just before that lives
 // for its TTL of 1 s at most; so it must have left within half a second, and half a second is for the way.
 constexpr auto kLeaveWithin = 500ms;
 }  // namespace
@@ -71,7 +71,7 @@
                            "a resolver repeats by itself, and this class must never run twice"));
     const bool wants_address = query.type == static_cast<std::uint16_t>(Type::a) ||
                                query.type == static_cast<std::uint16_t>(Type::aaaa);
-    // Asked for both families, the module counts a read once: no call where no box has such an address.
+    // Asked for both families, the module counts a read once: no call where no server has such an address.
     if (meaning.kind == Meaning::Kind::object && wants_address &&
         engine_.lists_address(query.type == static_cast<std::uint16_t>(Type::aaaa))) {
         meaning.call.front = core::Front::dns;
@@ -139,9 +139,9 @@
     const auto finished = [&](const Response& r) {
         return encode(query, r, zone_.zone, limit);
     };
-    if (answer.kind == Kind::referred) {
-        const auto box = config::parse_endpoint(answer.box_address);
-        const std::string data = box ? address_data(box->host) : std::string{};
+    if (answer.kind == Kind::redirected) {
+        const auto server = config::parse_endpoint(answer.server_address);
+        const std::string data = server ? address_data(server->host) : std::string{};
         const auto type = static_cast<Type>(query.type);
         if (data.size() != (type == Type::a ? 4u : 16u))
             return {finished(negative(Rcode::no_error)), {}, {}};
--- a/src/front/dns/front.h
+++ b/src/front/dns/front.h
@@ -1,4 +1,4 @@
-// DNS queries into calls, answers into DNS responses. Which box is named is never decided here.
+// DNS queries into calls, answers into DNS responses. Which server is named is never decided here.
 #pragma once
 
 #include <functional>
--- a/src/front/dns/zone.cpp
+++ b/src/front/dns/zone.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <charconv>
 
-#include "config/bulletin_event.h"
+#include "config/discovery_event.h"
 
 namespace silverrail::front::dns {
 
@@ -37,11 +37,11 @@
     if (!id || object.size() != 16)
         return false;
     call.object = object;
-    call.object_id = winchflow::ObjectId{*id};
+    call.object_id = routing::ObjectId{*id};
     call.group_known = false;
     if (at > 0)
         if (const auto lot = numbered(name[at - 1], "lot-"); lot && *lot <= 255) {
-            call.group = winchflow::GroupId{*lot};
+            call.group = routing::GroupId{*lot};
             call.group_known = true;
             --at;
         }
@@ -72,7 +72,7 @@
         m.kind = Kind::text;
     } else if (const std::string& class_name = name[below - 1]; classes.known(class_name)) {
         m.call.class_name = class_name;
-        m.call.referred = true;
+        m.call.redirected = true;
         if (classes.unsafe(class_name))
             m.kind = Kind::never_repeat;
         else if (below == 1)
--- a/src/front/dns/zone.h
+++ b/src/front/dns/zone.h
@@ -14,7 +14,7 @@
     Name server;                 // the zone's name server, inside the zone: NS, SOA and certificate name
     std::string server_address;  // its own address
     Name mailbox;                // of the SOA
-    std::uint32_t ttl = 1;       // of an answer that names a box
+    std::uint32_t ttl = 1;       // of an answer that names a server
     std::uint32_t fixed_ttl = 300;
     core::Span deadline = std::chrono::milliseconds{1000};
 };
--- a/src/front/platform/platform.cpp
+++ b/src/front/platform/platform.cpp
@@ -4,7 +4,7 @@
 #include <charconv>
 #include <cmath>
 
-#include "config/bulletin_event.h"
+#include "config/discovery_event.h"
 
 namespace silverrail::front {
 
@@ -53,12 +53,12 @@
     const auto number_of_part = number<std::uint32_t>(part.substr(kPart.size()));
     if (!number_of_part || std::to_string(*number_of_part) != part.substr(kPart.size()))
         return false;
-    call.object_id = winchflow::ObjectId{*object};
+    call.object_id = routing::ObjectId{*object};
     call.part = *number_of_part;
     return true;
 }
 
-// The bare tag of `"TAG"`; a list or a weak tag names no copy here, nor does what no box could read.
+// The bare tag of `"TAG"`; a list or a weak tag names no copy here, nor does what no server could read.
 std::string bare_tag(std::string_view text) {
     if (text.size() < 3 || text.size() > kLongestTag || text.front() != '"' || text.back() != '"')
         return {};
@@ -68,7 +68,7 @@
     return plain ? std::string{text} : std::string{};
 }
 
-// The key of a request that boxes may be sent again: once, and passed on as it came.
+// The key of a request that servers may be sent again: once, and passed on as it came.
 std::optional<std::string> idempotency_key(const net::HttpRequest& request) {
     const auto told = request.count("Replay-Key");
     if (told == 0)
@@ -114,7 +114,7 @@
         const auto group = number<std::uint64_t>(lot);
         if (!group || *group > 255)
             return "X-Lot: not 0 to 255";
-        call.group = winchflow::GroupId{*group};
+        call.group = routing::GroupId{*group};
     } else {
         call.group_known = false;
     }
@@ -155,7 +155,7 @@
             if (answer.timed_out)
                 r.result(http::status::gateway_timeout);
             break;
-        case Kind::referred:
+        case Kind::redirected:
             break;  // never asked for by this front
     }
     if (!answer.tag.empty())
--- a/src/lab/demo.cpp
+++ b/src/lab/demo.cpp
@@ -1,5 +1,5 @@
 // The demo: starts stand-in servers and the real program on loopback, sends some hundred requests of all
-// classes, lets a box go and a purge come meanwhile, ends the program, and looks at the trace that it
+// classes, lets a server go and a purge come meanwhile, ends the program, and looks at the trace that it
 // recorded. Exit code 0 only if every request had its one answer, every byte was right and no write ran
 // twice.
 #include <fcntl.h>
@@ -167,11 +167,11 @@
             [&] {
                 if (!purged && day.left < kRequests * 2 / 3) {
                     purged = true;
-                    bulletin_.say(recall_event(0, hex(0), unix_ms()));
+                    discovery_.say(recall_event(0, hex(0), unix_ms()));
                 }
                 if (!drained && day.left < kRequests / 3) {
                     drained = true;
-                    bulletin_.say(roster_event(0, false, {listed(plans_[0], "leaving")}));
+                    discovery_.say(roster_event(0, false, {listed(plans_[0], "leaving")}));
                 }
                 return day.left == 0 && day.open == 0;
             },
@@ -213,15 +213,15 @@
             plans_.push_back({id, servers_.back()->address(), kind, 10, 1, 0});
         };
         for (const char* id : {"s-one", "s-two", "s-three", "s-four"})
-            add(id, Server::Role::box, "small-box");
+            add(id, Server::Role::server, "small-box");
         add("hub", Server::Role::hub, "hub");
         add("store", Server::Role::store, "store");
-        bulletin_.begin_after(1);
+        discovery_.begin_after(1);
     }
     void start_program() {
         at_ = tcp::acceptor{io_, tcp::endpoint{asio::ip::make_address("127.0.0.1"), 0}}.local_endpoint();
         Json::Value config =
-            router_config("demo", 7, "127.0.0.1:" + std::to_string(at_.port()), bulletin_.address(), 1);
+            router_config("demo", 7, "127.0.0.1:" + std::to_string(at_.port()), discovery_.address(), 1);
         std::vector<Json::Value> all;
         for (const auto& plan : plans_)
             all.push_back(listed(plan, "active"));
@@ -297,9 +297,9 @@
     std::string program_;
     fs::path folder_;
     asio::io_context io_;
-    Bulletin bulletin_{io_};
+    DiscoveryWatch discovery_{io_};
     std::vector<std::unique_ptr<Server>> servers_;
-    std::vector<BoxPlan> plans_;
+    std::vector<ServerPlan> plans_;
     tcp::endpoint at_;
     pid_t pid_ = -1;
 };
--- a/src/lab/failover_sim.cpp
+++ b/src/lab/failover_sim.cpp
@@ -17,14 +17,14 @@
 constexpr milliseconds kTick{100};
 constexpr milliseconds kSlowTick{250};  // over a thousand routers: a run would else take an hour
 constexpr cl::UnixMs kEpoch = 1'800'000'000'000;
-constexpr int kBoxes = 8;  // a zone's, each worth as much
+constexpr int kServers = 8;  // a zone's, each worth as much
 constexpr std::int64_t kMost = 60'000;
 
 class FailoverSim {
 public:
     FailoverSim(const FailoverSimOptions& o, std::size_t zones, std::size_t regions)
         : net(o.members, o.seed, SimLink{.loss = o.loss}),
-          dice_(o.seed),
+          random_(o.seed),
           health_(zones),
           tick_(o.members > 1000 ? kSlowTick : kTick) {
         for (std::size_t z = 0; z < zones; ++z)
@@ -47,7 +47,7 @@
             n.voice =
                 std::make_unique<cl::Voice>(cl::Voice::Settings{.refresh = cl::Time{20'000}}, o.seed + i);
             alive[name] = zone(n.zone);
-            weights[zone(n.zone)] = kBoxes;
+            weights[zone(n.zone)] = kServers;
         }
     }
 
@@ -71,7 +71,7 @@
         for (auto& n : nodes)
             if (n.zone == z) {
                 n.before = n.sees;
-                n.learns = now + milliseconds{100 + static_cast<int>(dice_() % 400)};
+                n.learns = now + milliseconds{100 + static_cast<int>(random_() % 400)};
             }
         health_[z] = {health, noise};
     }
@@ -110,7 +110,7 @@
 private:
     struct Seen {
         int health = 100;
-        double noise = 0;  // chance that a router finds a box bad in a second
+        double noise = 0;  // chance that a router finds a server bad in a second
     };
     void send(std::size_t from, std::vector<cl::ReplicaSend> sends) {
         for (auto& s : sends) {
@@ -125,10 +125,10 @@
         if (now - n.drawn >= milliseconds{1000}) {
             n.drawn = now;
             int up = 0;
-            const int good = health_[n.zone].health * kBoxes / 100;
+            const int good = health_[n.zone].health * kServers / 100;
             for (int b = 0; b < good; ++b)
-                up += std::uniform_real_distribution<>{0, 1}(dice_) >= health_[n.zone].noise ? 1 : 0;
-            n.sees = up * 20 / kBoxes * 5;
+                up += std::uniform_real_distribution<>{0, 1}(random_) >= health_[n.zone].noise ? 1 : 0;
+            n.sees = up * 20 / kServers * 5;
         }
         return n.sees;
     }
@@ -161,7 +161,7 @@
         std::vector<std::string> peers;
         // Some of all, as many as a tick can name: drawn, as the replica draws among what it is given.
         while (peers.size() < 16) {
-            const auto j = dice_() % nodes.size();
+            const auto j = random_() % nodes.size();
             if (j != i && nodes[j].up)
                 peers.push_back(std::to_string(j));
         }
@@ -186,7 +186,7 @@
         now += kStep;
     }
 
-    std::mt19937_64 dice_;
+    std::mt19937_64 random_;
     std::vector<Seen> health_;
     const milliseconds tick_;
 };
@@ -201,7 +201,7 @@
     const auto n = static_cast<double>(o.members);
     sim.run(milliseconds{10'000});
 
-    // Calm: one box in fifty is found bad by a router in a second.
+    // Calm: one server in fifty is found bad by a router in a second.
     for (std::size_t z = 0; z < out.zones; ++z)
         sim.set(z, 100, 0.02);
     sim.bytes = sim.changes = 0;
--- a/src/lab/failover_sim.h
+++ b/src/lab/failover_sim.h
@@ -21,7 +21,8 @@
 struct FailoverFigures {
     std::size_t zones = 0, regions = 0;
     double rest_bytes_per_s = 0;  // a member, calm
-    double kept_near = 0;  // share of the requests that stay in their zone, calm, boxes failing now and then
+    double kept_near =
+        0;  // share of the requests that stay in their zone, calm, servers failing now and then
     std::uint64_t calm_changes = 0;
     std::int64_t region_ms = -1;                // a zone lost: until every router of its region acts on it
     std::int64_t fleet_ms = -1;                 // and every router
--- a/src/lab/farm.cpp
+++ b/src/lab/farm.cpp
@@ -13,11 +13,11 @@
 using net::error_code;
 using net::tcp;
 
-// One box's port for one router.
+// One server's port for one router.
 struct Farm::Door {
     explicit Door(asio::io_context& io) : acceptor(io) {}
-    std::size_t box = 0, router = 0;
-    bool box_up = true, link_up = true;
+    std::size_t server = 0, router = 0;
+    bool server_up = true, link_up = true;
     tcp::acceptor acceptor;
     tcp::endpoint at{asio::ip::make_address("127.0.0.1"), 0};
     std::uint64_t opened = 0;  // an accept of an earlier opening is over
@@ -38,10 +38,10 @@
     http::response<http::string_body> response;
 };
 
-Farm::Farm(std::size_t boxes, std::size_t routers) : routers_(routers) {
-    for (std::size_t i = 0; i < boxes * routers; ++i) {
+Farm::Farm(std::size_t servers, std::size_t routers) : routers_(routers) {
+    for (std::size_t i = 0; i < servers * routers; ++i) {
         doors_.push_back(std::make_unique<Door>(io_));
-        doors_.back()->box = i / routers;
+        doors_.back()->server = i / routers;
         doors_.back()->router = i % routers;
         arrange(*doors_.back());
     }
@@ -56,8 +56,8 @@
     thread_.join();
 }
 
-std::string Farm::address(std::size_t box, std::size_t router) const {
-    return "127.0.0.1:" + std::to_string(doors_.at(box * routers_ + router)->at.port());
+std::string Farm::address(std::size_t server, std::size_t router) const {
+    return "127.0.0.1:" + std::to_string(doors_.at(server * routers_ + router)->at.port());
 }
 
 // Bound once and for all, so that the port stays ours: one that is shut down for reading listens no more
@@ -69,7 +69,7 @@
         door.acceptor.bind(door.at);
     }
     ++door.opened;
-    if (door.box_up && door.link_up) {
+    if (door.server_up && door.link_up) {
         door.acceptor.listen();
         accept(door, door.opened);
         return;
@@ -82,21 +82,21 @@
     }
 }
 
-void Farm::set_box(std::size_t box, bool up) {
+void Farm::set_server(std::size_t server, bool up) {
     std::promise<void> done;
     asio::post(io_, [&] {
         for (auto& door : doors_)
-            if (door->box == box && std::exchange(door->box_up, up) != up)
+            if (door->server == server && std::exchange(door->server_up, up) != up)
                 arrange(*door);
         done.set_value();
     });
     done.get_future().wait();
 }
 
-void Farm::set_link(std::size_t box, std::size_t router, bool up) {
+void Farm::set_link(std::size_t server, std::size_t router, bool up) {
     std::promise<void> done;
     asio::post(io_, [&] {
-        auto& door = *doors_.at(box * routers_ + router);
+        auto& door = *doors_.at(server * routers_ + router);
         if (std::exchange(door.link_up, up) != up)
             arrange(door);
         done.set_value();
@@ -123,7 +123,7 @@
             {
                 const std::lock_guard lock{mutex_};
                 if (asked_.size() < kMost)
-                    asked_.push_back({link->door.box, link->door.router, std::chrono::steady_clock::now(),
+                    asked_.push_back({link->door.server, link->door.router, std::chrono::steady_clock::now(),
                                       std::string{request["Call-Id"]}, request.method() == http::verb::put});
             }
             auto& r = link->response;
@@ -147,11 +147,11 @@
     return asked_;
 }
 
-std::size_t Farm::asked_since(const std::vector<std::size_t>& boxes,
+std::size_t Farm::asked_since(const std::vector<std::size_t>& servers,
                               std::chrono::steady_clock::time_point since) const {
     const auto all = asked();
     return static_cast<std::size_t>(std::count_if(all.begin(), all.end(), [&](const Asked& a) {
-        return a.at >= since && std::find(boxes.begin(), boxes.end(), a.box) != boxes.end();
+        return a.at >= since && std::find(servers.begin(), servers.end(), a.server) != servers.end();
     }));
 }
 
--- a/src/lab/farm.h
+++ b/src/lab/farm.h
@@ -1,7 +1,7 @@
-// Stand-in boxes for a fleet of real processes: each box answers every request as a hit, and listens for each
-// router at a port of its own, so that it is known who asked, and one router's link to it can fail alone. A
-// box or a link that is down refuses connections, and resets those it had. On a thread of its own; what was
-// asked is kept up to a bound.
+// Stand-in servers for a fleet of real processes: each server answers every request as a hit, and listens for
+// each router at a port of its own, so that it is known who asked, and one router's link to it can fail
+// alone. A server or a link that is down refuses connections, and resets those it had. On a thread of its
+// own; what was asked is kept up to a bound.
 #pragma once
 
 #include <chrono>
@@ -18,22 +18,22 @@
 
 class Farm {
 public:
-    Farm(std::size_t boxes, std::size_t routers);
+    Farm(std::size_t servers, std::size_t routers);
     ~Farm();
-    std::string address(std::size_t box, std::size_t router) const;
-    void set_box(std::size_t box, bool up);
-    void set_link(std::size_t box, std::size_t router, bool up);
+    std::string address(std::size_t server, std::size_t router) const;
+    void set_server(std::size_t server, bool up);
+    void set_link(std::size_t server, std::size_t router, bool up);
 
     struct Asked {
-        std::size_t box, router;
+        std::size_t server, router;
         std::chrono::steady_clock::time_point at;
         std::string id;  // the client's
         bool write;
     };
     // Everything asked so far, in order; at most 200,000 are kept.
     std::vector<Asked> asked() const;
-    // Of those, how many came to any of `boxes` since.
-    std::size_t asked_since(const std::vector<std::size_t>& boxes,
+    // Of those, how many came to any of `servers` since.
+    std::size_t asked_since(const std::vector<std::size_t>& servers,
                             std::chrono::steady_clock::time_point since) const;
     // How often each write ran, by the client's id.
     std::map<std::string, int> runs() const;
--- a/src/lab/fleet.cpp
+++ b/src/lab/fleet.cpp
@@ -109,18 +109,18 @@
     std::filesystem::create_directories(dir);
     const bool placed = !options_.places.empty();
     const std::string own = placed ? options_.places.at(i).zone : "edge-1";
-    std::vector<Options::ListedBox> listed;
-    if (options_.boxes)
-        listed = options_.boxes(i);
+    std::vector<Options::ServerRecord> listed;
+    if (options_.servers)
+        listed = options_.servers(i);
     else
-        for (std::size_t k = 0; k < kBoxes; ++k)
-            listed.push_back({box(k), "127.0.0.1:" + std::to_string(1 + k), "edge-1"});
-    std::string boxes;
+        for (std::size_t k = 0; k < kServers; ++k)
+            listed.push_back({server(k), "127.0.0.1:" + std::to_string(1 + k), "edge-1"});
+    std::string servers;
     for (const auto& b : listed) {
-        boxes += boxes.empty() ? R"({"id":")" : R"(,{"id":")";
-        boxes += b.id + R"(","addr":")" + b.address + R"(","zone":")" + b.zone + R"(","kind":")" + b.kind;
-        boxes += R"(","cell":1,"state":")" + b.state + R"(","weight":)" + std::to_string(b.weight) +
-                 R"(,"started_ms":0})";
+        servers += servers.empty() ? R"({"id":")" : R"(,{"id":")";
+        servers += b.id + R"(","addr":")" + b.address + R"(","zone":")" + b.zone + R"(","kind":")" + b.kind;
+        servers += R"(","cell":1,"state":")" + b.state + R"(","weight":)" + std::to_string(b.weight) +
+                   R"(,"started_ms":0})";
     }
     std::size_t in_zone = options_.members;
     if (placed)
@@ -131,7 +131,7 @@
         << R"({"name":")" << name(i) << R"(","listen":")" << http(i) << R"(","seed":")" << (options_.seed + i)
         << R"(","bulletin":"","limits":{"sockets":256,"memory_mb":64},"flow_bytes_per_s":1e6,)"
         << R"("link_bytes_per_s":4e6,"known":{"no":1,"items":[{"no":1,"roster":{"full":true,"servers":[)"
-        << boxes << R"(]}}]},"settings":{"allowed":{"cancel":true,"connect-timeout":400000000,)"
+        << servers << R"(]}}]},"settings":{"allowed":{"cancel":true,"connect-timeout":400000000,)"
         << R"("conn-idle":15000000000,"retry-after":true,"max-retry-after":500000000,"try-limit":6},"classes":[)"
         << R"({"name":"pages","aim":250000000,"give-up":5000000000,"effect":"pure"},)"
         << R"({"name":"lodge","aim":700000000,"give-up":5000000000,"effect":"side_effect"}],"zone":")" << own
--- a/src/lab/fleet.h
+++ b/src/lab/fleet.h
@@ -37,12 +37,12 @@
             std::string zone, region;
         };
         std::vector<Place> places{};
-        // The boxes in member i's list; absent: forty of zone edge-1 that nobody listens for.
-        struct ListedBox {
+        // The servers in member i's list; absent: forty of zone edge-1 that nobody listens for.
+        struct ServerRecord {
             std::string id, address, zone, kind = "small-box", state = "active";
             int weight = 10;
         };
-        std::function<std::vector<ListedBox>(std::size_t)> boxes{};
+        std::function<std::vector<ServerRecord>(std::size_t)> servers{};
         std::string rules = "{}";  // the settings' `invariants`, as JSON text
         std::string family{};      // more keys of `family-info`, as JSON text starting with a comma
     };
@@ -82,9 +82,9 @@
     // A read (or, of class lodge, a write) by a client of member i; the status, 0: no answer, -1: more than
     // one answer. `id`, if not null, is given the client's id.
     int ask(std::size_t i, const std::string& class_name, std::uint64_t object, std::string* id = nullptr);
-    // The boxes in the list that every member is given: "b-0" to "b-39".
-    static constexpr std::size_t kBoxes = 40;
-    static std::string box(std::size_t k) {
+    // The servers in the list that every member is given: "b-0" to "b-39".
+    static constexpr std::size_t kServers = 40;
+    static std::string server(std::size_t k) {
         return std::string{"b-"}.append(std::to_string(k));
     }
     std::filesystem::path folder(std::size_t i) const {
--- a/src/lab/relay.cpp
+++ b/src/lab/relay.cpp
@@ -62,7 +62,7 @@
     std::atomic<unsigned short> member_port{0};
 };
 
-Relay::Relay(std::size_t members, std::uint64_t seed) : dice_(seed) {
+Relay::Relay(std::size_t members, std::uint64_t seed) : random_(seed) {
     for (std::size_t i = 0; i < members; ++i) {
         ports_.push_back(std::make_unique<Port>(io_));
         receive(i);
@@ -127,18 +127,18 @@
             const auto l = from ? link(*from, i) : Link{};
             const auto member = p.member_port.load();
             std::uniform_real_distribution<double> share{0, 1};
-            const bool lost = l.cut || share(dice_) < l.loss || member == 0 || e;
+            const bool lost = l.cut || share(random_) < l.loss || member == 0 || e;
             if (lost) {
                 ++dropped_;
             } else {
-                const int copies = share(dice_) < l.duplicate ? 2 : 1;
+                const int copies = share(random_) < l.duplicate ? 2 : 1;
                 auto bytes = std::make_shared<std::string>(p.datagram.data(), n);
                 const udp::endpoint target{asio::ip::make_address(member_ip(i)), member};
                 for (int c = 0; c < copies; ++c) {
                     auto wait = l.delay;
                     if (l.jitter.count() > 0)
                         wait += std::chrono::milliseconds{
-                            static_cast<long>(dice_() % static_cast<std::uint64_t>(l.jitter.count() + 1))};
+                            static_cast<long>(random_() % static_cast<std::uint64_t>(l.jitter.count() + 1))};
                     if (wait.count() == 0 || held_ >= kMostHeld) {
                         error_code ignored;
                         p.socket.send_to(asio::buffer(*bytes), target, 0, ignored);
--- a/src/lab/relay.h
+++ b/src/lab/relay.h
@@ -63,7 +63,7 @@
     std::vector<std::unique_ptr<Port>> ports_;
     std::mutex mutex_;
     std::map<std::pair<std::size_t, std::size_t>, Link> links_;
-    std::mt19937_64 dice_;
+    std::mt19937_64 random_;
     std::size_t held_ = 0, streams_ = 0;
     std::atomic<std::uint64_t> dropped_{0}, passed_{0};
     std::thread thread_;
--- a/src/lab/servers.cpp
+++ b/src/lab/servers.cpp
@@ -110,12 +110,12 @@
 }
 
 Server::Response Server::good(const std::string& class_name, const std::string& object,
-                              const std::string& part, const char* note, std::int64_t made_ms) const {
+                              const std::string& part, const char* cache_status, std::int64_t made_ms) const {
     Response r{http::status::ok, 11};
     r.body() = bytes_of(class_name, object, part);
     r.set("Tag", "t" + object.substr(0, 8));
     r.set("Made-At", std::to_string(made_ms));
-    r.set("Detail", note);
+    r.set("Detail", cache_status);
     r.set("Backend-Load", "inflight:1;util:0.1;x0:0.7;x1:0.2");
     return r;
 }
@@ -180,7 +180,7 @@
         link->source_request.set(http::field::host, from);
         link->source_request.set("Call-Id", link->request["Call-Id"]);
         // A hub fills from the store, which fills from nowhere.
-        if (role_ == Role::box)
+        if (role_ == Role::server)
             link->source_request.set("Miss-To", "store");
         link->source_request.prepare_payload();
         link->source_response = {};
@@ -226,9 +226,9 @@
                       });
 }
 
-// ---- the bulletin ------------------------------------------------------------------------------
+// ---- discovery ------------------------------------------------------------------------------
 
-struct Bulletin::Link {
+struct DiscoveryWatch::Link {
     explicit Link(tcp::socket s) : socket(std::move(s)) {}
     tcp::socket socket;
     net::beast::flat_buffer buffer;
@@ -239,12 +239,12 @@
     bool writing = false;
 };
 
-Bulletin::Bulletin(asio::io_context& io) : io_(io), acceptor_(io, loopback()), timer_(io) {
+DiscoveryWatch::DiscoveryWatch(asio::io_context& io) : io_(io), acceptor_(io, loopback()), timer_(io) {
     accept();
     beat();
 }
 
-Bulletin::~Bulletin() {
+DiscoveryWatch::~DiscoveryWatch() {
     error_code ignored;
     acceptor_.close(ignored);
     timer_.cancel();
@@ -252,11 +252,11 @@
         link->socket.close(ignored);
 }
 
-std::string Bulletin::address() const {
+std::string DiscoveryWatch::address() const {
     return text_of(acceptor_.local_endpoint());
 }
 
-void Bulletin::say(const Json::Value& event) {
+void DiscoveryWatch::say(const Json::Value& event) {
     if (events_.size() >= kMostEvents) {
         events_.pop_front();
         ++first_;
@@ -268,7 +268,7 @@
         write(link);
 }
 
-void Bulletin::accept() {
+void DiscoveryWatch::accept() {
     acceptor_.async_accept([this](const error_code& error, tcp::socket socket) {
         if (error)
             return;
@@ -277,7 +277,7 @@
     });
 }
 
-void Bulletin::read(const std::shared_ptr<Link>& link) {
+void DiscoveryWatch::read(const std::shared_ptr<Link>& link) {
     http::async_read(link->socket, link->buffer, link->request,
                      [this, link](const error_code& error, std::size_t) {
                          if (error)
@@ -289,7 +289,7 @@
                      });
 }
 
-void Bulletin::write(const std::shared_ptr<Link>& link) {
+void DiscoveryWatch::write(const std::shared_ptr<Link>& link) {
     for (; link->next <= last(); ++link->next) {
         if (link->next < first_)
             continue;
@@ -310,7 +310,7 @@
                       });
 }
 
-void Bulletin::beat() {
+void DiscoveryWatch::beat() {
     timer_.expires_after(500ms);
     timer_.async_wait([this](const error_code& error) {
         if (error)
--- a/src/lab/servers.h
+++ b/src/lab/servers.h
@@ -1,6 +1,6 @@
-// Stand-in servers on loopback: boxes that keep copies and fill misses from a hub or the store, and a
-// bulletin. One thread, ports chosen by the system. They are what the demo and tests need, no model of a real
-// box.
+// Stand-in servers on loopback: servers that keep copies and fill misses from a hub or the store, and a
+// discovery. One thread, ports chosen by the system. They are what the demo and tests need, no model of a
+// real server.
 #pragma once
 
 #include <deque>
@@ -20,7 +20,7 @@
 
 class Server {
 public:
-    enum class Role { box, hub, store };
+    enum class Role { server, hub, store };
     struct Counts {
         std::uint64_t asked = 0;
         std::uint64_t hits = 0;
@@ -55,7 +55,7 @@
     void fetch(const std::shared_ptr<Link>& link, const std::string& from);
     void say(const std::shared_ptr<Link>& link, Response response);
     Response good(const std::string& class_name, const std::string& object, const std::string& part,
-                  const char* note, std::int64_t made_ms) const;
+                  const char* cache_status, std::int64_t made_ms) const;
 
     static constexpr std::size_t kMostCopies = 100'000;
     net::asio::io_context& io_;
@@ -71,10 +71,10 @@
 };
 
 // Tells numbered events to whoever asks, from the one after the last that they have.
-class Bulletin {
+class DiscoveryWatch {
 public:
-    explicit Bulletin(net::asio::io_context& io);
-    ~Bulletin();
+    explicit DiscoveryWatch(net::asio::io_context& io);
+    ~DiscoveryWatch();
     std::string address() const;
     void say(const Json::Value& event);  // its `no` goes up by one each time
     std::int64_t last() const {
--- a/src/lab/sim_net.h
+++ b/src/lab/sim_net.h
@@ -27,7 +27,7 @@
 class SimNet {
 public:
     SimNet(std::size_t members, std::uint64_t seed, SimLink link)
-        : link_(link), dice_(seed), side_(members, 0) {}
+        : link_(link), random_(seed), side_(members, 0) {}
 
     void set(SimLink link) {
         link_ = link;
@@ -74,18 +74,18 @@
 private:
     static constexpr SimTime kResend{200};  // TCP's least retransmission time on Linux
     bool chance(double p) {
-        return p > 0 && std::uniform_real_distribution<>{0, 1}(dice_) < p;
+        return p > 0 && std::uniform_real_distribution<>{0, 1}(random_) < p;
     }
     SimTime travel() {
         return link_.delay + SimTime{static_cast<SimTime::rep>(
-                                 dice_() % static_cast<std::uint64_t>(link_.jitter.count() + 1))};
+                                 random_() % static_cast<std::uint64_t>(link_.jitter.count() + 1))};
     }
     void put(std::size_t from, std::size_t to, Message message, SimTime at) {
         under_way_.emplace(at, Arrival{from, to, std::move(message)});  // equal times: in the order sent
     }
 
     SimLink link_;
-    std::mt19937_64 dice_;
+    std::mt19937_64 random_;
     std::vector<int> side_;
     std::multimap<SimTime, Arrival> under_way_;
 };
--- a/src/lab/site.cpp
+++ b/src/lab/site.cpp
@@ -10,14 +10,14 @@
     return kind == "small-box" ? kZone : "north";
 }
 
-Json::Value class_json(const char* name, int aim_ms, double stretch, int give_up_ms, double worth,
+Json::Value class_json(const char* name, int aim_ms, double stretch, int give_up_ms, double priority_weight,
                        const char* effect) {
     Json::Value c;
     c["name"] = name;
     c["aim"] = Json::Int64{aim_ms * kMs};
     c["aim-stretch"] = stretch;
     c["give-up"] = Json::Int64{give_up_ms * kMs};
-    c["worth"] = worth;
+    c["worth"] = priority_weight;
     c["effect"] = effect;
     return c;
 }
@@ -32,7 +32,7 @@
 }  // namespace
 
 Json::Value router_config(const std::string& name, std::uint64_t seed, const std::string& listen,
-                          const std::string& bulletin, int routers) {
+                          const std::string& discovery, int routers) {
     Json::Value s;
     s["allowed"]["cancel"] = true;
     s["allowed"]["retry-after"] = true;
@@ -76,36 +76,36 @@
     root["name"] = name;
     root["seed"] = digits;
     root["listen"] = listen;
-    root["bulletin"] = bulletin;
+    root["bulletin"] = discovery;
     root["limits"]["sockets"] = 1024;
     root["limits"]["memory_mb"] = 192;
     root["settings"] = std::move(s);
     return root;
 }
 
-Json::Value listed(const BoxPlan& box, const std::string& state) {
+Json::Value listed(const ServerPlan& server, const std::string& state) {
     Json::Value b;
-    b["id"] = box.id;
-    b["addr"] = box.address;
-    b["zone"] = zone_of(box.kind);
-    b["kind"] = box.kind;
-    b["cell"] = Json::Int64{box.cell};
+    b["id"] = server.id;
+    b["addr"] = server.address;
+    b["zone"] = zone_of(server.kind);
+    b["kind"] = server.kind;
+    b["cell"] = Json::Int64{server.cell};
     b["state"] = state;
-    b["weight"] = box.weight;
-    b["started_ms"] = Json::Int64{box.started_ms};
+    b["weight"] = server.weight;
+    b["started_ms"] = Json::Int64{server.started_ms};
     return b;
 }
 
-core::Box known(const BoxPlan& box, winchflow::Condition condition) {
-    core::Box b;
-    b.entry.id = winchflow::CacheId{box.id};
+core::Server known(const ServerPlan& server, routing::Condition condition) {
+    core::Server b;
+    b.entry.id = routing::ServerId{server.id};
     b.entry.condition = condition;
-    b.entry.weight = box.weight;
-    b.entry.cell = winchflow::CellId{box.cell};
-    b.entry.zone = zone_of(box.kind);
-    b.entry.kind = box.kind;
-    b.address = box.address;
-    b.started_ms = box.started_ms;
+    b.entry.weight = server.weight;
+    b.entry.cell = routing::CellId{server.cell};
+    b.entry.zone = zone_of(server.kind);
+    b.entry.kind = server.kind;
+    b.address = server.address;
+    b.started_ms = server.started_ms;
     return b;
 }
 
--- a/src/lab/soak/clients.cpp
+++ b/src/lab/soak/clients.cpp
@@ -26,7 +26,7 @@
 
 Clients::Clients(asio::io_context& io, Oracle& oracle, std::size_t routers, std::size_t each,
                  std::uint64_t seed)
-    : io_(io), oracle_(oracle), dice_(seed), standings_(routers), each_(each) {}
+    : io_(io), oracle_(oracle), random_(seed), standings_(routers), each_(each) {}
 
 void Clients::start() {
     for (std::size_t r = 0; r < standings_.size(); ++r)
@@ -81,17 +81,17 @@
     sent.id = id;
     Request& request = sent.request;
     request.router = router;
-    request.effect = kind == 0 ? Effect::unsafe : kind == 1 ? Effect::keyed : Effect::pure;
+    request.effect = kind == 0 ? Idempotency::none : kind == 1 ? Idempotency::keyed : Idempotency::idempotent;
     const int object = draw(kObjects - 1) * draw(99) / 99;
     request.lot = static_cast<std::size_t>(object) % kLots;
     char path[48];
     std::snprintf(path, sizeof path, "/%016x/", static_cast<unsigned>(object) + 1);
-    const char* name = request.effect == Effect::unsafe  ? "lodge"
-                       : request.effect == Effect::keyed ? "order"
-                                                         : "pages";
+    const char* name = request.effect == Idempotency::none    ? "lodge"
+                       : request.effect == Idempotency::keyed ? "order"
+                                                              : "pages";
     request.path = std::string{name} + path + "0";
     request.wait = Millis{chance(10) ? 60 + draw(200) : 500 + draw(1'500)};
-    const std::string body = request.effect == Effect::pure
+    const std::string body = request.effect == Idempotency::idempotent
                                  ? std::string{}
                                  : std::string(static_cast<std::size_t>(20 + draw(20'000)), 'w');
     bytes += (body.empty() ? "GET /ops/" : "PUT /ops/") + std::string{name} + path +
@@ -99,7 +99,7 @@
              "\r\nMax-Wait-Ms: " + std::to_string(request.wait.count()) +
              "\r\nX-Lot: " + std::to_string(request.lot) +
              "\r\nReserve-Kb: " + std::to_string(terms::kRequestKb) + "\r\n";
-    if (request.effect == Effect::keyed)
+    if (request.effect == Idempotency::keyed)
         bytes += "Replay-Key: k" + sent.id + "\r\n";
     if (!body.empty())
         bytes += "Content-Length: " + std::to_string(body.size()) + "\r\n";
--- a/src/lab/soak/clients.h
+++ b/src/lab/soak/clients.h
@@ -62,7 +62,7 @@
     void lost(Connection& connection, const Sent& sent, bool closed);
     Sent draw_request(std::size_t router, std::string& bytes);
     int draw(int most) {
-        return static_cast<int>(dice_() % static_cast<unsigned>(most + 1));
+        return static_cast<int>(random_() % static_cast<unsigned>(most + 1));
     }
     bool chance(int of_100) {
         return draw(99) < of_100;
@@ -70,7 +70,7 @@
 
     asio::io_context& io_;
     Oracle& oracle_;
-    std::mt19937_64 dice_;
+    std::mt19937_64 random_;
     std::vector<Standing> standings_;
     std::size_t each_;
     std::size_t running_ = 0;
--- a/src/lab/soak/discovery.cpp
+++ b/src/lab/soak/discovery.cpp
@@ -55,7 +55,7 @@
 
 std::string Discovery::server_text(std::size_t server, const Listed& listed, std::size_t router) const {
     return R"({"id":")" + servers_.id(server) + R"(","addr":")" + servers_.address(server, router) +
-           R"(","zone":")" + (servers_.is_cache(server) ? "edge-1" : "north") + R"(","kind":")" +
+           R"(","zone":")" + (servers_.is_cache_server(server) ? "edge-1" : "north") + R"(","kind":")" +
            servers_.kind(server) + R"(","cell":1,"state":")" + word_of(listed.state) + R"(","weight":)" +
            std::to_string(terms::kWeight) + R"(,"started_ms":)" + std::to_string(listed.started_ms) + "}";
 }
--- a/src/lab/soak/oracle.cpp
+++ b/src/lab/soak/oracle.cpp
@@ -72,9 +72,9 @@
     const auto took = Clock::now() - request->written;
     if (Clock::now() > request->answer_due() + 500ms + kRuleSlack + slack())
         violation(Rule::answered, id + ": answered after " + in_ms(took) + " of " + in_ms(request->wait));
-    if ((status == 429 || status == 503) && request->effect == Effect::unsafe && request->runs > 0)
+    if ((status == 429 || status == 503) && request->effect == Idempotency::none && request->runs > 0)
         violation(Rule::not_refused, id + ": refused, though it has run");
-    if (status == 200 && request->effect == Effect::pure)
+    if (status == 200 && request->effect == Idempotency::idempotent)
         check_copy(id, *request, body);
 }
 
@@ -174,9 +174,10 @@
         request->first_run = now;
     if (request->runs == 1)
         return;
-    if (request->effect == Effect::unsafe)
+    if (request->effect == Idempotency::none)
         violation(Rule::not_repeated, id + ": ran again");
-    if (request->effect == Effect::keyed && now > *request->first_run + terms::kWindow + kRuleSlack + slack())
+    if (request->effect == Idempotency::keyed &&
+        now > *request->first_run + terms::kWindow + kRuleSlack + slack())
         violation(Rule::not_repeated, id + ": ran again after " + in_ms(now - *request->first_run));
 }
 
--- a/src/lab/soak/oracle.h
+++ b/src/lab/soak/oracle.h
@@ -57,12 +57,12 @@
 constexpr std::size_t kRules = static_cast<std::size_t>(Rule::count_);
 std::string_view name_of(Rule rule);
 
-enum class Effect : std::uint8_t { pure, unsafe, keyed };
+enum class Idempotency : std::uint8_t { idempotent, none, keyed };
 
 // One request as its client knows it.
 struct Request {
     std::size_t router = 0;
-    Effect effect = Effect::pure;
+    Idempotency effect = Idempotency::idempotent;
     std::string path;  // CLASS/OBJECT/PART
     std::size_t lot = 0;
     Millis wait{};
--- a/src/lab/soak/servers.cpp
+++ b/src/lab/soak/servers.cpp
@@ -22,12 +22,12 @@
     return response;
 }
 
-Response good(const std::string& path, std::int64_t made_ms, const char* note) {
+Response good(const std::string& path, std::int64_t made_ms, const char* cache_status) {
     Response response{http::status::ok, 11};
     response.body() = body_of(path, made_ms);
     response.set("Tag", "t" + std::to_string(made_ms));
     response.set("Made-At", std::to_string(made_ms));
-    response.set("Detail", note);
+    response.set("Detail", cache_status);
     return response;
 }
 
@@ -45,7 +45,7 @@
 
 Servers::Servers(asio::io_context& io, Oracle& oracle, std::size_t servers, std::size_t routers,
                  std::uint64_t seed)
-    : io_(io), oracle_(oracle), dice_(seed) {
+    : io_(io), oracle_(oracle), random_(seed) {
     for (std::size_t i = 0; i < servers; ++i) {
         servers_.push_back(std::make_unique<Server>());
         for (std::size_t r = 0; r < routers; ++r) {
@@ -72,7 +72,7 @@
 }
 
 const char* Servers::kind(std::size_t server) const {
-    if (is_cache(server))
+    if (is_cache_server(server))
         return "cache";
     return server + 1 == servers_.size() ? "store" : "hub";
 }
@@ -175,7 +175,7 @@
 Task<Servers::Next> Servers::misbehave(std::size_t server, Exchange& exchange) {
     const Misbehaviour how = servers_[server]->how;
     int drawn = draw(std::max(0, how.hang + how.reset + how.error + how.spoil - 1));
-    const bool runs = exchange.write && draw(1) == 1 && !is_cache(server);
+    const bool runs = exchange.write && draw(1) == 1 && !is_cache_server(server);
     if (runs)
         run(exchange);
     if (drawn < how.hang) {
--- a/src/lab/soak/servers.h
+++ b/src/lab/soak/servers.h
@@ -35,7 +35,7 @@
         return "s-" + std::to_string(server);
     }
     const char* kind(std::size_t server) const;
-    bool is_cache(std::size_t server) const {
+    bool is_cache_server(std::size_t server) const {
         return server + kHubs + 1 < servers_.size();
     }
     std::string address(std::size_t server, std::size_t router) const;
@@ -74,12 +74,12 @@
     std::optional<std::size_t> place(const std::string& id) const;
     void run(Exchange& exchange);
     int draw(int most) {
-        return static_cast<int>(dice_() % static_cast<unsigned>(most + 1));
+        return static_cast<int>(random_() % static_cast<unsigned>(most + 1));
     }
 
     asio::io_context& io_;
     Oracle& oracle_;
-    std::mt19937_64 dice_;
+    std::mt19937_64 random_;
     std::vector<std::unique_ptr<Server>> servers_;
     std::map<std::string, Moment> keys_;  // the servers share which keys they have seen
 };
--- a/src/lab/soak/soak.cpp
+++ b/src/lab/soak/soak.cpp
@@ -360,7 +360,7 @@
 
     void bring_up_cold(std::size_t server) {
         servers_.set_up(server, true);
-        if (servers_.is_cache(server))
+        if (servers_.is_cache_server(server))
             oracle_.server_started(server);
         discovery_.restarted(server);
         gone_.erase(server);
@@ -372,8 +372,8 @@
             return false;
         std::size_t alike = 0;
         for (const std::size_t other : gone_)
-            alike += servers_.is_cache(other) == servers_.is_cache(server);
-        if (alike >= (servers_.is_cache(server) ? (servers_.count() - Servers::kHubs) / 3 : 1))
+            alike += servers_.is_cache_server(other) == servers_.is_cache_server(server);
+        if (alike >= (servers_.is_cache_server(server) ? (servers_.count() - Servers::kHubs) / 3 : 1))
             return false;
         gone_.insert(server);
         return true;
--- a/src/limits/gcra.h
+++ b/src/limits/gcra.h
@@ -4,12 +4,12 @@
 
 #include <cstdint>
 
-#include "winchflow/router.h"
+#include "silverrail/routing/router.h"
 
 namespace silverrail::limits {
 
-using winchflow::Span;
-using winchflow::Time;
+using routing::Span;
+using routing::Time;
 
 struct Verdict {
     bool admitted = false;
--- a/src/members/bans.cpp
+++ b/src/members/bans.cpp
@@ -27,7 +27,7 @@
            std::all_of(id.begin(), id.end(), [](char c) { return c > ' ' && c < '\x7f'; });
 }
 
-bool Bans::add(const winchflow::CacheId& id) {
+bool Bans::add(const routing::ServerId& id) {
     if (!fits(id.address) || (ids_.size() >= kMost && !ids_.contains(id)))
         return false;
     ids_.insert(id);
@@ -56,7 +56,7 @@
                 text.empty() && line->substr(kEnd.size()) == std::to_string(result.bans.ids_.size());
             return whole ? result : damaged;
         }
-        if (!line->starts_with("out ") || !result.bans.add(winchflow::CacheId{std::string{line->substr(4)}}))
+        if (!line->starts_with("out ") || !result.bans.add(routing::ServerId{std::string{line->substr(4)}}))
             return damaged;
     }
     return damaged;
--- a/src/members/bans.h
+++ b/src/members/bans.h
@@ -1,4 +1,4 @@
-// The boxes that are out by hand, by id, and the text in which they are kept. No I/O.
+// The servers that are out by hand, by id, and the text in which they are kept. No I/O.
 #pragma once
 
 #include <optional>
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-#include "winchflow/router.h"
+#include "silverrail/routing/router.h"
 
 namespace silverrail::members {
 
@@ -18,14 +18,14 @@
     // An id that can be kept: of visible ASCII, and not too long.
     static bool fits(std::string_view id);
     // False: it is full, or no such id can be.
-    bool add(const winchflow::CacheId& id);
-    void remove(const winchflow::CacheId& id) {
+    bool add(const routing::ServerId& id);
+    void remove(const routing::ServerId& id) {
         ids_.erase(id);
     }
-    bool contains(const winchflow::CacheId& id) const {
+    bool contains(const routing::ServerId& id) const {
         return ids_.contains(id);
     }
-    const std::set<winchflow::CacheId>& ids() const {
+    const std::set<routing::ServerId>& ids() const {
         return ids_;
     }
     bool operator==(const Bans&) const = default;
@@ -37,7 +37,7 @@
     static Read read(std::string_view text);
 
 private:
-    std::set<winchflow::CacheId> ids_;
+    std::set<routing::ServerId> ids_;
 };
 
 struct Bans::Read {
--- a/src/members/shares.cpp
+++ b/src/members/shares.cpp
@@ -8,7 +8,7 @@
 // Clients hold a third of the descriptors at most. Some more are for those that are about to be closed.
 constexpr std::size_t kClientsPart = 3;
 constexpr std::size_t kClosing = 24;
-// Where few are left, a connection that asks needs one to a box.
+// Where few are left, a connection that asks needs one to a server.
 constexpr std::size_t kClientsOfLeft = 60;  // per cent
 // The least that still serves, whatever the limits say.
 constexpr std::size_t kLeast = 8;
@@ -31,7 +31,7 @@
     const std::size_t left = sockets > taken ? sockets - taken : 0;
     s.clients = std::max(
         kLeast, std::min(sockets / kClientsPart + kClosing / processes, left * kClientsOfLeft / 100));
-    s.boxes = std::max(kLeast, left - std::min(left, s.clients));
+    s.servers = std::max(kLeast, left - std::min(left, s.clients));
     s.copies_bytes = whole.memory_bytes / kCopiesPart / processes;
     return s;
 }
--- a/src/members/shares.h
+++ b/src/members/shares.h
@@ -15,7 +15,7 @@
 
 struct Shares {
     std::size_t clients = 0;       // connections of clients
-    std::size_t boxes = 0;         // connections to boxes
+    std::size_t servers = 0;       // connections to servers
     std::size_t callers = 0;       // connections at the second address
     std::size_t copies_bytes = 0;  // for copies of the router's own
 };
@@ -23,7 +23,7 @@
 // `processes`: how many count as the one router, this one among them.
 Shares shares_of(const Whole& whole, std::size_t processes);
 
-// Descriptors that a process needs besides: standard streams, the event loop's, listeners, the bulletin (two
+// Descriptors that a process needs besides: standard streams, the event loop's, listeners, discovery (two
 // while it moves), files that are open for a moment.
 inline constexpr std::size_t kFixed = 16;
 
--- a/src/net/bulletin.cpp
+++ b/src/net/discovery_watch.cpp
@@ -1,4 +1,4 @@
-#include "net/bulletin.h"
+#include "net/discovery_watch.h"
 
 #include <algorithm>
 #include <array>
@@ -22,7 +22,7 @@
 constexpr std::chrono::milliseconds kCaughtUp{300};
 }  // namespace
 
-struct Bulletin::Link {
+struct DiscoveryWatch::Link {
     explicit Link(asio::io_context& io) : socket(io), silence(io) {
         parser.body_limit(boost::none);
     }
@@ -43,8 +43,8 @@
     bool over = false;
 };
 
-Bulletin::Bulletin(asio::io_context& io, tcp::endpoint at, std::int64_t last, Take take, Log& log,
-                   std::uint64_t seed)
+DiscoveryWatch::DiscoveryWatch(asio::io_context& io, tcp::endpoint at, std::int64_t last, Take take, Log& log,
+                               std::uint64_t seed)
     : io_(io),
       at_(std::move(at)),
       last_(last),
@@ -53,13 +53,13 @@
       wait_(io),
       pause_(kFirstPause, kLongestPause, seed) {}
 
-Bulletin::~Bulletin() {
+DiscoveryWatch::~DiscoveryWatch() {
     if (link_)
         link_->close();
     let_go(std::move(unanswered_));
 }
 
-void Bulletin::move_to(const tcp::endpoint& at) {
+void DiscoveryWatch::move_to(const tcp::endpoint& at) {
     if (at == at_)
         return;
     at_ = at;
@@ -73,7 +73,7 @@
     connect();
 }
 
-void Bulletin::connect() {
+void DiscoveryWatch::connect() {
     ++counters_.connects;
     const auto link = link_ = std::make_shared<Link>(io_);
     link->silence.expires_after(kConnect);
@@ -90,7 +90,7 @@
     });
 }
 
-void Bulletin::request(const std::shared_ptr<Link>& link) {
+void DiscoveryWatch::request(const std::shared_ptr<Link>& link) {
     link->request = {http::verb::get, "/bulletins", 11};
     link->request.set(http::field::host, at_.address().to_string() + ":" + std::to_string(at_.port()));
     link->request.set(http::field::accept, "text/event-stream");
@@ -119,7 +119,7 @@
 }
 
 // The first to answer is the one that is read.
-void Bulletin::answered(const std::shared_ptr<Link>& link) {
+void DiscoveryWatch::answered(const std::shared_ptr<Link>& link) {
     if (link_ != link) {
         if (link_)
             link_->close();
@@ -135,7 +135,7 @@
 }
 
 // No answer in time: it may be slow, and it may be dead.
-void Bulletin::ask_beside(const std::shared_ptr<Link>& link) {
+void DiscoveryWatch::ask_beside(const std::shared_ptr<Link>& link) {
     if (link_ != link)
         return;
     ++counters_.slow;
@@ -153,12 +153,12 @@
     connect_after_pause();
 }
 
-void Bulletin::let_go(std::vector<std::shared_ptr<Link>> links) {
+void DiscoveryWatch::let_go(std::vector<std::shared_ptr<Link>> links) {
     for (const auto& link : links)
         link->close();
 }
 
-void Bulletin::read(const std::shared_ptr<Link>& link) {
+void DiscoveryWatch::read(const std::shared_ptr<Link>& link) {
     auto& body = link->parser.get().body();
     body.data = link->bytes.data();
     body.size = link->bytes.size();
@@ -188,7 +188,7 @@
         });
 }
 
-void Bulletin::alive(const std::shared_ptr<Link>& link) {
+void DiscoveryWatch::alive(const std::shared_ptr<Link>& link) {
     arm(link);
     if (std::chrono::steady_clock::now() < link->answered + kCaughtUp)
         return;
@@ -197,7 +197,7 @@
     sure(true);
 }
 
-void Bulletin::arm(const std::shared_ptr<Link>& link) {
+void DiscoveryWatch::arm(const std::shared_ptr<Link>& link) {
     link->silence.expires_after(kSilence);
     link->silence.async_wait([this, link](const error_code& error) {
         if (!error && !link->over)
@@ -205,7 +205,7 @@
     });
 }
 
-void Bulletin::again(const std::shared_ptr<Link>& link, const char* why) {
+void DiscoveryWatch::again(const std::shared_ptr<Link>& link, const char* why) {
     if (std::exchange(link->over, true))
         return;
     sure(false);
@@ -219,7 +219,7 @@
     connect_after_pause();
 }
 
-void Bulletin::connect_after_pause() {
+void DiscoveryWatch::connect_after_pause() {
     wait_.expires_after(pause_.next());
     wait_.async_wait([this](const error_code& error) {
         // Guards against two connections: a move may have made one after this wait was over.
@@ -228,7 +228,7 @@
     });
 }
 
-void Bulletin::sure(bool now) {
+void DiscoveryWatch::sure(bool now) {
     if (std::exchange(sure_, now) == now)
         return;
     unsure_since_ = std::chrono::steady_clock::now();
@@ -236,11 +236,11 @@
         told_sure_(now);
 }
 
-std::chrono::steady_clock::duration Bulletin::unheard_for() const {
+std::chrono::steady_clock::duration DiscoveryWatch::unheard_for() const {
     return sure_ ? std::chrono::steady_clock::duration{} : std::chrono::steady_clock::now() - unsure_since_;
 }
 
-void Bulletin::take(const std::shared_ptr<Link>& link, const SseParser::Event& event) {
+void DiscoveryWatch::take(const std::shared_ptr<Link>& link, const SseParser::Event& event) {
     std::int64_t no = 0;
     const auto [end, error] = std::from_chars(event.id.data(), event.id.data() + event.id.size(), no);
     if (error != std::errc{} || end != event.id.data() + event.id.size())
@@ -261,9 +261,9 @@
         last_ = no;
 }
 
-// Guards against a drain or purge that was lost on the way: the bulletin is asked again from the last good
+// Guards against a drain or purge that was lost on the way: discovery is asked again from the last good
 // event. Once, as what it tells the same way twice is how it tells it.
-bool Bulletin::ask_again(const std::shared_ptr<Link>& link, std::int64_t no, const char* why) {
+bool DiscoveryWatch::ask_again(const std::shared_ptr<Link>& link, std::int64_t no, const char* why) {
     if (no == std::exchange(doubted_, no))
         return false;
     again(link, why);
--- a/src/net/bulletin.h
+++ b/src/net/discovery_watch.h
@@ -1,4 +1,4 @@
-// Follows the bulletin: connects, resumes after the last event, and connects anew when it falls silent.
+// Follows discovery: connects, resumes after the last event, and connects anew when it falls silent.
 #pragma once
 
 #include <functional>
@@ -12,7 +12,7 @@
 
 namespace silverrail::net {
 
-class Bulletin {
+class DiscoveryWatch {
 public:
     // False: the event can't be read.
     using Take = std::function<bool(std::int64_t no, std::string_view data)>;
@@ -26,9 +26,9 @@
     // bytes are no sign of life, as a feed that never ends a line tells nothing.
     static constexpr std::chrono::milliseconds kSilence{1800};
 
-    Bulletin(asio::io_context& io, tcp::endpoint at, std::int64_t last, Take take, Log& log,
-             std::uint64_t seed);
-    ~Bulletin();
+    DiscoveryWatch(asio::io_context& io, tcp::endpoint at, std::int64_t last, Take take, Log& log,
+                   std::uint64_t seed);
+    ~DiscoveryWatch();
     // Told whenever it begins or ceases to be sure that all events come through.
     void when_sure(std::function<void(bool)> told) {
         told_sure_ = std::move(told);
--- a/src/net/dns_server.cpp
+++ b/src/net/dns_server.cpp
@@ -171,7 +171,7 @@
             alive->close();
 }
 
-// Guards rule 3 (drains): an answer that waited behind others may be too old to name its box.
+// Guards rule 3 (drains): an answer that waited behind others may be too old to name its server.
 const std::string& DnsServer::due(const DnsAnswer& answer) const {
     return answer.leave_by && clock_.now() > *answer.leave_by ? answer.instead : answer.bytes;
 }
