--- a/src/net/upstream.cpp
+++ b/src/net/upstream.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 using core::AttemptEnd;
-using core::Ending;
-using core::Note;
+using core::AttemptStatus;
+using core::CacheStatus;
 using namespace std::chrono_literals;
 
 // Pauses before a connection is opened anew double from the first; all of them together stay under a quarter
@@ -50,16 +50,16 @@
 
 }  // namespace
 
-Note note_of(std::string_view word) {
+CacheStatus note_of(std::string_view word) {
     static constexpr std::array<std::string_view, 10> kWords{
         "hit",         "filled",    "via_origin", "joined",  "stale",
         "src_refused", "src_broke", "src_lacks",  "no_slot", "origin_failed"};
     const auto at = std::find(kWords.begin(), kWords.end(), word);
-    return at == kWords.end() ? Note::none : static_cast<Note>(at - kWords.begin() + 1);
+    return at == kWords.end() ? CacheStatus::none : static_cast<CacheStatus>(at - kWords.begin() + 1);
 }
 
-winchflow::Load load_of(std::string_view text) {
-    winchflow::Load load;
+routing::LoadReport load_of(std::string_view text) {
+    routing::LoadReport load;
     while (!text.empty()) {
         const auto end = std::min(text.find(';'), text.size());
         const std::string_view pair = text.substr(0, end);
@@ -83,7 +83,8 @@
     return load;
 }
 
-http::request<http::string_body> box_request(const core::Order& order, core::Span oldest, core::Span left) {
+http::request<http::string_body> server_request(const core::Order& order, core::Span oldest,
+                                                core::Span left) {
     const core::Call& call = *order.call;
     http::request<http::string_body> r{
         call.write ? http::verb::put : http::verb::get,
@@ -94,13 +95,13 @@
     r.set(http::field::host, order.address);
     r.set("Call-Id", call.trace);
     r.set("Call-Ms", ms(left));
-    // Guards the repeats of a keyed class: without it a box could not tell one from a new request.
+    // Guards the repeats of a keyed class: without it a server could not tell one from a new request.
     if (!call.idempotency_key.empty())
         r.set("Call-Once", call.idempotency_key);
     if (order.source)
         r.set("Miss-To", order.source->address);
-    if (order.rank > 0)
-        r.set("Store-As", std::to_string(order.rank));
+    if (order.retention > 0)
+        r.set("Store-As", std::to_string(order.retention));
     if (oldest > core::Span{})
         r.set("No-Older-Than", ms(oldest));
     std::string handling;
@@ -111,9 +112,9 @@
     };
     if (order.join)
         say("j");
-    if (order.held_only)
+    if (order.only_if_cached)
         say("h");
-    if (order.renew)
+    if (order.revalidate)
         say("r");
     if (!handling.empty())
         r.set("Handling", handling);
@@ -126,10 +127,10 @@
     return r;
 }
 
-AttemptEnd box_answer(http::response<http::string_body> answer) {
+AttemptEnd server_answer(http::response<http::string_body> answer) {
     AttemptEnd end;
     const bool never_ran = view(answer["Not-Begun"]) == "1";
-    end.note = note_of(view(answer["Detail"]));
+    end.cache_status = note_of(view(answer["Detail"]));
     end.load = load_of(view(answer["Backend-Load"]));
     if (const double waited = number(view(answer["Fill-Wait"])); waited >= 0 && waited < 1e9)
         end.source_wait =
@@ -137,23 +138,23 @@
     switch (answer.result_int()) {
         case 200:
         case 304:
-            end.ending = Ending::good;
+            end.attempt_status = AttemptStatus::success;
             end.unchanged = answer.result_int() == 304;
             end.tag = view(answer["Tag"]);
             end.made_ms = made_at(view(answer["Made-At"]));
             end.body = std::move(answer.body());
             break;
         case 404:
-            end.ending = Ending::miss;
+            end.attempt_status = AttemptStatus::miss;
             break;
         case 503:
-            end.ending = never_ran ? Ending::full : Ending::error;
+            end.attempt_status = never_ran ? AttemptStatus::overloaded : AttemptStatus::error;
             break;
         case 504:
-            end.ending = never_ran ? Ending::not_sent : Ending::error;
+            end.attempt_status = never_ran ? AttemptStatus::not_sent : AttemptStatus::error;
             break;
         default:
-            end.ending = Ending::error;
+            end.attempt_status = AttemptStatus::error;
             break;
     }
     return end;
@@ -181,7 +182,7 @@
     beast::flat_buffer buffer;
     std::shared_ptr<std::size_t> count;
     core::Time idle_since{};
-    std::shared_ptr<Box> box;  // the one that it was opened to; absent while it is idle there
+    std::shared_ptr<Server> server;  // the one that it was opened to; absent while it is idle there
     bool idle = false;
 };
 
@@ -213,8 +214,8 @@
         if (attempt->link)
             attempt->link->close();
     }
-    for (auto& [id, box] : boxes_)
-        for (auto& link : box->idle)
+    for (auto& [id, server] : servers_)
+        for (auto& link : server->idle)
             link->close();
 }
 
@@ -233,7 +234,7 @@
     if (!make_room()) {
         if (waiting_.size() >= limits_.waiting) {
             log_.line("upstream-full", "%zu sockets, %zu wait", *open_, waiting_.size());
-            return end(attempt, {.ending = Ending::not_sent});
+            return end(attempt, {.attempt_status = AttemptStatus::not_sent});
         }
         waiting_.push_back(attempt);
         return;
@@ -248,29 +249,29 @@
     if (!to || error) {
         log_.line("bad-address", "box %s at %s", attempt->order.target.address.c_str(),
                   attempt->order.address.c_str());
-        return end(attempt, {.ending = Ending::not_sent});
+        return end(attempt, {.attempt_status = AttemptStatus::not_sent});
     }
     const tcp::endpoint endpoint{host, to->port};
     attempt->link = std::make_shared<Link>(io_, open_);
-    auto& box = boxes_[attempt->order.target];
-    if (!box)
-        box = std::make_shared<Box>();
-    attempt->link->box = box;
+    auto& server = servers_[attempt->order.target];
+    if (!server)
+        server = std::make_shared<Server>();
+    attempt->link->server = server;
     attempt->link->socket.open(endpoint.protocol(), error);
     if (error) {
-        // No descriptor: nothing was sent, and the box has no part in it.
+        // No descriptor: nothing was sent, and the server has no part in it.
         log_.line("no-descriptors", "connect: %s", error.message().c_str());
         shed(16);
         attempt->link->socket.open(endpoint.protocol(), error);
         if (error)
-            return open_again(attempt, error, Ending::not_sent);
+            return open_again(attempt, error, AttemptStatus::not_sent);
     }
     attempt->link->socket.set_option(tcp::no_delay(true), error);
     attempt->limit.expires_after(limits_.connect_timeout);
     attempt->limit.async_wait([this, attempt](const error_code& e) {
         if (e || attempt->over || !attempt->link || attempt->bytes_out)
             return;
-        end(attempt, {.ending = Ending::no_connection});
+        end(attempt, {.attempt_status = AttemptStatus::connect_failed});
     });
     attempt->link->socket.async_connect(
         endpoint, [this, attempt, link = attempt->link](const error_code& e) { connected(attempt, e); });
@@ -283,21 +284,21 @@
     if (!error)
         return write(attempt);
     if (is_local_trouble(error))
-        return open_again(attempt, error, Ending::no_connection);
+        return open_again(attempt, error, AttemptStatus::connect_failed);
     if (error != asio::error::connection_refused && error != asio::error::operation_aborted)
         log_.line("connect-failed", "box %s: %s", attempt->order.target.address.c_str(),
                   error.message().c_str());
-    end(attempt, {.ending = Ending::no_connection});
+    end(attempt, {.attempt_status = AttemptStatus::connect_failed});
 }
 
 void Upstream::open_again(const std::shared_ptr<Attempt>& attempt, const error_code& error,
-                          core::Ending ending) {
+                          core::AttemptStatus attempt_status) {
     log_.line("connect-local", "%s to %s: %s", attempt->order.call->trace.c_str(),
               attempt->order.target.address.c_str(), error.message().c_str());
     const auto pause = kFirstPause * (1 << attempt->opens_again);
     const bool in_time = clock_.now() + pause < attempt->order.give_up;
     if (++attempt->opens_again > kOpensAgain || !in_time)
-        return end(attempt, {.ending = ending});
+        return end(attempt, {.attempt_status = attempt_status});
     attempt->link->close();
     attempt->link = nullptr;
     attempt->limit.expires_after(pause);
@@ -311,10 +312,10 @@
     const auto oldest = attempt->events->before_first_byte(attempt->order.key);
     if (!oldest) {
         if (!attempt->over)
-            end(attempt, {.ending = Ending::not_sent});
+            end(attempt, {.attempt_status = AttemptStatus::not_sent});
         return;
     }
-    attempt->request = box_request(attempt->order, *oldest, attempt->order.give_up - clock_.now());
+    attempt->request = server_request(attempt->order, *oldest, attempt->order.give_up - clock_.now());
     attempt->bytes_out = true;  // from here on it may run
     http::async_write(attempt->link->socket, attempt->request,
                       [attempt, link = attempt->link](const error_code& error, std::size_t) {
@@ -333,7 +334,7 @@
 }
 
 // The head by itself: read together with its body, Beast 1.74 loses the error of a length over the limit, and
-// reserves whatever the box claims.
+// reserves whatever the server claims.
 void Upstream::read(const std::shared_ptr<Attempt>& attempt) {
     attempt->parser.emplace();
     attempt->parser->body_limit(limits_.answer);
@@ -376,7 +377,7 @@
     auto answer = attempt->parser->release();
     if (keeps)
         keep(attempt);
-    end(attempt, box_answer(std::move(answer)));
+    end(attempt, server_answer(std::move(answer)));
 }
 
 // Bytes are out: it may have run, so it is never sent again from here, also on a stale connection.
@@ -384,7 +385,7 @@
     const bool not_http = error.category() == http::make_error_code(http::error::bad_version).category();
     if (not_http && error != http::error::end_of_stream && error != http::error::partial_message)
         log_.line("bad-answer", "box %s: %s", attempt->order.target.address.c_str(), error.message().c_str());
-    end(attempt, {.ending = Ending::reset});
+    end(attempt, {.attempt_status = AttemptStatus::reset});
 }
 
 void Upstream::end(const std::shared_ptr<Attempt>& attempt, AttemptEnd end) {
@@ -414,23 +415,23 @@
     serve_waiting();
 }
 
-// The connection goes back to the pool, unless the box has gone or started anew meanwhile.
+// The connection goes back to the pool, unless the server has gone or started anew meanwhile.
 void Upstream::keep(const std::shared_ptr<Attempt>& attempt) {
     auto link = std::exchange(attempt->link, nullptr);
-    const auto box = std::exchange(link->box, nullptr);
-    if (box->gone || box->idle.size() >= limits_.idle_each || link->buffer.size() > 0) {
+    const auto server = std::exchange(link->server, nullptr);
+    if (server->gone || server->idle.size() >= limits_.idle_each || link->buffer.size() > 0) {
         link->close();
         return;
     }
     link->buffer.clear();
     link->idle_since = clock_.now();
     link->idle = true;
-    box->idle.push_back(link);
-    watch(box, link);
+    server->idle.push_back(link);
+    watch(server, link);
 }
 
-void Upstream::watch(const std::shared_ptr<Box>& box, const std::shared_ptr<Link>& link) {
-    link->socket.async_wait(tcp::socket::wait_read, [this, owner = std::weak_ptr{box},
+void Upstream::watch(const std::shared_ptr<Server>& server, const std::shared_ptr<Link>& link) {
+    link->socket.async_wait(tcp::socket::wait_read, [this, owner = std::weak_ptr{server},
                                                      weak = std::weak_ptr{link}](const error_code& error) {
         if (down_ || error == asio::error::operation_aborted)
             return;
@@ -444,12 +445,12 @@
     });
 }
 
-std::shared_ptr<Upstream::Link> Upstream::take_idle(const core::CacheId& id) {
-    auto at = boxes_.find(id);
-    if (at == boxes_.end())
+std::shared_ptr<Upstream::Link> Upstream::take_idle(const core::ServerId& id) {
+    auto at = servers_.find(id);
+    if (at == servers_.end())
         return nullptr;
     auto& idle = at->second->idle;
-    // The last used of those that have rested: the longer one is idle, the likelier its box closes it.
+    // The last used of those that have rested: the longer one is idle, the likelier its server closes it.
     const core::Time rested = clock_.now() - limits_.rest;
     while (true) {
         const auto from =
@@ -462,22 +463,23 @@
         error_code ignored;
         link->socket.cancel(ignored);  // the watch
         if (!link->stale()) {
-            link->box = at->second;
+            link->server = at->second;
             return link;
         }
         link->close();
     }
 }
 
-// Guards against what piles up as boxes come and go: nothing of a box that went is kept but what is in use.
-void Upstream::forget(const core::CacheId& id) {
-    const auto at = boxes_.find(id);
-    if (at == boxes_.end())
+// Guards against what piles up as servers come and go: nothing of a server that went is kept but what is in
+// use.
+void Upstream::forget(const core::ServerId& id) {
+    const auto at = servers_.find(id);
+    if (at == servers_.end())
         return;
-    const auto box = at->second;
-    boxes_.erase(at);
-    box->gone = true;
-    for (auto& link : std::exchange(box->idle, {})) {
+    const auto server = at->second;
+    servers_.erase(at);
+    server->gone = true;
+    for (auto& link : std::exchange(server->idle, {})) {
         link->idle = false;
         link->close();
     }
@@ -499,11 +501,11 @@
 
 void Upstream::shed(std::size_t count) {
     for (; count > 0; --count) {
-        Box* longest = nullptr;
-        for (auto& [id, box] : boxes_)
-            if (!box->idle.empty() &&
-                (!longest || box->idle.front()->idle_since < longest->idle.front()->idle_since))
-                longest = box.get();
+        Server* longest = nullptr;
+        for (auto& [id, server] : servers_)
+            if (!server->idle.empty() &&
+                (!longest || server->idle.front()->idle_since < longest->idle.front()->idle_since))
+                longest = server.get();
         if (!longest)
             return;
         longest->idle.front()->idle = false;
@@ -523,14 +525,15 @@
 
 void Upstream::sweep() {
     const core::Time now = clock_.now();
-    for (auto& [id, box] : boxes_)
-        while (!box->idle.empty() && box->idle.front()->idle_since + limits_.idle < now) {
-            box->idle.front()->idle = false;
-            box->idle.front()->close();
-            box->idle.pop_front();
+    for (auto& [id, server] : servers_)
+        while (!server->idle.empty() && server->idle.front()->idle_since + limits_.idle < now) {
+            server->idle.front()->idle = false;
+            server->idle.front()->close();
+            server->idle.pop_front();
         }
     // One that a connection in use belongs to has a second owner.
-    std::erase_if(boxes_, [](const auto& e) { return e.second->idle.empty() && e.second.use_count() == 1; });
+    std::erase_if(servers_,
+                  [](const auto& e) { return e.second->idle.empty() && e.second.use_count() == 1; });
     sweeper_.expires_after(std::chrono::seconds{1});
     sweeper_.async_wait([this](const error_code& error) {
         if (!error)
--- a/src/brain.cpp
+++ b/src/routing/brain.cpp
@@ -1,6 +1,7 @@
-// Every decision of winchflow. Its interface - types, events, actions - is include/winchflow/router.h.
-// In reading order: tuned values, tracker and resizing, fleet and health, rule guards, fill path,
-// request life. The design followed is "Cache on Track" (CoT); docs/design.md says what was changed.
+// The decisions behind silverrail::routing::Router. Types, events and actions:
+// include/silverrail/routing/router.h. In reading order: tuned values, tracker and resizing, fleet and
+// health, rule guards, fill path, request life. The design followed is "Cache on Track" (CoT); docs/design.md
+// says what was changed.
 
 #include <algorithm>
 #include <array>
@@ -12,16 +13,16 @@
 #include <tuple>
 #include <utility>
 
-#include "winchflow/router.h"
+#include "silverrail/routing/router.h"
 
-namespace winchflow {
+namespace silverrail::routing {
 namespace {
 
 using namespace std::chrono_literals;
 
 // ---- tuned values ------------------------------------------------------------------------------
 
-// Tracker: large against what a gateway sees between two requests for a warm object, so that a scan of
+// Tracker: large against what a router sees between two requests for a warm object, so that a scan of
 // one-off objects does not wash it; C starts small, as the design wants, and the cap bounds memory.
 constexpr std::size_t kTrackerStart = 2048;
 constexpr std::size_t kTrackerCap = 16384;
@@ -39,7 +40,7 @@
 constexpr double kChance = 2;      // deviations: a share of few answers or fills is often passed by chance
 constexpr double kCacheLeast = 1;  // late hits lower the room at caches down to one request at a time
 constexpr double kLeastRoom = 2;   // at a parent: a tiny share must still let a request through
-// Silence: a gateway with little traffic hears so seldom from each cache that a large or crowded answer looks
+// Silence: a router with little traffic hears so seldom from each cache that a large or crowded answer looks
 // like silence, and a fill cancelled leaves no copy; at three aims hardly any live one is still out.
 constexpr double kFirstLook = 3.0;
 constexpr double kNextLook = 0.25;
@@ -66,7 +67,7 @@
 // Cold budgets: 0.6 of the share as a rate and 0.25 of it as a burst leave 15% for chance in every window.
 constexpr double kColdRate = 0.6;
 constexpr double kColdBurst = 0.25;
-// Reads at the origin while parents fail: all gateways together three zone links' worth, since an
+// Reads at the origin while parents fail: all routers together three zone links' worth, since an
 // origin behind parents is built for little more than what the parents lack; decreased on failures.
 constexpr double kOriginShare = 3;
 constexpr double kOriginZones = 0.75;  // and of so large a part of many zones
@@ -264,7 +265,7 @@
 enum class Role { cache, parent, origin, foreign };
 
 struct Member {
-    CacheId id;
+    ServerId id;
     std::uint64_t hash = 0;
     Role role = Role::foreign;
     double weight = 1;
@@ -288,23 +289,23 @@
     double fills = 0;  // fills reported this epoch
 };
 
-// Weighted rendezvous hashing: no per-instance input, so all gateways agree on an object's order.
+// Weighted rendezvous hashing: no per-instance input, so all routers agree on an object's order.
 double rendezvous_score(const Member& m, std::uint64_t key) {
     return -m.weight / std::log(unit(mix(m.hash ^ mix(key))));
 }
 
 }  // namespace
 
-class Router::Brain {
+class Router::Impl {
 public:
-    Brain(Settings settings, std::uint64_t seed)
+    Impl(Settings settings, std::uint64_t seed)
         : set_(std::move(settings)),
           seed_(seed),
           work_(set_.classes.size()),
           hits_seen_(work_.size(), kPrior) {
         // Until sizes or hits tell more, a class's sending time is taken as what its aim allows for.
         for (std::size_t i = 0; i < work_.size(); ++i)
-            work_[i] = seconds(set_.classes[i].aim);
+            work_[i] = seconds(set_.classes[i].latency_objective);
     }
 
     std::vector<Action> on(const Event& event, Time now) {
@@ -316,11 +317,11 @@
         return std::exchange(out_, {});
     }
     void share_with(int processes) {
-        set_.gateways = set_.gateways / processes_ * processes;
-        set_.gateways_in_zone = set_.gateways_in_zone / processes_ * processes;
+        set_.routers = set_.routers / processes_ * processes;
+        set_.routers_in_zone = set_.routers_in_zone / processes_ * processes;
         processes_ = processes;
     }
-    bool avoids(const CacheId& id) const {
+    bool avoids(const ServerId& id) const {
         const Member* m = find(id);
         return m && usable(*m) && on_trial(*m);
     }
@@ -335,19 +336,19 @@
 
 private:
     struct Attempt {
-        CacheId target;
-        std::optional<CacheId> source;  // absent: none, or the target itself
+        ServerId target;
+        std::optional<ServerId> source;  // absent: none, or the target itself
         Time sent{};
         double work = 0;
         bool out = true;
         bool may_have_run = true;
         bool charged_source = false;
-        bool known_miss = false;   // a look has said so
-        bool held_only = false;    // the parent was asked for what it holds
-        bool by_origin = false;    // the origin's work for certain
-        bool found_none = false;   // it ended as a miss, which is no failure
-        bool hung = false;         // left without an answer by one that answers others
-        bool direct_read = false;  // past the caches: all its bytes use the zone's link
+        bool known_miss = false;      // a look has said so
+        bool only_if_cached = false;  // the parent was asked for what it holds
+        bool by_origin = false;       // the origin's work for certain
+        bool found_none = false;      // it ended as a miss, which is no failure
+        bool hung = false;            // left without an answer by one that answers others
+        bool direct_read = false;     // past the caches: all its bytes use the zone's link
     };
     struct Open {
         Request request;
@@ -365,22 +366,22 @@
 
     // ---- fleet and health, continued ----
 
-    void take(const CacheList& list) {
+    void take(const ServerList& list) {
         if (list.complete)
             for (auto& [id, m] : fleet_)
                 m.listed = false;
-        for (const ListedCache& c : list.caches)
+        for (const ListedServer& c : list.caches)
             follow(c);
         // Whoever left and holds nothing of ours is forgotten, so that deploys do not pile up.
         std::erase_if(fleet_, [](const auto& e) {
             return !e.second.listed && e.second.outstanding == 0 && e.second.fills_out == 0;
         });
-        by_role_ = {};  // requests find by index: a fleet may grow far beyond what one gateway sends to
+        by_role_ = {};  // requests find by index: a fleet may grow far beyond what one router sends to
         for (auto& [id, m] : fleet_)
             if (m.listed)
                 by_role_[static_cast<std::size_t>(m.role)].push_back(&m);
     }
-    void follow(const ListedCache& c) {
+    void follow(const ListedServer& c) {
         auto [at, fresh] = fleet_.try_emplace(c.id);
         Member& m = at->second;
         const auto before = m.started;
@@ -390,14 +391,14 @@
                  : !set_.parent_kind.empty() && c.kind == set_.parent_kind ? Role::parent
                  : c.zone == set_.zone                                     ? Role::cache
                                                                            : Role::foreign;
-        m.weight = set_.weights == Weights::nominal ? std::max(c.weight, 0.01) : 1.0;
+        m.weight = set_.server_weights == ServerWeights::nominal ? std::max(c.weight, 0.01) : 1.0;
         m.cell = c.cell;
         m.zone = c.zone;
         m.listed = c.condition != Condition::gone;
         m.ready = c.condition == Condition::ready;
-        if (c.up_since && (!before || *c.up_since > *before)) {
+        if (c.started_at && (!before || *c.started_at > *before)) {
             // A new process: what was held against the old one is void, and it starts cold.
-            m.started = c.up_since;
+            m.started = c.started_at;
             m.failures = 0;
             m.ejected = false;
             m.down_since.reset();
@@ -409,17 +410,17 @@
     const std::vector<Member*>& listed(Role role) const {
         return by_role_[static_cast<std::size_t>(role)];
     }
-    const Member* find(const CacheId& id) const {
+    const Member* find(const ServerId& id) const {
         auto at = fleet_.find(id);
         return at == fleet_.end() ? nullptr : &at->second;
     }
-    Member* find(const CacheId& id) {
+    Member* find(const ServerId& id) {
         return const_cast<Member*>(std::as_const(*this).find(id));
     }
     bool usable(const Member& m) const {
         return m.listed && m.ready;
     }
-    bool out_of_use(const CacheId& id) const {
+    bool out_of_use(const ServerId& id) const {
         const Member* m = find(id);
         return !m || !usable(*m);
     }
@@ -474,7 +475,7 @@
 
     // ---- rule guards ----
 
-    // Cold budget: this gateway's share of what a just started machine bears, as a token bucket in seconds of
+    // Cold budget: this router's share of what a just started machine bears, as a token bucket in seconds of
     // sending. Guards rule 4 for caches and parents; a charge that proves a hit is given back, and a
     // referral, which brings more requests than can be counted, is never covered.
     struct Ramp {
@@ -485,8 +486,10 @@
     };
     Ramp ramp_of(const Member& m) const {
         if (m.role == Role::parent)
-            return {set_.parent_cold_from, set_.parent_cold_for, set_.parent_tip_multiple, set_.gateways};
-        return {set_.cold_from, set_.cold_for, set_.tip_multiple, set_.gateways_in_zone};
+            return {set_.parent_slow_start_share, set_.parent_slow_start_duration,
+                    set_.parent_overload_multiple, set_.routers};
+        return {set_.slow_start_share, set_.slow_start_duration, set_.overload_multiple,
+                set_.routers_in_zone};
     }
     bool cold(const Member& m) const {
         return m.role != Role::origin && m.started && now_ < *m.started + ramp_of(m).length;
@@ -496,8 +499,8 @@
         const double warm = std::clamp(seconds(now_ - *m.started) / seconds(r.length), 0.0, 1.0);
         const double share = r.multiple * m.weight * (r.from + (1 - r.from) * warm) / std::max(1, r.sharers);
         const double passed = std::max(0.0, seconds(now_ - m.budget_at));
-        m.budget =
-            std::min(m.budget + passed * share * kColdRate, share * kColdBurst * seconds(set_.tip_window));
+        m.budget = std::min(m.budget + passed * share * kColdRate,
+                            share * kColdBurst * seconds(set_.overload_window));
         m.budget_at = now_;
         return m.budget;
     }
@@ -511,17 +514,17 @@
 
     // Repeats: may this request be sent to `to` now?
     bool may_send(const Open& o, const Member& to) const {
-        if (static_cast<int>(o.attempts.size()) >= set_.attempt_limit)
+        if (static_cast<int>(o.attempts.size()) >= set_.max_attempts)
             return false;
         const ClassSettings& c = class_of(o);
         for (const Attempt& a : o.attempts) {
             if (a.out)
                 return false;  // never two at once: one cancelled must have ended first
-            if (!a.may_have_run || c.effect == Effect::pure)
+            if (!a.may_have_run || c.idempotency == Idempotency::idempotent)
                 continue;
-            if (c.effect == Effect::unsafe)
+            if (c.idempotency == Idempotency::none)
                 return false;
-            if (!same_scope(c.scope, a.target, to))
+            if (!same_scope(c.key_scope, a.target, to))
                 return false;
         }
         const auto until = repeat_before(o);
@@ -530,19 +533,20 @@
     // The end of a keyed request's window, once something of it may have run.
     std::optional<Time> repeat_before(const Open& o) const {
         const auto ran = std::ranges::find_if(o.attempts, &Attempt::may_have_run);
-        if (ran == o.attempts.end() || class_of(o).effect != Effect::keyed)
+        if (ran == o.attempts.end() || class_of(o).idempotency != Idempotency::keyed)
             return std::nullopt;
         return ran->sent + class_of(o).window - kWindowMargin;
     }
-    bool same_scope(Scope scope, const CacheId& before, const Member& to) const {
-        if (scope == Scope::all || before == to.id)
+    bool same_scope(KeyScope scope, const ServerId& before, const Member& to) const {
+        if (scope == KeyScope::all || before == to.id)
             return true;
         const Member* m = find(before);
-        return m && (scope == Scope::zone ? m->zone == to.zone : m->cell == to.cell);
+        return m && (scope == KeyScope::zone ? m->zone == to.zone : m->cell == to.cell);
     }
     bool may_refuse(const Open& o) const {
         const ClassSettings& c = class_of(o);
-        if (c.effect == Effect::pure || (c.effect == Effect::keyed && c.scope == Scope::all))
+        if (c.idempotency == Idempotency::idempotent ||
+            (c.idempotency == Idempotency::keyed && c.key_scope == KeyScope::all))
             return true;
         return std::ranges::none_of(o.attempts, [](const Attempt& a) { return a.out || a.may_have_run; });
     }
@@ -559,7 +563,7 @@
         if (now_ < purges_swept_ + kPurgeMargin)
             return;
         purges_swept_ = now_;
-        const Time done = now_ - set_.cleared_within - set_.heed_within - kPurgeMargin;
+        const Time done = now_ - set_.purge_complete_within - set_.purge_effective_within - kPurgeMargin;
         std::erase_if(purged_objects_, [done](const auto& e) { return e.second < done; });
         std::erase_if(purged_groups_, [done](const auto& e) { return e.second < done; });
     }
@@ -592,13 +596,13 @@
         });
     }
     double room(const Member& m, double multiple) const {
-        const int sharers = m.role == Role::parent ? set_.gateways : set_.gateways_in_zone;
+        const int sharers = m.role == Role::parent ? set_.routers : set_.routers_in_zone;
         const double share = multiple * m.weight / std::max(1, sharers);
         if (m.role != Role::cache)
             return std::max(kLeastRoom, share);
         return std::max(kCacheLeast, cache_trust_ * (share + kChance * std::sqrt(share)));
     }
-    // Fills of this gateway that are likely under way: one that was not looked for first counts by the usual
+    // Fills of this router that are likely under way: one that was not looked for first counts by the usual
     // share of misses until it is overdue.
     double likely_fills(const Member* from = nullptr) const {
         double sum = 0;
@@ -639,19 +643,19 @@
             fits += m->weight * kFillShareUntold;
         return fits;
     }
-    // How many fills this gateway may have under way: its share of the zone's link, less what is learned.
+    // How many fills this router may have under way: its share of the zone's link, less what is learned.
     double fill_room(double work) const {
         const double multiple = work < mean_work_ ? kFillRoomSmall : kFillRoom;
-        const double share = multiple * link_fits() / std::max(1, set_.gateways_in_zone);
+        const double share = multiple * link_fits() / std::max(1, set_.routers_in_zone);
         return std::max(kFillLeast, (share + kChance * std::sqrt(share)) * fill_trust_);
     }
     double origin_share() const {
-        const double zones = static_cast<double>(set_.gateways) / std::max(1, set_.gateways_in_zone);
+        const double zones = static_cast<double>(set_.routers) / std::max(1, set_.routers_in_zone);
         return std::max(kOriginShare, kOriginZones * zones) * link_fits() * origin_trust_ /
-               std::max(1, set_.gateways);
+               std::max(1, set_.routers);
     }
     // A share under one fetch is a share of the time: one, then a pause that makes up for it. Else the sum
-    // over a hundred gateways is a hundred. Drawn, so that they do not fall into step.
+    // over a hundred routers is a hundred. Drawn, so that they do not fall into step.
     void pause_origin(Span took) {
         const double rest = 1 / origin_share() - 1;
         if (rest <= 0)
@@ -669,7 +673,7 @@
         Member* spill = nullptr;
         Member* again = nullptr;
         for (const auto& [score, m] : in_order(Role::cache, key)) {
-            if (!usable(*m) || !open_to_use(*m) || !affords(*m, work, !o.request.referred))
+            if (!usable(*m) || !open_to_use(*m) || !affords(*m, work, !o.request.redirected))
                 continue;
             if (m->outstanding >= room(*m, kFull))
                 continue;
@@ -686,7 +690,7 @@
         return spill ? spill : again;
     }
     // The source: the object's parent over all listed parents, else the next, else the origin within its
-    // limit. Exception (crowded parent): one that fills this gateway's share of its link is passed over; so a
+    // limit. Exception (crowded parent): one that fills this router's share of its link is passed over; so a
     // parent left alone by its peers' loss is not asked for the work of all. With none, the cache is still
     // asked for what it holds.
     // Nor does a fill that is away from home crowd a parent whose fills take long while the origin is
@@ -700,7 +704,7 @@
             for (const auto& [score, m] :
                  in_order(Role::parent, static_cast<std::uint64_t>(o.request.object))) {
                 if (usable(*m) && !tried(o, *m) && open_to_use(*m) &&
-                    affords(*m, work, !o.request.referred) && likely_fills(m) < room(*m, kFull)) {
+                    affords(*m, work, !o.request.redirected) && likely_fills(m) < room(*m, kFull)) {
                     if (home || m->pace <= busy)
                         return m;
                     if (!crowded)
@@ -726,7 +730,7 @@
             return;
         Open& o = open_[r.id];
         o.request = r;
-        if (!r.referred)
+        if (!r.redirected)
             retry_budget_ = std::min(kRetryBurst, retry_budget_ + kRetryShare);
         if (r.size_kb > 0 && set_.flow_kb_per_s > 0)
             learn(work_[r.class_index], r.size_kb / set_.flow_kb_per_s);
@@ -740,10 +744,10 @@
         }
         attempt(o);
     }
-    // Of a zone's requests this gateway sees one in so many: its first for an object is the zone's first as
+    // Of a zone's requests this router sees one in so many: its first for an object is the zone's first as
     // seldom, and else the object has shown at the others that it is wanted.
     bool likely_zones_first(ObjectId object) const {
-        return unit(mix(seed_ ^ mix(static_cast<std::uint64_t>(object)))) * (set_.gateways_in_zone - 1) < 1;
+        return unit(mix(seed_ ^ mix(static_cast<std::uint64_t>(object)))) * (set_.routers_in_zone - 1) < 1;
     }
     double draw() {
         return unit(mix(seed_ ^ mix(++draws_)));
@@ -773,7 +777,7 @@
                                                        : work_[r.class_index];
     }
     Span aim_of(const Open& o) const {
-        return class_of(o).aim + span_of(class_of(o).aim_stretch * own_work(o));
+        return class_of(o).latency_objective + span_of(class_of(o).objective_stretch * own_work(o));
     }
 
     // Sends the request on its way, or gives it up at once.
@@ -792,7 +796,7 @@
         if (cache) {
             if (!may_send(o, *cache))
                 return give_up(o);
-            // Exception (crowded link): while this gateway's fills take its share of the link, a cache is
+            // Exception (crowded link): while this router's fills take its share of the link, a cache is
             // first asked for what it holds, and a miss that finds no room is refused at once. Hits go on,
             // and the fills that are let in come to their end.
             if (no_room)
@@ -829,7 +833,7 @@
         const ClassSettings& c = class_of(o);
         Span age{};
         // Stale-while-revalidate keeps to the fresh time at first; after a failure a stale copy will do.
-        if (c.max_age > Span{} && !o.attempts.empty() && c.stale_worth > c.late_worth)
+        if (c.max_age > Span{} && !o.attempts.empty() && c.stale_weight > c.late_weight)
             age = c.max_age + c.grace;
         if (const auto bound = purge_bound(o.request)) {
             const Span limit = age > Span{} ? age : c.max_age;
@@ -839,13 +843,13 @@
     }
     Fill fill_for(const Open& o, const Member& cache, const Member* source) const {
         Fill fill{.source = source ? source->id : cache.id, .oldest = oldest(o)};
-        fill.rank = o.standing == Tracker::Standing::hot       ? Rank::highest
-                    : o.standing == Tracker::Standing::tracked ? Rank::lowest
-                                                               : Rank::unkept;
+        fill.retention = o.standing == Tracker::Standing::hot       ? RetentionPriority::highest
+                         : o.standing == Tracker::Standing::tracked ? RetentionPriority::lowest
+                                                                    : RetentionPriority::no_store;
         // A fill under way may have left the origin before the purge.
         fill.join = set_.joins && !purge_bound(o.request);
-        fill.held_only = source && source->role == Role::parent && held_first(o);
-        fill.renew = source && class_of(o).max_age > Span{} && o.standing != Tracker::Standing::newcomer;
+        fill.only_if_cached = source && source->role == Role::parent && held_first(o);
+        fill.revalidate = source && class_of(o).max_age > Span{} && o.standing != Tracker::Standing::newcomer;
         return fill;
     }
     void send(Open& o, Member& target, std::optional<Fill> fill, Member* source) {
@@ -859,7 +863,7 @@
         if (source) {
             a.source = source->id;
             a.known_miss = o.missed;
-            a.held_only = fill && fill->held_only;
+            a.only_if_cached = fill && fill->only_if_cached;
             a.charged_source = cold(*source);
             charge(*source, work);
             ++source->fills_out;
@@ -868,12 +872,12 @@
         a.direct_read = target.role != Role::cache && !class_of(o).uncached;
         Span timeout{};
         // Where nothing can be cancelled, a time-out at the aim is what lets a further attempt start.
-        if (!set_.may_cancel && static_cast<int>(o.attempts.size()) + 1 < set_.attempt_limit &&
-            class_of(o).effect == Effect::pure)
+        if (!set_.cancellation_supported && static_cast<int>(o.attempts.size()) + 1 < set_.max_attempts &&
+            class_of(o).idempotency == Idempotency::idempotent)
             timeout = span_of(seconds(aim_of(o)) * (o.request.size_kb > 0 ? 1 : kFirstLook));
         out_.push_back(Send{o.request.id, target.id, timeout, std::move(fill), repeat_before(o)});
         o.attempts.push_back(std::move(a));
-        if (set_.may_cancel)
+        if (set_.cancellation_supported)
             look_later(o, kHungLook);
     }
     void look_later(const Open& o, double share) {
@@ -905,8 +909,8 @@
         }
         if (source_silent)
             hold_against(*source, others_alive_since(*source, a.sent));
-        const bool repeatable =
-            class_of(o).effect == Effect::pure && static_cast<int>(o.attempts.size()) < set_.attempt_limit;
+        const bool repeatable = class_of(o).idempotency == Idempotency::idempotent &&
+                                static_cast<int>(o.attempts.size()) < set_.max_attempts;
         // Retries of what was refused or cut off come first: they are early enough to count.
         // A fill is only taken for hung while the ways are trusted: else it may just be slow.
         const bool in_order = !a.source || std::min(fill_trust_, origin_trust_) > kHungTrust;
@@ -934,11 +938,11 @@
         return true;
     }
 
-    void take(const Started& s) {
+    void take(const ResponseStarted& s) {
         if (auto at = open_.find(s.request); at != open_.end())
             at->second.started = true;
     }
-    void take(const Abandoned& a) {
+    void take(const ClientClosed& a) {
         if (auto at = open_.find(a.request); at != open_.end()) {
             at->second.answered = true;
             drop_if_done(at);
@@ -953,8 +957,10 @@
         if (!a.out)
             return;
         a.out = false;
-        a.may_have_run = !(e.ending == Ending::full || e.ending == Ending::no_connection ||
-                           e.ending == Ending::not_sent || e.ending == Ending::miss);
+        a.may_have_run =
+            !(e.attempt_status == AttemptStatus::overloaded ||
+              e.attempt_status == AttemptStatus::connect_failed ||
+              e.attempt_status == AttemptStatus::not_sent || e.attempt_status == AttemptStatus::miss);
         judge(o, a, e);
         if (e.over)
             o.answered = true;
@@ -978,34 +984,40 @@
             --target->outstanding;
         if (source)
             --source->fills_out;
-        a.hung = (e.ending == Ending::late || e.ending == Ending::cancelled) && is_hung(o, a);
-        if (e.ending == Ending::unseen)
+        a.hung =
+            (e.attempt_status == AttemptStatus::timeout || e.attempt_status == AttemptStatus::cancelled) &&
+            is_hung(o, a);
+        if (e.attempt_status == AttemptStatus::unobserved)
             return;  // what was charged stands; nothing else was learned
         if (target)
-            judge_target(*target, a, e.ending);
-        const bool good = e.ending == Ending::good;
-        const bool hit = good && e.note == Note::hit;
-        const bool filled = good && (e.note == Note::filled || e.note == Note::filled_by_origin ||
-                                     (e.note == Note::none && set_.detail == Detail::off));
+            judge_target(*target, a, e.attempt_status);
+        const bool good = e.attempt_status == AttemptStatus::success;
+        const bool hit = good && e.cache_status == CacheStatus::hit;
+        const bool filled =
+            good &&
+            (e.cache_status == CacheStatus::filled || e.cache_status == CacheStatus::filled_from_origin ||
+             (e.cache_status == CacheStatus::none && set_.outcome_detail == OutcomeDetail::off));
         // Held against the ways, a request that hung or an answer that was spoilt or cut off, as any cache
         // may leave them, would close them all: they tell nothing of how much the ways bear.
-        const bool spoilt = e.ending == Ending::reset || (e.ending == Ending::error && e.note == Note::none);
-        const bool failed =
-            !good && !a.hung && !spoilt && e.ending != Ending::miss && e.ending != Ending::cancelled;
+        const bool spoilt = e.attempt_status == AttemptStatus::reset ||
+                            (e.attempt_status == AttemptStatus::error && e.cache_status == CacheStatus::none);
+        const bool failed = !good && !a.hung && !spoilt && e.attempt_status != AttemptStatus::miss &&
+                            e.attempt_status != AttemptStatus::cancelled;
         const bool in_time = good && e.took <= aim_of(o);
         const double pace = seconds(e.took) / std::max(1e-3, seconds(aim_of(o)));
         if (target && hit)
             learn_pace(*target, pace);
-        if (source && (filled || (!a.hung && (e.ending == Ending::late || e.ending == Ending::cancelled))))
+        if (source && (filled || (!a.hung && (e.attempt_status == AttemptStatus::timeout ||
+                                              e.attempt_status == AttemptStatus::cancelled))))
             learn_pace(*source, pace);
         if (source && filled) {
             prove_alive(*source);
             ++source->fills;
         } else if (source && hit && a.charged_source) {
             source->budget += a.work;  // it never got there
-        } else if (source && e.note == Note::source_unreached) {
+        } else if (source && e.cache_status == CacheStatus::source_unreachable) {
             // A refusal is proof by itself; silence is not, unless others answer.
-            const bool refused = e.ending == Ending::full;
+            const bool refused = e.attempt_status == AttemptStatus::overloaded;
             hold_against(*source, refused || others_alive_since(*source, a.sent),
                          refused ? kEjectAfter : kNoAnswer);
         }
@@ -1016,9 +1028,11 @@
         if (filled || (a.source && failed))
             learn_room(fill_trust_, in_time);
         // Answers that do not tell the origin's part: any fill that was not asked of the parent alone.
-        const bool told_held = set_.detail == Detail::all && e.note == Note::filled;
-        const bool of_origin = e.note == Note::filled_by_origin || e.note == Note::origin_failed ||
-                               a.direct_read || (a.source && !a.held_only && !told_held);
+        const bool told_held =
+            set_.outcome_detail == OutcomeDetail::all && e.cache_status == CacheStatus::filled;
+        const bool of_origin = e.cache_status == CacheStatus::filled_from_origin ||
+                               e.cache_status == CacheStatus::origin_failed || a.direct_read ||
+                               (a.source && !a.only_if_cached && !told_held);
         if (of_origin && (filled || failed || (good && a.direct_read)))
             learn_room(origin_trust_, in_time);
         if (hit && o.request.size_kb <= 0) {
@@ -1035,15 +1049,17 @@
     void learn_pace(Member& m, double sample) {
         m.pace = m.pace > 0 ? m.pace + kLearnPace * (sample - m.pace) : sample;
     }
-    void judge_target(Member& m, const Attempt& a, Ending ending) {
-        if (ending == Ending::good || ending == Ending::miss || ending == Ending::full) {
+    void judge_target(Member& m, const Attempt& a, AttemptStatus attempt_status) {
+        if (attempt_status == AttemptStatus::success || attempt_status == AttemptStatus::miss ||
+            attempt_status == AttemptStatus::overloaded) {
             prove_alive(m, a.sent);
-        } else if (ending == Ending::no_connection || ending == Ending::reset || ending == Ending::error) {
-            hold_against(m, true, ending == Ending::no_connection ? kNoAnswer : 1);
+        } else if (attempt_status == AttemptStatus::connect_failed ||
+                   attempt_status == AttemptStatus::reset || attempt_status == AttemptStatus::error) {
+            hold_against(m, true, attempt_status == AttemptStatus::connect_failed ? kNoAnswer : 1);
             // A lost answer resets one too.
-            if (ending == Ending::no_connection && !m.down_since)
+            if (attempt_status == AttemptStatus::connect_failed && !m.down_since)
                 m.down_since = now_;
-        } else if (ending == Ending::late && m.alive < a.sent) {
+        } else if (attempt_status == AttemptStatus::timeout && m.alive < a.sent) {
             hold_against(m, others_alive_since(m, a.sent));
         }
     }
@@ -1051,15 +1067,16 @@
     void carry_on(Open& o, const Outcome& e) {
         // Cancelled ones were paid for then; a look that missed has cost next to nothing.
         Attempt& a = o.attempts.back();
-        bool& known = a.held_only ? o.lacked : o.missed;
-        a.found_none = e.ending == Ending::miss && (a.held_only || !a.source) && !std::exchange(known, true);
-        if (a.held_only && a.found_none)
+        bool& known = a.only_if_cached ? o.lacked : o.missed;
+        a.found_none = e.attempt_status == AttemptStatus::miss && (a.only_if_cached || !a.source) &&
+                       !std::exchange(known, true);
+        if (a.only_if_cached && a.found_none)
             o.missed = true;
         // One held back because its cache or source has gone out of use meanwhile never was at any.
-        const bool barred =
-            e.ending == Ending::not_sent && (out_of_use(a.target) || (a.source && out_of_use(*a.source)));
-        const bool budgeted = e.ending == Ending::cancelled || a.found_none || barred;
-        if (!barred && e.ending == Ending::not_sent)
+        const bool barred = e.attempt_status == AttemptStatus::not_sent &&
+                            (out_of_use(a.target) || (a.source && out_of_use(*a.source)));
+        const bool budgeted = e.attempt_status == AttemptStatus::cancelled || a.found_none || barred;
+        if (!barred && e.attempt_status == AttemptStatus::not_sent)
             return give_up(o);
         if (!budgeted && !take_retry())
             return give_up(o);
@@ -1070,8 +1087,9 @@
             return;
         o.answered = true;
         if (may_refuse(o)) {
-            const Span wait = set_.retry_after ? std::min(set_.max_retry_after, class_of(o).aim) : Span{};
-            out_.push_back(Refuse{o.request.id, wait});
+            const Span wait =
+                set_.retry_after ? std::min(set_.max_retry_after, class_of(o).latency_objective) : Span{};
+            out_.push_back(Reject{o.request.id, wait});
         } else {
             out_.push_back(Fail{o.request.id});
         }
@@ -1087,7 +1105,7 @@
     std::vector<Action> out_;
     Tracker tracker_;
     std::optional<Time> epoch_began_;
-    std::map<CacheId, Member> fleet_;
+    std::map<ServerId, Member> fleet_;
     std::array<std::vector<Member*>, 4> by_role_;  // of those listed
     std::map<ObjectId, Time> purged_objects_;
     std::map<GroupId, Time> purged_groups_;
@@ -1101,25 +1119,25 @@
     double origin_trust_ = 1;
     Time origin_next_{};
     std::uint64_t draws_ = 0;
-    int processes_ = 1;  // that count as this gateway
+    int processes_ = 1;  // that count as this router
 };
 
 Router::Router(Settings settings, std::uint64_t seed)
-    : brain_(std::make_unique<Brain>(std::move(settings), seed)) {}
+    : impl_(std::make_unique<Impl>(std::move(settings), seed)) {}
 Router::~Router() = default;
 Router::Router(Router&&) noexcept = default;
 Router& Router::operator=(Router&&) noexcept = default;
 std::vector<Action> Router::on(const Event& event, Time now) {
-    return brain_->on(event, now);
+    return impl_->on(event, now);
 }
 void Router::share_with(int processes) {
-    brain_->share_with(processes);
+    impl_->share_with(processes);
 }
-bool Router::avoids(const CacheId& id) const {
-    return brain_->avoids(id);
+bool Router::avoids(const ServerId& id) const {
+    return impl_->avoids(id);
 }
 Router::Sizes Router::sizes() const {
-    return brain_->sizes();
+    return impl_->sizes();
 }
 
-}  // namespace winchflow
+}  // namespace silverrail::routing
--- a/src/state/in_force.cpp
+++ b/src/state/in_force.cpp
@@ -5,7 +5,7 @@
 namespace silverrail::state {
 
 namespace {
-constexpr std::uint8_t kGone = 2;  // winchflow::Condition::gone
+constexpr std::uint8_t kGone = 2;  // routing::Condition::gone
 
 template <class... F>
 struct Cases : F... {
@@ -64,7 +64,7 @@
                    },
                    [&](const List& list) {
                        if (list.complete)
-                           s.boxes.clear();
+                           s.servers.clear();
                    },
                    [&](const Entry& entry) { on_entry(s, record, entry); },
                    [&](const Purge&) {
@@ -101,7 +101,7 @@
                        if (call->second.closed && call->second.out.empty())
                            s.calls.erase(call);
                    },
-                   [&](const Abandoned& abandoned) { close(s, abandoned.call, record); },
+                   [&](const ClientClosed& abandoned) { close(s, abandoned.call, record); },
                    [&](const Answered& answered) { close(s, answered.call, record); },
                    [](const auto&) {},
                },
@@ -119,14 +119,14 @@
 }
 
 void InForce::on_entry(Source& s, const Record& record, const Entry& entry) {
-    const auto at = s.boxes.find(entry.id);
+    const auto at = s.servers.find(entry.id);
     if (entry.condition == kGone) {
-        if (at != s.boxes.end())
-            s.boxes.erase(at);
-    } else if (at != s.boxes.end()) {
+        if (at != s.servers.end())
+            s.servers.erase(at);
+    } else if (at != s.servers.end()) {
         at->second = Kept{record};
-    } else if (s.boxes.size() < kMostBoxes) {
-        s.boxes.emplace(std::string{entry.id}, Kept{record});
+    } else if (s.servers.size() < kMostServers) {
+        s.servers.emplace(std::string{entry.id}, Kept{record});
     } else {
         ++given_up_;
     }
@@ -150,16 +150,16 @@
             f(s.start.record());
         if (s.clock)
             f(s.clock.record());
-        if (!s.boxes.empty()) {
+        if (!s.servers.empty()) {
             Record list;
-            list.at = s.boxes.begin()->second.record().at;
-            for (const auto& [id, box] : s.boxes)
-                list.at = std::max(list.at, box.record().at);
+            list.at = s.servers.begin()->second.record().at;
+            for (const auto& [id, server] : s.servers)
+                list.at = std::max(list.at, server.record().at);
             list.source = number;
-            list.body = List{s.boxes.size(), true};
+            list.body = List{s.servers.size(), true};
             f(list);
-            for (const auto& [id, box] : s.boxes)
-                f(box.record());
+            for (const auto& [id, server] : s.servers)
+                f(server.record());
         }
         for (const Kept& purge : s.purges)
             f(purge.record());
@@ -198,9 +198,9 @@
     return n;
 }
 
-std::size_t InForce::boxes(std::uint32_t source) const {
+std::size_t InForce::servers(std::uint32_t source) const {
     const auto s = sources_.find(source);
-    return s == sources_.end() ? 0 : s->second.boxes.size();
+    return s == sources_.end() ? 0 : s->second.servers.size();
 }
 
 }  // namespace silverrail::state
--- a/src/state/in_force.h
+++ b/src/state/in_force.h
@@ -1,4 +1,4 @@
-// What is in force at a moment of a trace: for each router its start, clock, boxes, purges and open calls.
+// What is in force at a moment of a trace: for each router its start, clock, servers, purges and open calls.
 //
 // Every chunk of a trace file opens with this, so that it can be read alone; a cut opens with it too. It is
 // fed each record in order and asked for the records that would bring an empty one to the same state.
@@ -38,7 +38,7 @@
 class InForce {
 public:
     static constexpr std::size_t kMostSources = 256;
-    static constexpr std::size_t kMostBoxes = 4096;  // for each router, as the three below
+    static constexpr std::size_t kMostServers = 4096;  // for each router, as the three below
     static constexpr std::size_t kMostPurges = 8192;
     static constexpr std::size_t kMostCalls = 8192;
     static constexpr std::size_t kMostOut = 64;  // attempts of one call
@@ -49,7 +49,7 @@
 
     struct OpenCall {
         Kept taken;
-        Kept closed;            // its `Answered` or `Abandoned`; attempts may still be out
+        Kept closed;            // its `Answered` or `ClientClosed`; attempts may still be out
         std::vector<Kept> out;  // the `Sent` of each attempt that has not ended
     };
 
@@ -69,7 +69,7 @@
     // Absent: its taking was not seen, or it is over.
     const OpenCall* call(std::uint32_t source, std::uint64_t call) const;
     std::size_t open_calls() const;
-    std::size_t boxes(std::uint32_t source) const;
+    std::size_t servers(std::uint32_t source) const;
     std::uint64_t given_up() const {
         return given_up_;
     }
@@ -79,7 +79,7 @@
         Kept start;
         Kept clock;
         std::int64_t offset = 0;
-        std::map<std::string, Kept, std::less<>> boxes;
+        std::map<std::string, Kept, std::less<>> servers;
         std::deque<Kept> purges;
         std::map<std::uint64_t, OpenCall> calls;
     };
--- a/src/state/records.h
+++ b/src/state/records.h
@@ -37,7 +37,7 @@
     std::int64_t incarnation_unix_ns = 0;  // when the process began: tells two runs of one router apart
     std::uint64_t seed = 0;
     Text program;                    // version that wrote it
-    Text settings;                   // the configuration as JSON, less what the bulletin had told before
+    Text settings;                   // the configuration as JSON, less what discovery had told before
     std::int64_t offset = 0;         // Unix time less steady time, ns
     std::int64_t correction_ns = 0;  // what a merge has added to that offset
     template <class Self, class Visit>
@@ -64,7 +64,7 @@
     }
 };
 
-// The bulletin's list, or a change of it; that many `Entry` records follow.
+// Discovery's list, or a change of it; that many `Entry` records follow.
 struct List {
     static constexpr const char* kName = "list";
     std::uint64_t entries = 0;
@@ -82,10 +82,10 @@
     Text address;
     Text zone;
     Text kind;
-    std::uint8_t condition = 0;  // winchflow::Condition
+    std::uint8_t condition = 0;  // routing::Condition
     double weight = 1;
     std::int64_t cell = 0;
-    std::int64_t up_since = kNoTime;
+    std::int64_t started_at = kNoTime;
     std::int64_t started_unix_ms = 0;
     template <class Self, class Visit>
     static void fields(Self& s, Visit&& v) {
@@ -96,7 +96,7 @@
         v("condition", s.condition, Pack::plain);
         v("weight", s.weight, Pack::pick);
         v("cell", s.cell, Pack::plain);
-        v("up_since", s.up_since, Pack::plain);
+        v("up_since", s.started_at, Pack::plain);
         v("started_unix_ms", s.started_unix_ms, Pack::plain);
     }
 };
@@ -136,7 +136,7 @@
     Text have;              // tag of the client's copy
     bool write = false;
     std::uint64_t body_bytes = 0;
-    bool referred = false;
+    bool redirected = false;
     template <class Self, class Visit>
     static void fields(Self& s, Visit&& v) {
         v("call", s.call, Pack::step);
@@ -154,12 +154,12 @@
         v("have", s.have, Pack::pick);
         v("write", s.write, Pack::plain);
         v("body_bytes", s.body_bytes, Pack::plain);
-        v("referred", s.referred, Pack::plain);
+        v("referred", s.redirected, Pack::plain);
     }
 };
 
 // How a call stands to the module once it was told of it.
-struct Abandoned {
+struct ClientClosed {
     static constexpr const char* kName = "abandoned";
     std::uint64_t call = 0;
     template <class Self, class Visit>
@@ -173,8 +173,8 @@
     static constexpr const char* kName = "ended";
     std::uint64_t call = 0;
     std::uint64_t attempt = 0;
-    std::uint8_t ending = 0;  // winchflow::Ending
-    std::uint8_t note = 0;    // winchflow::Note
+    std::uint8_t attempt_status = 0;  // routing::AttemptStatus
+    std::uint8_t cache_status = 0;    // routing::CacheStatus
     bool over = false;
     std::int64_t took = 0;
     std::int64_t source_wait = 0;
@@ -186,8 +186,8 @@
     static void fields(Self& s, Visit&& v) {
         v("call", s.call, Pack::step);
         v("attempt", s.attempt, Pack::plain);
-        v("ending", s.ending, Pack::plain);
-        v("note", s.note, Pack::plain);
+        v("ending", s.attempt_status, Pack::plain);
+        v("note", s.cache_status, Pack::plain);
         v("over", s.over, Pack::plain);
         v("took", s.took, Pack::plain);
         v("source_wait", s.source_wait, Pack::plain);
@@ -217,11 +217,11 @@
     std::int64_t timeout = 0;  // 0: until the client gives up
     bool fills = false;        // false: a plain look
     Text source;               // where a miss is filled from; the target itself: nowhere
-    std::uint8_t rank = 0;
+    std::uint8_t retention = 0;
     std::int64_t oldest = 0;  // 0: the class's fresh time
     bool join = false;
-    bool renew = false;
-    bool held_only = false;
+    bool revalidate = false;
+    bool only_if_cached = false;
     template <class Self, class Visit>
     static void fields(Self& s, Visit&& v) {
         v("call", s.call, Pack::step);
@@ -230,11 +230,11 @@
         v("timeout", s.timeout, Pack::plain);
         v("fills", s.fills, Pack::plain);
         v("source", s.source, Pack::pick);
-        v("rank", s.rank, Pack::plain);
+        v("rank", s.retention, Pack::plain);
         v("oldest", s.oldest, Pack::plain);
         v("join", s.join, Pack::plain);
-        v("renew", s.renew, Pack::plain);
-        v("held_only", s.held_only, Pack::plain);
+        v("renew", s.revalidate, Pack::plain);
+        v("held_only", s.only_if_cached, Pack::plain);
     }
 };
 
@@ -307,7 +307,7 @@
     std::uint64_t bytes = 0;
     std::int64_t made_unix_ms = 0;  // when the origin gave out what was served; 0: not told
     Text tag;
-    Text box;  // address that a referral named
+    Text server;  // address that a referral named
     template <class Self, class Visit>
     static void fields(Self& s, Visit&& v) {
         v("call", s.call, Pack::step);
@@ -317,7 +317,7 @@
         v("bytes", s.bytes, Pack::pick);
         v("made_unix_ms", s.made_unix_ms, Pack::step);
         v("tag", s.tag, Pack::pick);
-        v("box", s.box, Pack::pick);
+        v("box", s.server, Pack::pick);
     }
 };
 
@@ -336,8 +336,8 @@
 };
 
 // Types are numbered by their place here, from 0. New ones are added at the end only.
-using Body = std::variant<Start, Clock, List, Entry, Purge, Taken, Abandoned, Ended, Fired, Sent, Cancelled,
-                          Refused, GivenUp, TimerSet, FirstByte, Answered, Gap>;
+using Body = std::variant<Start, Clock, List, Entry, Purge, Taken, ClientClosed, Ended, Fired, Sent,
+                          Cancelled, Refused, GivenUp, TimerSet, FirstByte, Answered, Gap>;
 inline constexpr std::size_t kTypes = std::variant_size_v<Body>;
 
 template <class T, std::size_t I = 0>
--- a/src/state/selection.cpp
+++ b/src/state/selection.cpp
@@ -24,9 +24,9 @@
         return s.turned_away();
     if (const auto kind = number_of(kAnswerWords, outcome))
         return s.answered() && s.kind == *kind;
-    const auto ending = number_of(kEndingWords, outcome);
-    return ending && std::any_of(s.attempts.begin(), s.attempts.end(), [&](const AttemptStory& a) {
-               return a.ended_at != kNoTime && a.ending == *ending;
+    const auto attempt_status = number_of(kEndingWords, outcome);
+    return attempt_status && std::any_of(s.attempts.begin(), s.attempts.end(), [&](const AttemptStory& a) {
+               return a.ended_at != kNoTime && a.attempt_status == *attempt_status;
            });
 }
 
@@ -61,8 +61,8 @@
     if (!outcomes.empty() &&
         std::none_of(outcomes.begin(), outcomes.end(), [&](const auto& o) { return is(s, o); }))
         return false;
-    if (!boxes.empty() && std::none_of(s.attempts.begin(), s.attempts.end(), [&](const AttemptStory& a) {
-            return holds(boxes, a.target.text()) || holds(boxes, a.source.text());
+    if (!servers.empty() && std::none_of(s.attempts.begin(), s.attempts.end(), [&](const AttemptStory& a) {
+            return holds(servers, a.target.text()) || holds(servers, a.source.text());
         }))
         return false;
     return true;
--- a/src/state/selection.h
+++ b/src/state/selection.h
@@ -19,12 +19,12 @@
     std::vector<std::string> classes{};
     // kAnswerWords, abandoned, open, turned_away; or an ending of an attempt
     std::vector<std::string> outcomes{};
-    std::vector<std::string> boxes{};   // as target or source
-    std::vector<std::string> traces{};  // clients' ids
+    std::vector<std::string> servers{};  // as target or source
+    std::vector<std::string> traces{};   // clients' ids
     std::vector<std::uint64_t> objects{};
 
     bool all_calls() const {
-        return classes.empty() && outcomes.empty() && boxes.empty() && traces.empty() && objects.empty();
+        return classes.empty() && outcomes.empty() && servers.empty() && traces.empty() && objects.empty();
     }
     // Absent: every word is one that outcomes may hold; else the first that is not.
     const std::string* unknown_outcome() const;
--- a/src/state/stories.cpp
+++ b/src/state/stories.cpp
@@ -84,10 +84,10 @@
         a->target = sent->target;
         a->fills = sent->fills;
         a->source = sent->source;
-        a->rank = sent->rank;
+        a->retention = sent->retention;
         a->oldest = sent->oldest;
         a->timeout = sent->timeout;
-        a->held_only = sent->held_only;
+        a->only_if_cached = sent->only_if_cached;
     } else if (const auto* byte = std::get_if<FirstByte>(&record.body)) {
         if (AttemptStory* a = attempt(story(source, byte->call), byte->attempt)) {
             a->first_byte_at = record.at;
@@ -96,8 +96,8 @@
     } else if (const auto* ended = std::get_if<Ended>(&record.body)) {
         if (AttemptStory* a = attempt(story(source, ended->call), ended->attempt)) {
             a->ended_at = record.at;
-            a->ending = ended->ending;
-            a->note = ended->note;
+            a->attempt_status = ended->attempt_status;
+            a->cache_status = ended->cache_status;
             a->took = ended->took;
             a->source_wait = ended->source_wait;
         }
@@ -106,7 +106,7 @@
         story(source, refused->call).refused_at = record.at;
     } else if (const auto* failed = std::get_if<GivenUp>(&record.body)) {
         story(source, failed->call).given_up = true;
-    } else if (const auto* abandoned = std::get_if<Abandoned>(&record.body)) {
+    } else if (const auto* abandoned = std::get_if<ClientClosed>(&record.body)) {
         Story& s = story(source, abandoned->call);
         // The guard of the deadline answers first and tells the module so afterwards.
         if (s.closed_at == kNoTime) {
@@ -123,7 +123,7 @@
         s.hold_off = answered->hold_off;
         s.bytes = answered->bytes;
         s.made_unix_ms = answered->made_unix_ms;
-        s.box = answered->box;
+        s.server = answered->server;
         drop_if_over({source, answered->call});
     }
 }
--- a/src/state/stories.h
+++ b/src/state/stories.h
@@ -13,7 +13,8 @@
 
 namespace silverrail::state {
 
-// A text of up to 23 bytes held in place; a longer one keeps its first 23. Box ids and addresses are shorter.
+// A text of up to 23 bytes held in place; a longer one keeps its first 23. Server ids and addresses are
+// shorter.
 class ShortText {
 public:
     ShortText() = default;
@@ -38,15 +39,15 @@
     ShortText target;
     ShortText source;  // empty: a plain look
     bool fills = false;
-    std::uint8_t rank = 0;
+    std::uint8_t retention = 0;
     std::int64_t oldest = 0;
     std::int64_t timeout = 0;
-    bool held_only = false;
+    bool only_if_cached = false;
     std::int64_t first_byte_at = kNoTime;
     std::uint8_t verdict = 0;
     std::int64_t ended_at = kNoTime;  // absent: still out where the trace ends
-    std::uint8_t ending = 0;
-    std::uint8_t note = 0;
+    std::uint8_t attempt_status = 0;
+    std::uint8_t cache_status = 0;
     std::int64_t took = 0;
     std::int64_t source_wait = 0;
 };
@@ -70,7 +71,7 @@
     std::int64_t hold_off = 0;
     std::uint64_t bytes = 0;
     std::int64_t made_unix_ms = 0;
-    ShortText box;
+    ShortText server;
 
     bool answered() const {
         return closed_at != kNoTime && !abandoned;
--- a/src/state/tally.cpp
+++ b/src/state/tally.cpp
@@ -38,7 +38,7 @@
             last = &a;
     if (!last)
         return s.timed_out ? "deadline, no attempt ended" : "no attempt";
-    return word(kEndingWords, last->ending);
+    return word(kEndingWords, last->attempt_status);
 }
 
 void Tally::take(const Story& s, const std::string& class_name) {
@@ -57,13 +57,13 @@
     for (const AttemptStory& a : s.attempts) {
         if (a.ended_at == kNoTime)
             continue;
-        if (a.ending < c.endings.size())
-            ++c.endings[a.ending];
-        if (a.note < c.notes.size())
-            ++c.notes[a.note];
-        const auto note = word(kNoteWords, a.note);
-        if (word(kEndingWords, a.ending) == "good" && (note == "filled" || note == "filled_by_origin") &&
-            !a.source.empty())
+        if (a.attempt_status < c.endings.size())
+            ++c.endings[a.attempt_status];
+        if (a.cache_status < c.notes.size())
+            ++c.notes[a.cache_status];
+        const auto cache_status = word(kNoteWords, a.cache_status);
+        if (word(kEndingWords, a.attempt_status) == "good" &&
+            (cache_status == "filled" || cache_status == "filled_by_origin") && !a.source.empty())
             bump(c.fills, a.source.text());
     }
     ++c.attempts[std::min<std::size_t>(s.attempts.size(), c.attempts.size() - 1)];
@@ -84,8 +84,8 @@
         c.bytes += s.bytes;
         if (took != kNoTime) {
             c.served.add(took);
-            const std::int64_t aim = aim_(s.source, s.taken.class_index, s.taken.size_kb);
-            if (aim > 0 && took > aim)
+            const std::int64_t latency_objective = aim_(s.source, s.taken.class_index, s.taken.size_kb);
+            if (latency_objective > 0 && took > latency_objective)
                 ++c.late;
         }
     } else if (s.kind >= 3) {
--- a/src/state/tally.h
+++ b/src/state/tally.h
@@ -67,7 +67,7 @@
     // `aim` gives the class's aim in ns for a call of that size, 0 where it is not known.
     using AimOf =
         std::function<std::int64_t(std::uint32_t source, std::uint64_t class_index, double size_kb)>;
-    explicit Tally(AimOf aim) : aim_(std::move(aim)) {}
+    explicit Tally(AimOf latency_objective) : aim_(std::move(latency_objective)) {}
     void take(const Story& story, const std::string& class_name);
     const std::map<std::string, ClassTally, std::less<>>& classes() const {
         return classes_;
--- a/src/trace/chunk.cpp
+++ b/src/trace/chunk.cpp
@@ -66,21 +66,21 @@
     return n;
 }
 
-constexpr std::uint64_t kBoxSeed = 0x626f78;
+constexpr std::uint64_t kServerSeed = 0x626f78;
 constexpr std::uint64_t kCallSeed = 0x63616c6c;
 constexpr std::uint64_t kObjectSeed = 0x6f626a;
 
 }  // namespace
 
-void Summary::name(std::string_view box) {
-    if (box.empty())
+void Summary::name(std::string_view server) {
+    if (server.empty())
         return;
-    const auto bit = checksum(box, kBoxSeed) & 255;
-    boxes[bit / 64] |= std::uint64_t{1} << (bit % 64);
+    const auto bit = checksum(server, kServerSeed) & 255;
+    servers[bit / 64] |= std::uint64_t{1} << (bit % 64);
 }
-bool Summary::may_name(std::string_view box) const {
-    const auto bit = checksum(box, kBoxSeed) & 255;
-    return boxes[bit / 64] >> (bit % 64) & 1;
+bool Summary::may_name(std::string_view server) const {
+    const auto bit = checksum(server, kServerSeed) & 255;
+    return servers[bit / 64] >> (bit % 64) & 1;
 }
 
 std::uint64_t call_key(std::uint64_t trace_id, std::string_view trace) {
@@ -109,7 +109,7 @@
 }
 ChunkBuilder::~ChunkBuilder() = default;
 
-void ChunkBuilder::note(const Record& record, std::int64_t unix_ns, bool held) {
+void ChunkBuilder::cache_status(const Record& record, std::int64_t unix_ns, bool held) {
     ++summary_.records;
     if (held) {
         ++summary_.held;
@@ -128,7 +128,7 @@
         summary_.name(sent->target);
         summary_.name(sent->source);
     } else if (const auto* ended = std::get_if<state::Ended>(&record.body)) {
-        summary_.outcomes |= std::uint64_t{1} << std::min(63, 16 + ended->ending);
+        summary_.outcomes |= std::uint64_t{1} << std::min(63, 16 + ended->attempt_status);
     } else if (const auto* answered = std::get_if<state::Answered>(&record.body)) {
         summary_.outcomes |= std::uint64_t{1} << std::min<int>(15, answered->kind);
     } else if (const auto* entry = std::get_if<state::Entry>(&record.body)) {
@@ -138,7 +138,7 @@
 }
 
 void ChunkBuilder::add(const Record& record, std::int64_t unix_ns, bool held) {
-    note(record, unix_ns, held);
+    cache_status(record, unix_ns, held);
     const std::size_t type = record.body.index();
     types_.push_back(static_cast<char>(type));
     put_varint(sources_, record.source);
@@ -300,7 +300,7 @@
     put_varint(to, s.types);
     put_varint(to, s.classes);
     put_varint(to, s.outcomes);
-    for (const std::uint64_t word : s.boxes)
+    for (const std::uint64_t word : s.servers)
         put_u64(to, word);
 }
 
@@ -311,7 +311,7 @@
         !get_varint(from, last) || !get_varint(from, s.types) || !get_varint(from, s.classes) ||
         !get_varint(from, s.outcomes))
         return false;
-    for (std::uint64_t& word : s.boxes)
+    for (std::uint64_t& word : s.servers)
         if (!get_u64(from, word))
             return false;
     s.first_unix_ns = unzigzag(first);
--- a/src/trace/chunk.h
+++ b/src/trace/chunk.h
@@ -34,12 +34,12 @@
     std::uint64_t held = 0;          // of these, the first ones, which only tell what is in force
     std::int64_t first_unix_ns = 0;  // of the others; the earliest and the latest
     std::int64_t last_unix_ns = 0;
-    Types types = 0;                       // of the others
-    std::uint64_t classes = 0;             // a bit for each class index of calls; 63 stands for all above
-    std::uint64_t outcomes = 0;            // a bit for each kind of answer; from bit 16 on, each ending
-    std::array<std::uint64_t, 4> boxes{};  // 256 bits: one set for each box or source named, by its hash
-    bool may_name(std::string_view box) const;
-    void name(std::string_view box);
+    Types types = 0;                         // of the others
+    std::uint64_t classes = 0;               // a bit for each class index of calls; 63 stands for all above
+    std::uint64_t outcomes = 0;              // a bit for each kind of answer; from bit 16 on, each ending
+    std::array<std::uint64_t, 4> servers{};  // 256 bits: one set for each server or source named, by its hash
+    bool may_name(std::string_view server) const;
+    void name(std::string_view server);
 };
 
 // As heads and the index hold it. `get` reads on from the front; false: it is none.
@@ -91,7 +91,7 @@
 
 private:
     using Packing = detail::Packing;
-    void note(const Record& record, std::int64_t unix_ns, bool held);
+    void cache_status(const Record& record, std::int64_t unix_ns, bool held);
     void column(Bytes& head, Bytes& body, std::uint64_t id, int codec, std::uint64_t count, View raw,
                 int level);
     void numbers(Bytes& head, Bytes& body, std::uint64_t id, const std::vector<std::uint64_t>& values,
--- a/src/trace/file.cpp
+++ b/src/trace/file.cpp
@@ -136,7 +136,7 @@
         throw Unreadable("a trace of major version " + std::to_string(major) + "; this program reads " +
                          std::to_string(kMajor));
     if (!whole)
-        note(0, kHeaderBytes, "header: checksum does not fit; its flags are not believed");
+        cache_status(0, kHeaderBytes, "header: checksum does not fit; its flags are not believed");
     minor_ = u16_at(header.data() + 10);
     // Without flags that can be believed, nothing may be taken for a whole recording.
     flags_ = whole ? u32_at(header.data() + 12) : std::uint32_t{kCut};
@@ -146,7 +146,7 @@
         scan();
 }
 
-void Reader::note(std::uint64_t offset, std::uint64_t bytes, std::string what) {
+void Reader::cache_status(std::uint64_t offset, std::uint64_t bytes, std::string what) {
     for (const Damage& d : damage_)
         if (d.offset == offset && d.what == what)
             return;
@@ -226,18 +226,19 @@
             if (block.kind == kIndexKind) {
                 // The index ends the file, with its trailer. Read from here, the chunks are known already.
                 if (size - at != block.bytes + kTrailerBytes)
-                    note(at, size - at, "the index's trailer is cut off or spoilt");
+                    cache_status(at, size - at, "the index's trailer is cut off or spoilt");
                 else
-                    note(size - kTrailerBytes, kTrailerBytes, "the trailer is spoilt");
+                    cache_status(size - kTrailerBytes, kTrailerBytes, "the trailer is spoilt");
                 return;
             }
             const auto view = block.kind == kChunkKind ? ChunkView::open(block.head) : nullptr;
             after_loss = after_loss || (block.kind == kChunkKind && !view);
             if (block.kind == kChunkKind && !view)
-                note(at, block.bytes, "a chunk's head can't be read");
+                cache_status(at, block.bytes, "a chunk's head can't be read");
             if (view && size - at < block.bytes)
-                note(at, size - at,
-                     "ends inside a chunk of " + std::to_string(view->summary().records) + " records");
+                cache_status(
+                    at, size - at,
+                    "ends inside a chunk of " + std::to_string(view->summary().records) + " records");
             else if (view)
                 chunks_.push_back({{at, block.bytes, view->summary()}, std::exchange(after_loss, false)});
             at += std::min(block.bytes, size - at);
@@ -262,12 +263,12 @@
                 break;
             from += window.size() - 3;
         }
-        note(at, next - at, why);
+        cache_status(at, next - at, why);
         after_loss = true;
         at = next;
     }
     if (damage_.empty() || damage_.back().what.find("trailer") == std::string::npos)
-        note(size, 0, "no index: the writer did not end in good order");
+        cache_status(size, 0, "no index: the writer did not end in good order");
 }
 
 std::unique_ptr<ChunkView> Reader::head(std::size_t chunk) {
@@ -275,12 +276,12 @@
     Block block;
     std::string why;
     if (!block_at(c.offset, block, &why) || block.kind != kChunkKind) {
-        note(c.offset, c.bytes, why.empty() ? "no chunk where the index says so" : why);
+        cache_status(c.offset, c.bytes, why.empty() ? "no chunk where the index says so" : why);
         return nullptr;
     }
     auto view = ChunkView::open(block.head);
     if (!view)
-        note(c.offset, c.bytes, "a chunk's head can't be read");
+        cache_status(c.offset, c.bytes, "a chunk's head can't be read");
     return view;
 }
 
@@ -290,8 +291,8 @@
     source_.read(c.offset, c.bytes, all);
     const auto lost = [&](const char* what) {
         lost_.insert(chunk);
-        note(c.offset, c.bytes,
-             std::string{what} + ", " + std::to_string(c.summary.records) + " records lost");
+        cache_status(c.offset, c.bytes,
+                     std::string{what} + ", " + std::to_string(c.summary.records) + " records lost");
         return nullptr;
     };
     if (all.size() < kFrameBytes + 8 || all.size() != c.bytes)
@@ -320,7 +321,7 @@
             return head && head->may_hold(key);
         };
         const bool overlaps = s.last_unix_ns >= pass_.from_unix_ns && s.first_unix_ns < pass_.to_unix_ns;
-        if (overlaps && (!pass_.worth || pass_.worth(s, may_hold)))
+        if (overlaps && (!pass_.priority_weight || pass_.priority_weight(s, may_hold)))
             view_ = reader_.load(chunk_, pass_.wanted);
         if (view_) {
             if (resume_)
@@ -354,7 +355,7 @@
         }
         const Chunk& c = reader_.chunks_[chunk_];
         if (view_->bad())
-            reader_.note(c.offset, c.bytes, "a chunk's columns can't be read");
+            reader_.cache_status(c.offset, c.bytes, "a chunk's columns can't be read");
         reader_.unknown_ += view_->unknown();
         resume_ = false;
         view_ = nullptr;
--- a/src/trace/file.h
+++ b/src/trace/file.h
@@ -134,7 +134,7 @@
         // False: `in_force` knows starts and clocks only, which is faster.
         bool track = true;
         // Chunks for which it is false are not read.
-        std::function<bool(const Summary&, const std::function<bool(std::uint64_t key)>&)> worth{};
+        std::function<bool(const Summary&, const std::function<bool(std::uint64_t key)>&)> priority_weight{};
     };
     // Calls `f(record, held, in_force)` for the wanted records of the chunks that overlap the times. Held
     // records come only at the head of the first chunk read, and again after a chunk that was passed over.
@@ -170,7 +170,7 @@
     void scan();
     struct Block;
     bool block_at(std::uint64_t offset, Block& block, std::string* why) const;
-    void note(std::uint64_t offset, std::uint64_t bytes, std::string what);
+    void cache_status(std::uint64_t offset, std::uint64_t bytes, std::string what);
 
     const ByteSource& source_;
     std::vector<Chunk> chunks_;
--- a/src/trace/json.cpp
+++ b/src/trace/json.cpp
@@ -208,8 +208,8 @@
             j["box"] = std::string{a.target.text()};
             if (a.fills) {
                 j["source"] = std::string{a.source.text()};
-                j["rank"] = a.rank;
-                j["held_only"] = a.held_only;
+                j["rank"] = a.retention;
+                j["held_only"] = a.only_if_cached;
                 if (a.oldest > 0)
                     j["oldest_ms"] = ms(a.oldest);
             }
@@ -219,10 +219,10 @@
         if (a.first_byte_at != kNoTime)
             j["first_byte"] = std::string{word(kVerdictWords, a.verdict)};
         if (a.ended_at != kNoTime) {
-            j["ending"] = std::string{word(kEndingWords, a.ending)};
+            j["ending"] = std::string{word(kEndingWords, a.attempt_status)};
             j["took_ms"] = ms(a.took);
-            if (a.note)
-                j["note"] = std::string{word(kNoteWords, a.note)};
+            if (a.cache_status)
+                j["note"] = std::string{word(kNoteWords, a.cache_status)};
             if (a.source_wait > 0)
                 j["source_wait_ms"] = ms(a.source_wait);
         }
@@ -238,8 +238,8 @@
         out["bytes"] = Json::Value{Json::UInt64{s.bytes}};
         if (s.hold_off > 0)
             out["hold_off_ms"] = ms(s.hold_off);
-        if (!s.box.empty())
-            out["named"] = std::string{s.box.text()};
+        if (!s.server.empty())
+            out["named"] = std::string{s.server.text()};
     }
     return out;
 }
@@ -268,8 +268,8 @@
         out += ", come back in " + ms_text(s.hold_off);
     if (s.answered() && s.timed_out)
         out += ", past its deadline";
-    if (!s.box.empty())
-        out += ", named " + std::string{s.box.text()};
+    if (!s.server.empty())
+        out += ", named " + std::string{s.server.text()};
     if (s.took() != kNoTime)
         out += ", after " + ms_text(s.took());
     out += '\n';
@@ -284,7 +284,8 @@
             else if (a.source.text() == a.target.text())
                 out += ", no fill";
             else
-                out += ", fill from " + std::string{a.source.text()} + " at rank " + std::to_string(a.rank);
+                out +=
+                    ", fill from " + std::string{a.source.text()} + " at rank " + std::to_string(a.retention);
             if (a.oldest > 0)
                 out += ", no older than " + ms_text(a.oldest);
             if (a.timeout > 0)
@@ -297,9 +298,9 @@
             continue;
         }
         out += ": ";
-        out += word(kEndingWords, a.ending);
-        if (a.note)
-            out += " (" + std::string{word(kNoteWords, a.note)} + ")";
+        out += word(kEndingWords, a.attempt_status);
+        if (a.cache_status)
+            out += " (" + std::string{word(kNoteWords, a.cache_status)} + ")";
         out += " after " + ms_text(a.took);
         if (a.source_wait > 0)
             out += ", waited " + ms_text(a.source_wait) + " for the source";
--- a/src/trace/observe.cpp
+++ b/src/trace/observe.cpp
@@ -42,14 +42,14 @@
         t.have = call.have;
     t.write = call.write;
     t.body_bytes = call.body ? call.body->size() : 0;
-    t.referred = call.referred;
+    t.redirected = call.redirected;
     put(now, t);
 }
 
-void Observing::put_list(const winchflow::CacheList& list, const core::BoxChange* change, core::Time now) {
+void Observing::put_list(const routing::ServerList& list, const core::ServerChange* change, core::Time now) {
     put(now, state::List{list.caches.size(), list.complete});
     for (std::size_t i = 0; i < list.caches.size(); ++i) {
-        const winchflow::ListedCache& c = list.caches[i];
+        const routing::ListedServer& c = list.caches[i];
         state::Entry e;
         e.id = c.id.address;
         e.zone = c.zone;
@@ -57,18 +57,18 @@
         e.condition = static_cast<std::uint8_t>(c.condition);
         e.weight = c.weight;
         e.cell = static_cast<std::int64_t>(c.cell);
-        if (c.up_since)
-            e.up_since = ns(*c.up_since);
-        if (change && i < change->boxes.size()) {
-            e.address = change->boxes[i].address;
-            e.started_unix_ms = change->boxes[i].started_ms;
+        if (c.started_at)
+            e.started_at = ns(*c.started_at);
+        if (change && i < change->servers.size()) {
+            e.address = change->servers[i].address;
+            e.started_unix_ms = change->servers[i].started_ms;
         }
         put(now, e);
     }
 }
 
-void Observing::put_action(const winchflow::Action& action, const core::Origin& origin, core::Time now) {
-    if (const auto* send = std::get_if<winchflow::Send>(&action)) {
+void Observing::put_action(const routing::Action& action, const core::Origin& origin, core::Time now) {
+    if (const auto* send = std::get_if<routing::Send>(&action)) {
         state::Sent s;
         s.call = static_cast<std::uint64_t>(send->request);
         if (s.call != sent_call_) {
@@ -84,36 +84,36 @@
         if (send->fill) {
             s.fills = true;
             s.source = send->fill->source.address;
-            s.rank = static_cast<std::uint8_t>(send->fill->rank);
+            s.retention = static_cast<std::uint8_t>(send->fill->retention);
             s.oldest = send->fill->oldest.count();
             s.join = send->fill->join;
-            s.renew = send->fill->renew;
-            s.held_only = send->fill->held_only;
+            s.revalidate = send->fill->revalidate;
+            s.only_if_cached = send->fill->only_if_cached;
         }
         put(now, s);
-    } else if (const auto* cancel = std::get_if<winchflow::Cancel>(&action)) {
+    } else if (const auto* cancel = std::get_if<routing::Cancel>(&action)) {
         put(now, state::Cancelled{static_cast<std::uint64_t>(cancel->request), cancel->attempt});
-    } else if (const auto* refuse = std::get_if<winchflow::Refuse>(&action)) {
+    } else if (const auto* refuse = std::get_if<routing::Reject>(&action)) {
         put(now, state::Refused{static_cast<std::uint64_t>(refuse->request), refuse->retry_after.count()});
-    } else if (const auto* fail = std::get_if<winchflow::Fail>(&action)) {
+    } else if (const auto* fail = std::get_if<routing::Fail>(&action)) {
         put(now, state::GivenUp{static_cast<std::uint64_t>(fail->request)});
-    } else if (const auto* timer = std::get_if<winchflow::SetTimer>(&action)) {
+    } else if (const auto* timer = std::get_if<routing::SetTimer>(&action)) {
         put(now, state::TimerSet{static_cast<std::uint64_t>(timer->id), timer->after.count()});
     }
 }
 
-void Observing::told(const winchflow::Event& event, core::Time now,
-                     const std::vector<winchflow::Action>& actions, const core::Origin& origin) {
-    if (const auto* request = std::get_if<winchflow::Request>(&event)) {
+void Observing::told(const routing::Event& event, core::Time now, const std::vector<routing::Action>& actions,
+                     const core::Origin& origin) {
+    if (const auto* request = std::get_if<routing::Request>(&event)) {
         const auto at = origin.calls ? origin.calls->find(request->id) : core::OpenCalls::const_iterator{};
         if (origin.calls && at != origin.calls->end())
             put_taken(*at->second.call, static_cast<std::uint64_t>(request->id), request->class_index, now);
-    } else if (const auto* outcome = std::get_if<winchflow::Outcome>(&event)) {
+    } else if (const auto* outcome = std::get_if<routing::Outcome>(&event)) {
         state::Ended e;
         e.call = static_cast<std::uint64_t>(outcome->request);
         e.attempt = outcome->attempt;
-        e.ending = static_cast<std::uint8_t>(outcome->ending);
-        e.note = static_cast<std::uint8_t>(outcome->note);
+        e.attempt_status = static_cast<std::uint8_t>(outcome->attempt_status);
+        e.cache_status = static_cast<std::uint8_t>(outcome->cache_status);
         e.over = outcome->over;
         e.took = outcome->took.count();
         e.source_wait = outcome->source_wait.count();
@@ -122,15 +122,15 @@
         e.hit_share = outcome->load.hit_share.value_or(state::kNoFigure);
         e.link_fullness = outcome->load.link_fullness.value_or(state::kNoFigure);
         put(now, e);
-    } else if (const auto* abandoned = std::get_if<winchflow::Abandoned>(&event)) {
-        put(now, state::Abandoned{static_cast<std::uint64_t>(abandoned->request)});
-    } else if (const auto* timer = std::get_if<winchflow::Timer>(&event)) {
+    } else if (const auto* abandoned = std::get_if<routing::ClientClosed>(&event)) {
+        put(now, state::ClientClosed{static_cast<std::uint64_t>(abandoned->request)});
+    } else if (const auto* timer = std::get_if<routing::Timer>(&event)) {
         put(now, state::Fired{static_cast<std::uint64_t>(timer->id)});
-    } else if (const auto* list = std::get_if<winchflow::CacheList>(&event)) {
+    } else if (const auto* list = std::get_if<routing::ServerList>(&event)) {
         put_list(*list, origin.change, now);
-    } else if (const auto* purge = std::get_if<winchflow::Purge>(&event)) {
+    } else if (const auto* purge = std::get_if<routing::Purge>(&event)) {
         put(now, state::Purge{!purge->object.has_value(),
-                              static_cast<std::uint64_t>(purge->object.value_or(winchflow::ObjectId{})),
+                              static_cast<std::uint64_t>(purge->object.value_or(routing::ObjectId{})),
                               static_cast<std::uint64_t>(purge->group),
                               origin.purge ? origin.purge->issued_ms : 0, purge->age.count()});
     }
@@ -163,7 +163,7 @@
     a.made_unix_ms = answer.made_ms;
     if (!left_out_.tags)
         a.tag = answer.tag;
-    a.box = answer.box_address;
+    a.server = answer.server_address;
     put(now, a);
 }
 
--- a/src/trace/observe.h
+++ b/src/trace/observe.h
@@ -22,7 +22,7 @@
 class Observing : public core::Observer {
 public:
     explicit Observing(RecordSink& sink, LeftOut left_out = {}) : sink_(sink), left_out_(left_out) {}
-    void told(const winchflow::Event& event, core::Time now, const std::vector<winchflow::Action>& actions,
+    void told(const routing::Event& event, core::Time now, const std::vector<routing::Action>& actions,
               const core::Origin& origin) override;
     void turned_away(const core::Call& call, std::size_t class_index, core::Time now) override;
     void first_byte(const core::AttemptKey& key, std::optional<core::Span> oldest, bool tightened,
@@ -35,8 +35,8 @@
         sink_.take({at.time_since_epoch().count(), 0, body});
     }
     void put_taken(const core::Call& call, std::uint64_t id, std::size_t class_index, core::Time now);
-    void put_list(const winchflow::CacheList& list, const core::BoxChange* change, core::Time now);
-    void put_action(const winchflow::Action& action, const core::Origin& origin, core::Time now);
+    void put_list(const routing::ServerList& list, const core::ServerChange* change, core::Time now);
+    void put_action(const routing::Action& action, const core::Origin& origin, core::Time now);
 
     RecordSink& sink_;
     LeftOut left_out_;
--- a/src/trace/replay.cpp
+++ b/src/trace/replay.cpp
@@ -5,7 +5,7 @@
 
 namespace silverrail::trace {
 
-using namespace winchflow;
+using namespace silverrail::routing;
 
 namespace {
 
@@ -46,14 +46,14 @@
             std::string text = "send to " + s.target.address;
             if (s.fill) {
                 text += s.fill->source == s.target ? ", no fill" : ", filled from " + s.fill->source.address;
-                text += ", rank " + std::to_string(static_cast<int>(s.fill->rank));
+                text += ", rank " + std::to_string(static_cast<int>(s.fill->retention));
                 if (s.fill->oldest > Span{})
                     text += ", no older than " + milliseconds(s.fill->oldest);
                 if (s.fill->join)
                     text += ", join";
-                if (s.fill->renew)
+                if (s.fill->revalidate)
                     text += ", renew";
-                if (s.fill->held_only)
+                if (s.fill->only_if_cached)
                     text += ", held only";
             } else {
                 text += ", a plain look";
@@ -65,7 +65,7 @@
         std::string operator()(const Cancel& c) const {
             return "cancel attempt " + std::to_string(c.attempt);
         }
-        std::string operator()(const Refuse& r) const {
+        std::string operator()(const Reject& r) const {
             return "refuse for " + milliseconds(r.retry_after);
         }
         std::string operator()(const Fail&) const {
@@ -82,8 +82,9 @@
 bool same_fill(const std::optional<Fill>& a, const std::optional<Fill>& b) {
     if (a.has_value() != b.has_value())
         return false;
-    return !a || (a->source == b->source && a->rank == b->rank && a->oldest == b->oldest &&
-                  a->join == b->join && a->renew == b->renew && a->held_only == b->held_only);
+    return !a ||
+           (a->source == b->source && a->retention == b->retention && a->oldest == b->oldest &&
+            a->join == b->join && a->revalidate == b->revalidate && a->only_if_cached == b->only_if_cached);
 }
 
 // Absent: they are the same.
@@ -91,7 +92,7 @@
     const bool then_sends = std::holds_alternative<Send>(then);
     const bool now_sends = std::holds_alternative<Send>(now);
     const auto turns_away = [](const Action& a) {
-        return std::holds_alternative<Refuse>(a) || std::holds_alternative<Fail>(a);
+        return std::holds_alternative<Reject>(a) || std::holds_alternative<Fail>(a);
     };
     if (then_sends && now_sends) {
         const Send& a = std::get<Send>(then);
@@ -117,8 +118,8 @@
         const Cancel& b = std::get<Cancel>(now);
         if (a->request != b.request || a->attempt != b.attempt)
             return Difference::other_cancel;
-    } else if (const auto* r = std::get_if<Refuse>(&then)) {
-        const Refuse& b = std::get<Refuse>(now);
+    } else if (const auto* r = std::get_if<Reject>(&then)) {
+        const Reject& b = std::get<Reject>(now);
         if (r->request != b.request || r->retry_after != b.retry_after)
             return Difference::other_refusal;
     } else if (const auto* f = std::get_if<Fail>(&then)) {
@@ -157,7 +158,7 @@
             compare(record.source, before->second);
         Router r;
         r.settings = settings_of_(start->settings);
-        r.module = std::make_unique<winchflow::Router>(r.settings, start->seed);
+        r.module = std::make_unique<routing::Router>(r.settings, start->seed);
         routers_.insert_or_assign(record.source, std::move(r));
         return true;
     }
@@ -190,7 +191,7 @@
         q.part = static_cast<std::uint32_t>(t->part);
         q.size_kb = t->size_kb;
         q.deadline = time_of(record.at + t->wait);
-        q.referred = t->referred;
+        q.redirected = t->redirected;
         compare(record.source, r);
         if (r.classes.size() >= kMostClasses)
             r.classes.erase(r.classes.begin());
@@ -200,20 +201,20 @@
         Outcome o;
         o.request = id(e->call);
         o.attempt = static_cast<std::uint32_t>(e->attempt);
-        o.ending = static_cast<Ending>(e->ending);
-        o.note = static_cast<Note>(e->note);
+        o.attempt_status = static_cast<AttemptStatus>(e->attempt_status);
+        o.cache_status = static_cast<CacheStatus>(e->cache_status);
         o.over = e->over;
         o.took = Span{e->took};
         o.source_wait = Span{e->source_wait};
         o.load = {figure(e->in_flight), figure(e->utilisation), figure(e->hit_share),
                   figure(e->link_fullness)};
         tell(record.source, r, o, record.at, e->call);
-    } else if (const auto* a = std::get_if<state::Abandoned>(&record.body)) {
-        tell(record.source, r, winchflow::Abandoned{id(a->call)}, record.at, a->call);
+    } else if (const auto* a = std::get_if<state::ClientClosed>(&record.body)) {
+        tell(record.source, r, routing::ClientClosed{id(a->call)}, record.at, a->call);
     } else if (const auto* f = std::get_if<state::Fired>(&record.body)) {
         tell(record.source, r, Timer{TimerId{f->timer}}, record.at, 0);
     } else if (const auto* p = std::get_if<state::Purge>(&record.body)) {
-        winchflow::Purge purge{std::nullopt, GroupId{p->group}, Span{p->age}};
+        routing::Purge purge{std::nullopt, GroupId{p->group}, Span{p->age}};
         if (!p->whole_group)
             purge.object = ObjectId{p->object};
         tell(record.source, r, purge, record.at, 0);
@@ -226,32 +227,32 @@
     } else if (const auto* n = std::get_if<state::Entry>(&record.body)) {
         if (r.entries == 0)
             return true;
-        ListedCache c;
+        ListedServer c;
         c.id.address = n->id;
         c.condition = static_cast<Condition>(n->condition);
         c.weight = n->weight;
         c.cell = CellId{n->cell};
         c.zone = n->zone;
         c.kind = n->kind;
-        if (n->up_since != state::kNoTime)
-            c.up_since = time_of(n->up_since);
+        if (n->started_at != state::kNoTime)
+            c.started_at = time_of(n->started_at);
         r.list.caches.push_back(std::move(c));
         if (--r.entries == 0)
             tell(record.source, r, std::exchange(r.list, {}), record.at, 0);
     } else if (const auto* s = std::get_if<state::Sent>(&record.body)) {
-        Send send{id(s->call), CacheId{std::string{s->target}}, Span{s->timeout}, std::nullopt};
+        Send send{id(s->call), ServerId{std::string{s->target}}, Span{s->timeout}, std::nullopt};
         if (s->fills)
-            send.fill = Fill{CacheId{std::string{s->source}},
-                             static_cast<Rank>(s->rank),
+            send.fill = Fill{ServerId{std::string{s->source}},
+                             static_cast<RetentionPriority>(s->retention),
                              Span{s->oldest},
                              s->join,
-                             s->renew,
-                             s->held_only};
+                             s->revalidate,
+                             s->only_if_cached};
         say(std::move(send));
     } else if (const auto* c = std::get_if<state::Cancelled>(&record.body)) {
         say(Cancel{id(c->call), static_cast<std::uint32_t>(c->attempt)});
     } else if (const auto* f2 = std::get_if<state::Refused>(&record.body)) {
-        say(Refuse{id(f2->call), Span{f2->retry_after}});
+        say(Reject{id(f2->call), Span{f2->retry_after}});
     } else if (const auto* g = std::get_if<state::GivenUp>(&record.body)) {
         say(Fail{id(g->call)});
     } else if (const auto* t2 = std::get_if<state::TimerSet>(&record.body)) {
--- a/src/trace/replay.h
+++ b/src/trace/replay.h
@@ -10,13 +10,13 @@
 #include <string>
 #include <vector>
 
+#include "silverrail/routing/router.h"
 #include "state/in_force.h"
-#include "winchflow/router.h"
 
 namespace silverrail::trace {
 
 // What the module's settings were: made from `Start::settings`. Throws what its reader throws.
-using SettingsOf = std::function<winchflow::Settings(std::string_view json)>;
+using SettingsOf = std::function<routing::Settings(std::string_view json)>;
 
 class Replay {
 public:
@@ -74,22 +74,22 @@
 
 private:
     struct Router {
-        winchflow::Settings settings;
-        std::unique_ptr<winchflow::Router> module;
+        routing::Settings settings;
+        std::unique_ptr<routing::Router> module;
         std::map<std::uint64_t, std::size_t> classes;  // of calls that are open
-        winchflow::CacheList list;                     // being told
+        routing::ServerList list;                      // being told
         std::uint64_t entries = 0;                     // of it, still to come
         std::int64_t at = 0;                           // of the event that is being compared
         std::uint64_t call = 0;
-        std::vector<winchflow::Action> said;      // by the module now
-        std::vector<winchflow::Action> recorded;  // by the module then
+        std::vector<routing::Action> said;      // by the module now
+        std::vector<routing::Action> recorded;  // by the module then
         bool comparing = false;
     };
-    void tell(std::uint32_t source, Router& r, const winchflow::Event& event, std::int64_t at,
+    void tell(std::uint32_t source, Router& r, const routing::Event& event, std::int64_t at,
               std::uint64_t call);
     void compare(std::uint32_t source, Router& r);
-    void differ(std::uint32_t source, Router& r, Difference d, const winchflow::Action* then,
-                const winchflow::Action* now);
+    void differ(std::uint32_t source, Router& r, Difference d, const routing::Action* then,
+                const routing::Action* now);
 
     SettingsOf settings_of_;
     bool go_on_;
--- a/src/trace/synth.cpp
+++ b/src/trace/synth.cpp
@@ -19,14 +19,14 @@
 using core::AttemptKey;
 using core::Span;
 using core::Time;
-using winchflow::Condition;
-using winchflow::Ending;
-using winchflow::Note;
+using routing::AttemptStatus;
+using routing::CacheStatus;
+using routing::Condition;
 using Ns = std::int64_t;
 
 constexpr Ns kMs = 1'000'000;
 constexpr Ns kSecond = 1'000'000'000;
-constexpr int kBoxes = 11;
+constexpr int kServers = 11;
 constexpr int kObjects = 60'000;
 constexpr int kClients = 700;
 constexpr double kKbPerS = 4000;
@@ -125,35 +125,35 @@
     std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
 
-// The boxes, as all routers see them: which are up, and how crowded.
-struct Boxes {
-    std::vector<lab::BoxPlan> plan;
+// The servers, as all routers see them: which are up, and how crowded.
+struct Servers {
+    std::vector<lab::ServerPlan> plan;
     std::map<std::string, bool> dead;
     std::map<std::string, int> held;
 };
 
-// Attempts that end as a made-up box would end them.
+// Attempts that end as a made-up server would end them.
 class MadeUpSender : public core::AttemptSender {
 public:
-    MadeUpSender(World& world, const SkewedClock& clock, Boxes& boxes, std::uint64_t seed)
-        : world_(world), clock_(clock), boxes_(boxes), random_(seed) {}
+    MadeUpSender(World& world, const SkewedClock& clock, Servers& servers, std::uint64_t seed)
+        : world_(world), clock_(clock), servers_(servers), random_(seed) {}
     void start(core::Order order, core::AttemptEvents& events) override {
         const AttemptKey key = order.key;
         out_.insert(key);
-        const std::string box = order.target.address;
-        ++boxes_.held[box];
-        after(key, box, 80'000 + below(400'000), [this, order = std::move(order), &events, box] {
+        const std::string server = order.target.address;
+        ++servers_.held[server];
+        after(key, server, 80'000 + below(400'000), [this, order = std::move(order), &events, server] {
             if (!events.before_first_byte(order.key))
-                return end(events, order.key, box, {.ending = Ending::not_sent});
-            if (boxes_.dead[box])
-                return end(events, order.key, box, {.ending = Ending::no_connection});
-            run(order, events, box);
+                return end(events, order.key, server, {.attempt_status = AttemptStatus::not_sent});
+            if (servers_.dead[server])
+                return end(events, order.key, server, {.attempt_status = AttemptStatus::connect_failed});
+            run(order, events, server);
         });
     }
     void cancel(const AttemptKey& key) override {
         out_.erase(key);
     }
-    void forget(const core::CacheId&) override {}
+    void forget(const core::ServerId&) override {}
 
 private:
     Ns below(Ns n) {
@@ -162,75 +162,78 @@
     double chance() {
         return static_cast<double>(random_() >> 11) * 0x1p-53;
     }
-    void after(const AttemptKey& key, const std::string& box, Ns span, World::Action action) {
+    void after(const AttemptKey& key, const std::string& server, Ns span, World::Action action) {
         world_.at(world_.now() + span,
-                  [this, key, box, alive = std::weak_ptr{alive_}, action = std::move(action)] {
+                  [this, key, server, alive = std::weak_ptr{alive_}, action = std::move(action)] {
                       if (!alive.lock())
                           return;
                       if (out_.contains(key))
                           action();
                       else
-                          --boxes_.held[box];  // given up meanwhile
+                          --servers_.held[server];  // given up meanwhile
                   });
     }
-    void end(core::AttemptEvents& events, const AttemptKey& key, const std::string& box,
+    void end(core::AttemptEvents& events, const AttemptKey& key, const std::string& server,
              core::AttemptEnd how) {
-        --boxes_.held[box];
+        --servers_.held[server];
         if (out_.erase(key))
             events.ended(key, std::move(how));
     }
-    void run(const core::Order& order, core::AttemptEvents& events, const std::string& box) {
+    void run(const core::Order& order, core::AttemptEvents& events, const std::string& server) {
         const core::Call& call = *order.call;
         const double kb = call.size_kb > 0 ? call.size_kb : 20;
-        const int held = boxes_.held[box];
+        const int held = servers_.held[server];
         const double crowding = 1 + std::max(0, held - 40) / 40.0;
         Ns takes = static_cast<Ns>(kb / kKbPerS * 1e9 * crowding) + 2 * kMs + below(3 * kMs);
-        core::AttemptEnd how{.ending = Ending::good};
+        core::AttemptEnd how{.attempt_status = AttemptStatus::success};
         how.load.in_flight = held;
         how.load.utilisation = std::round(std::min(1.0, held / 80.0) * 100) / 100;
         how.load.hit_share = 0.7;
         how.load.link_fullness = std::round(chance() * 20) / 100 + 0.3;
         const double luck = chance();
         if (luck < 0.002) {
-            how = {.ending = Ending::reset};
+            how = {.attempt_status = AttemptStatus::reset};
         } else if (luck < 0.005) {
-            how = {.ending = Ending::error};
+            how = {.attempt_status = AttemptStatus::error};
         } else if (held > 160) {
-            how.ending = Ending::full;
+            how.attempt_status = AttemptStatus::overloaded;
             takes = kMs;
         } else if (luck < 0.006) {
             return;  // silent: its time-out ends it
         } else if (call.write) {
             takes += 30 * kMs + below(60 * kMs);
-            how.note = Note::filled_by_origin;
-        } else if (seen(box, call)) {
-            how.note = Note::hit;
+            how.cache_status = CacheStatus::filled_from_origin;
+        } else if (seen(server, call)) {
+            how.cache_status = CacheStatus::hit;
         } else if (!order.source) {
-            how.ending = Ending::miss;
+            how.attempt_status = AttemptStatus::miss;
             takes = 2 * kMs;
         } else {
-            how.note = Note::filled;
+            how.cache_status = CacheStatus::filled;
             how.source_wait = Span{(20 * kMs + below(60 * kMs)) / 1000 * 1000};
             takes += how.source_wait.count();
         }
-        if (how.ending == Ending::good) {
+        if (how.attempt_status == AttemptStatus::success) {
             how.body.assign(static_cast<std::size_t>(kb * 8), 'x');
             how.tag = "4be0c1927d55a6f3";
-            how.made_ms = (clock_.true_unix_ns() - (how.note == Note::hit ? below(6 * kSecond) : 0)) / kMs;
+            how.made_ms =
+                (clock_.true_unix_ns() - (how.cache_status == CacheStatus::hit ? below(6 * kSecond) : 0)) /
+                kMs;
         }
-        after(order.key, box, takes,
-              [this, key = order.key, &events, box, how = std::move(how)] { end(events, key, box, how); });
+        after(order.key, server, takes, [this, key = order.key, &events, server, how = std::move(how)] {
+            end(events, key, server, how);
+        });
     }
-    // A copy is there once the object was asked for at that box; small and old ones fall out by chance.
-    bool seen(const std::string& box, const core::Call& call) {
-        const auto key = checksum(box, static_cast<std::uint64_t>(call.object_id) ^ call.part);
+    // A copy is there once the object was asked for at that server; small and old ones fall out by chance.
+    bool seen(const std::string& server, const core::Call& call) {
+        const auto key = checksum(server, static_cast<std::uint64_t>(call.object_id) ^ call.part);
         if (copies_.size() > 200'000)
             copies_.clear();
         return !copies_.insert(key).second && chance() > 0.05;
     }
     World& world_;
     const SkewedClock& clock_;
-    Boxes& boxes_;
+    Servers& servers_;
     std::mt19937_64 random_;
     std::set<AttemptKey> out_;
     std::set<std::uint64_t> copies_;
@@ -245,14 +248,14 @@
 // One run of one router, from its start to its end, and its file.
 class Run : RecordSink {
 public:
-    Run(World& world, Boxes& boxes, const SynthPlan& plan, const std::string& name, SkewedClock clock,
+    Run(World& world, Servers& servers, const SynthPlan& plan, const std::string& name, SkewedClock clock,
         ByteSink& sink, std::uint64_t seed, Log& log)
         : world_(world),
-          boxes_(boxes),
+          servers_(servers),
           plan_(plan),
           clock_(clock),
           timers_(world, clock_),
-          sender_(world, clock_, boxes, seed),
+          sender_(world, clock_, servers, seed),
           config_(lab::router_config(name, seed, "127.0.0.1:4100", "", plan.routers)),
           writer_(sink, 0, clock_.unix_ns()),
           observing_(*this),
@@ -263,9 +266,10 @@
         state::Start start{name, incarnation_unix_ns, seed, "synthetic", settings, offset(), 0};
         writer_.add({clock_.steady(), 0, start});
         engine_.watch(&observing_);
-        core::BoxChange all{true, {}};
-        for (const auto& box : boxes_.plan)
-            all.boxes.push_back(lab::known(box, boxes_.dead[box.id] ? Condition::gone : Condition::ready));
+        core::ServerChange all{true, {}};
+        for (const auto& server : servers_.plan)
+            all.servers.push_back(
+                lab::known(server, servers_.dead[server.id] ? Condition::gone : Condition::ready));
         engine_.apply(all);
         tick();
         arrive();
@@ -285,7 +289,7 @@
                 engine_.apply(purge);
         });
     }
-    void hear(const core::BoxChange& change) {
+    void hear(const core::ServerChange& change) {
         world_.at(world_.now() + 200 * kMs + below(1500 * kMs), [this, change] {
             if (!dead_)
                 engine_.apply(change);
@@ -332,13 +336,13 @@
         std::snprintf(digits, sizeof digits, "%016llx", static_cast<unsigned long long>(random_()));
         call.trace = digits;
         // Few objects are asked for often: the rank's logarithm is even.
-        const auto rank = static_cast<std::uint64_t>(std::pow(kObjects, chance()));
+        const auto retention = static_cast<std::uint64_t>(std::pow(kObjects, chance()));
         const std::uint64_t object =
-            index == 2 ? random_() : mixed(rank * 4 + static_cast<std::uint64_t>(index));
+            index == 2 ? random_() : mixed(retention * 4 + static_cast<std::uint64_t>(index));
         std::snprintf(digits, sizeof digits, "%016llx", static_cast<unsigned long long>(object));
         call.object = digits;
-        call.object_id = winchflow::ObjectId{object};
-        call.group = winchflow::GroupId{object & 255};
+        call.object_id = routing::ObjectId{object};
+        call.group = routing::GroupId{object & 255};
         call.part = index == 0 ? static_cast<std::uint32_t>(mixed(object) % 4) : 0;
         const double spread = static_cast<double>(mixed(object + 7) % 1000) / 1000;
         call.size_kb = index == 0   ? std::round(1500 + 900 * spread)
@@ -385,7 +389,7 @@
     }
 
     World& world_;
-    Boxes& boxes_;
+    Servers& servers_;
     const SynthPlan& plan_;
     SkewedClock clock_;
     WorldTimers timers_;
@@ -410,17 +414,17 @@
     if (plan.restart && (plan.routers < 2 || plan.seconds < 10))
         throw std::invalid_argument("a restart needs two routers and 10 seconds");
     World world;
-    Boxes boxes;
-    for (int i = 0; i < kBoxes; ++i) {
+    Servers servers;
+    for (int i = 0; i < kServers; ++i) {
         char id[16];
         std::snprintf(id, sizeof id, "s-%08x",
                       static_cast<unsigned>(mixed(static_cast<std::uint64_t>(i) + 100)));
-        boxes.plan.push_back({id, "127.0.1." + std::to_string(i + 1) + ":4100", "small-box",
-                              10.0 + 3 * (i % 3), 1 + i % 3, 0});
+        servers.plan.push_back({id, "127.0.1." + std::to_string(i + 1) + ":4100", "small-box",
+                                10.0 + 3 * (i % 3), 1 + i % 3, 0});
     }
-    boxes.plan.push_back({"h-north", "127.0.2.1:4100", "hub", 40, 9, 0});
-    boxes.plan.push_back({"h-south", "127.0.2.2:4100", "hub", 40, 9, 0});
-    boxes.plan.push_back({"o-head", "127.0.2.9:4100", "store", 60, 9, 0});
+    servers.plan.push_back({"h-north", "127.0.2.1:4100", "hub", 40, 9, 0});
+    servers.plan.push_back({"h-south", "127.0.2.2:4100", "hub", 40, 9, 0});
+    servers.plan.push_back({"o-head", "127.0.2.9:4100", "store", 60, 9, 0});
 
     std::mt19937_64 random{plan.seed};
     const auto even = [&random] {
@@ -447,7 +451,7 @@
         const Ns base = 1000 * kSecond + static_cast<Ns>(random() % 1'000'000'000'000U);
         SkewedClock clock{world, plan.begin_unix_ns, base, static_cast<Ns>(t.ahead_ms * 1e6),
                           t.drift_ppm / 1e6};
-        runs.push_back(std::make_unique<Run>(world, boxes, plan, t.router, clock, sink, random(), log));
+        runs.push_back(std::make_unique<Run>(world, servers, plan, t.router, clock, sink, random(), log));
         t.incarnation_unix_ns = runs.back()->incarnation_unix_ns;
         truth.push_back(t);
     };
@@ -458,17 +462,17 @@
         world.at(span / 2, [&runs] { runs[1]->die(); });
         world.at(span / 2 + 3 * kSecond, [&begin] { begin(1, 2); });
     }
-    // The bulletin: purges, and now and then a box that drains, goes and comes back.
+    // Discovery: purges, and now and then a server that drains, goes and comes back.
     const std::function<void()> purge = [&] {
-        const auto rank = static_cast<std::uint64_t>(std::pow(kObjects, (even() + 1) / 2));
+        const auto retention = static_cast<std::uint64_t>(std::pow(kObjects, (even() + 1) / 2));
         core::PurgeNotice p;
         if (random() % 8 == 0)
-            p.group = winchflow::GroupId{random() & 255};
+            p.group = routing::GroupId{random() & 255};
         else
-            p.object = winchflow::ObjectId{mixed(rank * 4 + random() % 2)};
+            p.object = routing::ObjectId{mixed(retention * 4 + random() % 2)};
         p.issued_ms = (plan.begin_unix_ns + world.now()) / kMs;
         if (p.object)
-            p.group = winchflow::GroupId{static_cast<std::uint64_t>(*p.object) & 255};
+            p.group = routing::GroupId{static_cast<std::uint64_t>(*p.object) & 255};
         for (auto& run : runs)
             run->hear(p);
         world.at(world.now() + static_cast<Ns>(-std::log(1 - (even() + 1) / 2.0000001) / plan.purges * 1e9),
@@ -476,27 +480,27 @@
     };
     if (plan.purges > 0)
         world.at(kSecond, purge);
-    const std::function<void(std::size_t)> trouble = [&](std::size_t box) {
-        const auto tell = [&, box](Condition condition) {
-            core::BoxChange change{false, {lab::known(boxes.plan[box], condition)}};
+    const std::function<void(std::size_t)> trouble = [&](std::size_t server) {
+        const auto tell = [&, server](Condition condition) {
+            core::ServerChange change{false, {lab::known(servers.plan[server], condition)}};
             for (auto& run : runs)
                 run->hear(change);
         };
-        if (box % 2 == 0) {
+        if (server % 2 == 0) {
             tell(Condition::draining);
         } else {
-            boxes.dead[boxes.plan[box].id] = true;
+            servers.dead[servers.plan[server].id] = true;
         }
-        world.at(world.now() + 4 * kSecond, [&, box, tell] {
-            boxes.dead[boxes.plan[box].id] = true;
+        world.at(world.now() + 4 * kSecond, [&, server, tell] {
+            servers.dead[servers.plan[server].id] = true;
             tell(Condition::gone);
         });
-        world.at(world.now() + 15 * kSecond, [&, box, tell] {
-            boxes.dead[boxes.plan[box].id] = false;
-            boxes.plan[box].started_ms = (plan.begin_unix_ns + world.now()) / kMs;
+        world.at(world.now() + 15 * kSecond, [&, server, tell] {
+            servers.dead[servers.plan[server].id] = false;
+            servers.plan[server].started_ms = (plan.begin_unix_ns + world.now()) / kMs;
             tell(Condition::ready);
         });
-        world.at(world.now() + 45 * kSecond, [&, box] { trouble((box + 1) % kBoxes); });
+        world.at(world.now() + 45 * kSecond, [&, server] { trouble((server + 1) % kServers); });
     };
     world.at(20 * kSecond, [&] { trouble(0); });
     for (std::uint64_t steps = 0; world.step(span); ++steps)
--- a/src/trace/synth.h
+++ b/src/trace/synth.h
@@ -1,4 +1,4 @@
-// Synthetic traces: the real core and decision module, in simulated time, before made-up clients and boxes.
+// Synthetic traces: the real core and decision module, in simulated time, before made-up clients and servers.
 // The same plan gives the same bytes. Bounded: by seconds times rate times routers.
 #pragma once
 
--- a/src/trace/tools.cpp
+++ b/src/trace/tools.cpp
@@ -52,7 +52,7 @@
 
 }  // namespace
 
-winchflow::Settings settings_of(std::string_view config_json) {
+routing::Settings settings_of(std::string_view config_json) {
     const auto json = config::parse_json(config_json);
     if (!json)
         throw config::ConfigError("the start's settings are not JSON");
@@ -93,14 +93,15 @@
     return "class-" + std::to_string(class_index);
 }
 
-std::int64_t Routers::aim(std::uint32_t source, std::uint64_t class_index, double size_kb) const {
+std::int64_t Routers::latency_objective(std::uint32_t source, std::uint64_t class_index,
+                                        double size_kb) const {
     const auto at = routers_.find(source);
     if (at == routers_.end() || class_index >= at->second.settings.classes.size())
         return 0;
-    const winchflow::Settings& s = at->second.settings;
-    const winchflow::ClassSettings& c = s.classes[class_index];
+    const routing::Settings& s = at->second.settings;
+    const routing::ClassSettings& c = s.classes[class_index];
     const double work_ns = s.flow_kb_per_s > 0 ? size_kb / s.flow_kb_per_s * 1e9 : 0;
-    return c.aim.count() + static_cast<std::int64_t>(c.aim_stretch * work_ns);
+    return c.latency_objective.count() + static_cast<std::int64_t>(c.objective_stretch * work_ns);
 }
 
 // ---- show --------------------------------------------------------------------------------------
@@ -138,7 +139,7 @@
     // A call's id and object stand in the filter of every chunk in which it is open, so the others hold
     // nothing of it.
     if (!selection.traces.empty() || !selection.objects.empty())
-        pass.worth = [&](const Summary&, const std::function<bool(std::uint64_t)>& may_hold) {
+        pass.priority_weight = [&](const Summary&, const std::function<bool(std::uint64_t)>& may_hold) {
             const auto one_of = [&](const auto& list, auto key_of) {
                 return list.empty() || std::any_of(list.begin(), list.end(),
                                                    [&](const auto& v) { return may_hold(key_of(v)); });
@@ -268,7 +269,7 @@
     return checksum({reinterpret_cast<const char*>(parts), sizeof parts});
 }
 
-// After a start the bulletin tells what had been before: that says nothing of when it was heard of.
+// After a start discovery tells what had been before: that says nothing of when it was heard of.
 constexpr std::int64_t kSettled = 3'000'000'000;
 
 class Merge {
@@ -608,7 +609,7 @@
 void Summarizer::add(Reader& reader, const Progress& progress) {
     const auto tally = [this] {
         return Tally{[this](std::uint32_t s, std::uint64_t c, double kb) {
-            return routers_.aim(s, c, kb);
+            return routers_.latency_objective(s, c, kb);
         }};
     };
     // By its begin; the one without an interval has all.
--- a/src/trace/tools.h
+++ b/src/trace/tools.h
@@ -7,12 +7,12 @@
 #include <string>
 #include <vector>
 
+#include "silverrail/routing/router.h"
 #include "state/selection.h"
 #include "state/skew.h"
 #include "state/tally.h"
 #include "trace/file.h"
 #include "trace/json.h"
-#include "winchflow/router.h"
 
 namespace silverrail::trace {
 
@@ -22,7 +22,7 @@
 };
 
 // Reads settings out of a trace's start. Settings that can't be read are none: names are numbers then.
-winchflow::Settings settings_of(std::string_view config_json);  // throws config::ConfigError
+routing::Settings settings_of(std::string_view config_json);  // throws config::ConfigError
 
 // The routers of a trace as they start; fed all records.
 class Routers {
@@ -31,11 +31,11 @@
     std::string name(std::uint32_t source) const;
     std::string class_name(std::uint32_t source, std::uint64_t class_index) const;
     // The class's aim for a call of that size, ns; 0: not known.
-    std::int64_t aim(std::uint32_t source, std::uint64_t class_index, double size_kb) const;
+    std::int64_t latency_objective(std::uint32_t source, std::uint64_t class_index, double size_kb) const;
     struct Router {
         std::string name;
         std::int64_t incarnation_unix_ns = 0;
-        winchflow::Settings settings;
+        routing::Settings settings;
         bool settings_read = false;
     };
     const std::map<std::uint32_t, Router>& all() const {
--- a/tests/cluster/failover_test.cpp
+++ b/tests/cluster/failover_test.cpp
@@ -1,5 +1,5 @@
 // Failover's rules by tables: what is wished of health, pins and decisions; who writes it and when; what a
-// decision makes of the boxes' weights. Then a region of routers over shared state, tick by tick.
+// decision makes of the servers' weights. Then a region of routers over shared state, tick by tick.
 #include "cluster/failover.h"
 
 #include <cmath>
@@ -92,30 +92,31 @@
 }
 
 void check_health() {
-    using Boxes = std::vector<ZoneBox>;
-    const auto box = [](double weight, bool avoided, bool banned = false, std::optional<bool> probed = {},
-                        double warm = 1) {
-        return ZoneBox{weight, avoided, banned, probed, warm};
+    using Servers = std::vector<ZoneServer>;
+    const auto server = [](double weight, bool avoided, bool banned = false, std::optional<bool> probed = {},
+                           double warm = 1) {
+        return ZoneServer{weight, avoided, banned, probed, warm};
     };
     const struct {
-        Boxes boxes;
+        Servers servers;
         bool steered;
         Health health;
-    } kCases[] = {{{}, false, {100, 100}},
-                  {{box(1, false), box(1, false)}, false, {100, 100}},
-                  {{box(1, true), box(1, false)}, false, {50, 50}},
-                  {{box(1, true), box(1, true)}, false, {0, 0}},
-                  {{box(1, false, true), box(1, false)}, false, {50, 50}},          // by hand
-                  {{box(3, true), box(1, false)}, false, {25, 25}},                 // by weight
-                  {{box(1, false), box(1, false), box(1, true)}, false, {65, 65}},  // in fives, downwards
-                  {{box(1, false, false, false), box(1, false)}, false, {50, 50}},  // looked at, and down
-                  {{box(1, true, false, true), box(1, false)}, false, {50, 50}},  // connects, fails requests
-                  {{box(1, false), box(1, false, false, true)}, true, {50, 50}},  // only connects tell
-                  {{box(1, true, false, true), box(1, false)}, true, {50, 50}},
-                  {{box(1, false, false, {}, 0.3), box(1, false)}, false, {100, 65}},  // up, and cold
-                  {{box(1, true, false, {}, 0.3), box(1, false)}, false, {50, 50}}};
+    } kCases[] = {
+        {{}, false, {100, 100}},
+        {{server(1, false), server(1, false)}, false, {100, 100}},
+        {{server(1, true), server(1, false)}, false, {50, 50}},
+        {{server(1, true), server(1, true)}, false, {0, 0}},
+        {{server(1, false, true), server(1, false)}, false, {50, 50}},             // by hand
+        {{server(3, true), server(1, false)}, false, {25, 25}},                    // by weight
+        {{server(1, false), server(1, false), server(1, true)}, false, {65, 65}},  // in fives, downwards
+        {{server(1, false, false, false), server(1, false)}, false, {50, 50}},     // looked at, and down
+        {{server(1, true, false, true), server(1, false)}, false, {50, 50}},       // connects, fails requests
+        {{server(1, false), server(1, false, false, true)}, true, {50, 50}},       // only connects tell
+        {{server(1, true, false, true), server(1, false)}, true, {50, 50}},
+        {{server(1, false, false, {}, 0.3), server(1, false)}, false, {100, 65}},  // up, and cold
+        {{server(1, true, false, {}, 0.3), server(1, false)}, false, {50, 50}}};
     for (const auto& c : kCases)
-        CHECK(health_of(c.boxes, c.steered) == c.health);
+        CHECK(health_of(c.servers, c.steered) == c.health);
     const struct {
         const char* text;
         std::optional<Health> health;
@@ -209,7 +210,7 @@
     one.report("a1", 0);  // two of three: the zone
     CHECK(writes(one, "a2") > 0 && writes(one, "b1") > 0);
     CHECK(writes(one, "c1") == 0);  // another region's affair
-    // Cut off with all of its zone's boxes: it sees nobody else.
+    // Cut off with all of its zone's servers: it sees nobody else.
     World alone;
     alone.report("a0", 0);
     alone.alive = {{"a0", "a"}};
@@ -313,7 +314,7 @@
     CHECK(r.written.size() == 5 && r.of("c2", "a").out() == 0 && r.of("c2", "a").epoch == 5);
     for (std::size_t i = 1; i < r.written.size(); ++i)
         CHECK(r.written[i].first - r.written[i - 1].first >= settings().hold);
-    // Boxes that come back cold: the first step lets them in, the next ones follow what they bear.
+    // Servers that come back cold: the first step lets them in, the next ones follow what they bear.
     r.w.health("a", 0);
     r.run(3s);
     CHECK(r.of("b0", "a").out() == 100);
@@ -381,12 +382,12 @@
     auto a = factors("a"), b = factors("b");
     CHECK(near(a["a"], 0.5 / 1.25) && near(a["b"], 0.25 / 1.25) && near(a["c"], 0.25 / 1.25));
     CHECK(b.size() == 1 && near(b["b"], 1 / 1.25));
-    // Over all routers a box of b is used by as much as alone: here a's part and b's are one.
+    // Over all routers a server of b is used by as much as alone: here a's part and b's are one.
     CHECK(near(a["b"] + b["b"], 1));
     w.put(w.shared, "failover/a", "x@1", "4 b=100");
     a = factors("a");
     CHECK(a.size() == 2 && a["a"] == 0 && near(a["b"], 0.5) && near(factors("b")["b"], 0.5));
-    // Of another size: the part of the requests is what is told, not that of the boxes.
+    // Of another size: the part of the requests is what is told, not that of the servers.
     w.weights["b"] = 80;
     a = factors("a");
     CHECK(near(a["b"], 0.5 / 1.5) && near(factors("b")["b"], 1 / 1.5));
--- a/tests/cluster/hearsay_test.cpp
+++ b/tests/cluster/hearsay_test.cpp
@@ -1,4 +1,4 @@
-// What is said and what is heeded of boxes: the voice's times, and a table of who says what.
+// What is said and what is heeded of servers: the voice's times, and a table of who says what.
 #include "cluster/hearsay.h"
 
 #include <cstdio>
@@ -54,8 +54,8 @@
     const struct {
         const char* what;
         std::vector<std::tuple<const char*, const char*, const char*, UnixMs>>
-            reports;  // box, who, what, age
-        std::vector<SeenBox> boxes;
+            reports;  // server, who, what, age
+        std::vector<SeenServer> servers;
         std::set<std::string> out;
     } kCases[] = {
         {"nobody says anything", {}, {{"a", "z"}, {"b", "z"}}, {}},
@@ -108,15 +108,15 @@
     for (const auto& c : kCases) {
         Hearsay h{"me", {}, 3};
         std::map<std::string, Entry> entries;
-        for (const auto& [box, who, what, age] : c.reports)
-            entries[report_key(std::string{"box/"} + box, who)] = said(what, kNow - age);
-        const auto step = h.tick(0ms, kNow, c.boxes, entries, {{"me", ""}, {"r1", ""}, {"r2", ""}});
+        for (const auto& [server, who, what, age] : c.reports)
+            entries[report_key(std::string{"box/"} + server, who)] = said(what, kNow - age);
+        const auto step = h.tick(0ms, kNow, c.servers, entries, {{"me", ""}, {"r1", ""}, {"r2", ""}});
         if (step.out != c.out)
             std::fprintf(stderr, "case: %s\n", c.what);
         CHECK(step.out == c.out);
         CHECK(h.counts().held_out == c.out.size() && h.out() == c.out.size());
         // All of it ends with the reports.
-        CHECK(h.tick(1ms, kNow, c.boxes, {}, {{"me", ""}, {"r1", ""}, {"r2", ""}}).out.empty());
+        CHECK(h.tick(1ms, kNow, c.servers, {}, {{"me", ""}, {"r1", ""}, {"r2", ""}}).out.empty());
         CHECK(h.counts().let_in == c.out.size());
     }
 }
@@ -125,9 +125,9 @@
     Hearsay h{"me", {}, 4};
     const std::map<std::string, std::string> alone{{"me", ""}};
     std::map<std::string, std::optional<std::string>> said_of;
-    const auto run = [&](Time from, const std::vector<SeenBox>& boxes) {
+    const auto run = [&](Time from, const std::vector<SeenServer>& servers) {
         for (Time t = from; t < from + 200ms; t += 20ms)
-            for (const auto& s : h.tick(t, kNow + t.count(), boxes, {}, alone).say)
+            for (const auto& s : h.tick(t, kNow + t.count(), servers, {}, alone).say)
                 said_of[s.subject] = s.value;
     };
     run(0ms, {{"a", "z", 0, true}, {"b", "z", 9, false, true}, {"c", "z"}, {"t\tab", "z", 0, true}});
--- a/tests/copies/copies_test.cpp
+++ b/tests/copies/copies_test.cpp
@@ -14,10 +14,10 @@
 
 constexpr std::int64_t kNowMs = 1'764'576'000'000;
 const Time kNow{1000s};
-const std::vector<winchflow::ClassSettings> kClasses{
-    {.name = "files", .aim = 200ms, .aim_stretch = 1.5, .give_up = 2s},
-    {.name = "pages", .aim = 200ms, .give_up = 2s, .max_age = 8s, .grace = 20s},
-    {.name = "lodge", .aim = 200ms, .give_up = 2s, .uncached = true},
+const std::vector<silverrail::routing::ClassSettings> kClasses{
+    {.name = "files", .latency_objective = 200ms, .objective_stretch = 1.5, .give_up = 2s},
+    {.name = "pages", .latency_objective = 200ms, .give_up = 2s, .max_age = 8s, .grace = 20s},
+    {.name = "lodge", .latency_objective = 200ms, .give_up = 2s, .uncached = true},
 };
 constexpr Limits kLimits{.bytes = 100'000, .link = {.flow_bytes_per_s = 10'000, .link_bytes_per_s = 30'000}};
 
--- a/tests/core/guard_test.cpp
+++ b/tests/core/guard_test.cpp
@@ -11,15 +11,15 @@
 constexpr RequestId kCall{7};
 constexpr std::size_t kPure = 0, kUnsafe = 1;
 
-winchflow::Settings settings() {
-    winchflow::Settings s;
-    s.attempt_limit = 3;
-    s.classes.push_back({.name = "pages", .effect = winchflow::Effect::pure});
-    s.classes.push_back({.name = "lodge", .effect = winchflow::Effect::unsafe});
+silverrail::routing::Settings settings() {
+    silverrail::routing::Settings s;
+    s.max_attempts = 3;
+    s.classes.push_back({.name = "pages", .idempotency = silverrail::routing::Idempotency::idempotent});
+    s.classes.push_back({.name = "lodge", .idempotency = silverrail::routing::Idempotency::none});
     return s;
 }
 
-const winchflow::Settings kSettings = settings();
+const silverrail::routing::Settings kSettings = settings();
 
 AttemptKey attempt(std::uint32_t number) {
     return {kCall, number};
@@ -43,10 +43,10 @@
     CHECK(guard.state(kCall) == CallState::taken);
     CHECK(guard.start(attempt(0)) && guard.state(kCall) == CallState::ordered);
     CHECK(!guard.send(attempt(0), facts()) && guard.state(kCall) == CallState::sent);
-    guard.ended(attempt(0), Ending::reset);
+    guard.ended(attempt(0), AttemptStatus::reset);
     CHECK(guard.state(kCall) == CallState::deciding);
     CHECK(guard.start(attempt(1)) && !guard.send(attempt(1), facts()));
-    guard.ended(attempt(1), Ending::good);
+    guard.ended(attempt(1), AttemptStatus::success);
     guard.answered(kCall);
     CHECK(guard.state(kCall) == CallState::answered);
     guard.left(kCall);
@@ -89,7 +89,7 @@
         CHECK(guard.send(attempt(0), f) == c.reason && guard.held(c.reason) == 1);
         CHECK(guard.state(kCall) == CallState::ordered);
         // What was held back never ran: the next one may go.
-        guard.ended(attempt(0), Ending::not_sent);
+        guard.ended(attempt(0), AttemptStatus::not_sent);
         CHECK(guard.start(attempt(1)) && !guard.send(attempt(1), facts()) && guard.violations() == 0);
     }
     Guard guard = with_call(kPure);
@@ -101,20 +101,22 @@
 
 // Each decision that would break a rule is refused and counted by its rule.
 void violations() {
-    for (const Ending ending : {Ending::error, Ending::reset, Ending::late, Ending::cancelled}) {
+    for (const AttemptStatus attempt_status :
+         {AttemptStatus::error, AttemptStatus::reset, AttemptStatus::timeout, AttemptStatus::cancelled}) {
         Guard guard = with_call(kUnsafe);
         CHECK(guard.start(attempt(0)) && !guard.send(attempt(0), facts()));
-        guard.ended(attempt(0), ending);
+        guard.ended(attempt(0), attempt_status);
         CHECK(!guard.start(attempt(1)) && guard.violations(Violation::repeat) == 1);
         CHECK(guard.last_violation().find("repeat") == 0);
     }
     // Proof that it never ran: full, missing, refused, or never sent at all.
-    for (const Ending ending : {Ending::full, Ending::miss, Ending::no_connection, Ending::not_sent}) {
+    for (const AttemptStatus attempt_status : {AttemptStatus::overloaded, AttemptStatus::miss,
+                                               AttemptStatus::connect_failed, AttemptStatus::not_sent}) {
         Guard guard = with_call(kUnsafe);
         CHECK(guard.start(attempt(0)));
-        if (ending == Ending::full || ending == Ending::miss)
+        if (attempt_status == AttemptStatus::overloaded || attempt_status == AttemptStatus::miss)
             CHECK(!guard.send(attempt(0), facts()));
-        guard.ended(attempt(0), ending);
+        guard.ended(attempt(0), attempt_status);
         CHECK(guard.start(attempt(1)) && guard.violations() == 0);
     }
     {
@@ -126,7 +128,7 @@
         Guard guard = with_call(kPure);
         for (std::uint32_t i = 0; i < 3; ++i) {
             CHECK(guard.start(attempt(i)));
-            guard.ended(attempt(i), Ending::no_connection);
+            guard.ended(attempt(i), AttemptStatus::connect_failed);
         }
         CHECK(!guard.start(attempt(3)) && guard.violations(Violation::start_past_limit) == 1);
     }
--- a/tests/embed_example.cpp
+++ b/tests/embed_example.cpp
@@ -1,11 +1,11 @@
-// The example of README.md: a gateway that embeds the library.
+// The example of README.md: a router that embeds the library.
 #include "embed_example.h"
 
-#include "winchflow/router.h"
+#include "silverrail/routing/router.h"
 
 namespace embed_example {
 
-using namespace winchflow;
+using namespace silverrail::routing;
 using namespace std::chrono_literals;
 
 std::string first_target() {
@@ -13,13 +13,14 @@
     settings.zone = "harbour";
     settings.parent_kind = "parent";
     settings.origin_kind = "origin";
-    settings.attempt_limit = 3;
-    settings.may_cancel = true;
-    settings.classes.push_back({.name = "page", .aim = 250ms, .give_up = 2s, .effect = Effect::pure});
+    settings.max_attempts = 3;
+    settings.cancellation_supported = true;
+    settings.classes.push_back(
+        {.name = "page", .latency_objective = 250ms, .give_up = 2s, .idempotency = Idempotency::idempotent});
 
     Router router{settings, 1};
-    const Time start{1s};  // the gateway's own steady clock
-    CacheList list{.complete = true};
+    const Time start{1s};  // the router's own steady clock
+    ServerList list{.complete = true};
     list.caches.push_back({.id = {"10.0.0.1:80"}, .zone = "harbour", .kind = "cache"});
     list.caches.push_back({.id = {"10.0.1.1:80"}, .zone = "hub", .kind = "parent"});
     list.caches.push_back({.id = {"10.0.2.1:80"}, .zone = "hub", .kind = "origin"});
--- a/tests/embed_example.h
+++ b/tests/embed_example.h
@@ -4,7 +4,7 @@
 
 namespace embed_example {
 
-// Where a gateway with one cache, one parent and one origin sends its first request.
+// Where a router with one cache, one parent and one origin sends its first request.
 std::string first_target();
 
 }  // namespace embed_example
--- a/tests/fleet/failover_test.cpp
+++ b/tests/fleet/failover_test.cpp
@@ -1,4 +1,4 @@
-// Failover in common, by real processes: nine routers in three zones of two regions before stand-in boxes,
+// Failover in common, by real processes: nine routers in three zones of two regions before stand-in servers,
 // with faults between them. Every request has to be answered once, and no write may run twice.
 #include "cluster/failover.h"
 
@@ -13,12 +13,13 @@
 
 namespace {
 
-constexpr std::size_t kRouters = 9, kBoxesEach = 4;
-constexpr std::size_t kStore = 3 * kBoxesEach;  // its number in the farm
+constexpr std::size_t kRouters = 9, kServersEach = 4;
+constexpr std::size_t kStore = 3 * kServersEach;  // its number in the farm
 const std::vector<std::size_t> kOfZ1{0, 1, 2, 3};
 constexpr auto kHold = 2000ms;
 
-// m0 to m2 in z1, m3 to m5 in z2, both of r1; m6 to m8 in z3 of r2. `rules`: boxes just started bear little.
+// m0 to m2 in z1, m3 to m5 in z2, both of r1; m6 to m8 in z3 of r2. `rules`: servers just started bear
+// little.
 Fleet::Options placed(const lab::Farm& farm, bool rules = false) {
     auto o = options(kRouters);
     o.peers_extra +=
@@ -27,12 +28,12 @@
     for (std::size_t i = 0; i < kRouters; ++i)
         o.places.push_back({"z" + std::to_string(1 + i / 3), i < 6 ? "r1" : "r2"});
     const int weight = rules ? 2 : 10;
-    o.boxes = [&farm, weight](std::size_t i) {
-        std::vector<Fleet::Options::ListedBox> out;
+    o.servers = [&farm, weight](std::size_t i) {
+        std::vector<Fleet::Options::ServerRecord> out;
         for (std::size_t k = 0; k < kStore; ++k)
-            out.push_back({Fleet::box(k), farm.address(k, i),
-                           std::string{"z"}.append(std::to_string(1 + k / kBoxesEach)), "small-box", "active",
-                           weight});
+            out.push_back({Fleet::server(k), farm.address(k, i),
+                           std::string{"z"}.append(std::to_string(1 + k / kServersEach)), "small-box",
+                           "active", weight});
         out.push_back({"store", farm.address(kStore, i), "north", "origin", "active", 10});
         return out;
     };
@@ -133,8 +134,8 @@
     CHECK(load.served() == load.asked() && all_have(fleet, 0));
 }
 
-// A zone's boxes lost: one decision, in force on all routers of the region within 2 s, and nothing goes there
-// any more. Boxes back: in steps, and none that is cold gets more than it bears.
+// A zone's servers lost: one decision, in force on all routers of the region within 2 s, and nothing goes
+// there any more. Servers back: in steps, and none that is cold gets more than it bears.
 void zone_lost() {
     lab::Farm farm{kStore + 1, kRouters};
     Fleet fleet{placed(farm, true)};
@@ -142,10 +143,10 @@
     begin(fleet, load);
     const auto calm = farm.asked();
     CHECK(std::none_of(calm.begin(), calm.end(), [](const lab::Farm::Asked& a) {
-        return a.box != kStore && a.box / kBoxesEach != a.router / 3;  // all near
+        return a.server != kStore && a.server / kServersEach != a.router / 3;  // all near
     }));
     for (const auto k : kOfZ1)
-        farm.set_box(k, false);
+        farm.set_server(k, false);
     const auto lost = std::chrono::steady_clock::now();
     CHECK(fleet.wait_until(
         [&] {
@@ -155,7 +156,7 @@
         2s));
     std::printf("zone lost: decided and known to all nine after %lld ms\n", since(lost));
     CHECK(z1_of(fleet, 0).to == "z2=100" && z1_of(fleet, 5).epoch == 1);
-    // The boxes would answer again, but nobody asks them before the next decision.
+    // The servers would answer again, but nobody asks them before the next decision.
     const auto refused =
         fleet.counters(0)["ending_no_connection"] + fleet.counters(1)["ending_no_connection"];
     const auto before = load.served(), before_asked = load.asked();
@@ -166,7 +167,7 @@
     CHECK(fleet.counters(0)["failover.sent_out_of_zone"] > 0);
     CHECK(fleet.counters(0)["failover.sent_out_of_region"] == 0);
     for (const auto k : kOfZ1)
-        farm.set_box(k, true);
+        farm.set_server(k, true);
     const auto up = std::chrono::steady_clock::now();
     std::vector<std::pair<int, std::chrono::steady_clock::time_point>> steps{{100, lost}};  // as m0 has them
     CHECK(fleet.wait_until(
@@ -178,7 +179,7 @@
             return out == 0 && all_have(fleet, 0);
         },
         25s));
-    // A quarter first, then as its boxes warm, never out again; each at least a hold-down after the one
+    // A quarter first, then as its servers warm, never out again; each at least a hold-down after the one
     // before.
     CHECK(steps.size() >= 4 && steps[1].first == 75);
     for (std::size_t i = 2; i < steps.size(); ++i)
@@ -188,16 +189,16 @@
     std::size_t early = 0;
     const auto all = farm.asked();
     for (const auto& a : all)
-        if (a.box < kBoxesEach && a.at > lost + 2s && a.at < steps[1].second - 500ms)
+        if (a.server < kServersEach && a.at > lost + 2s && a.at < steps[1].second - 500ms)
             ++early;
     CHECK(early == 0);
-    // What a box just started bears in 3 s: N requests of 0.25 s, twice its weight times how warm it is by
+    // What a server just started bears in 3 s: N requests of 0.25 s, twice its weight times how warm it is by
     // the end; over it by chance only. It counts as started with the first step back.
     std::size_t most = 0;
     for (const auto k : kOfZ1) {
         std::vector<std::chrono::steady_clock::time_point> at;
         for (const auto& a : all)
-            if (a.box == k && a.at > up)
+            if (a.server == k && a.at > up)
                 at.push_back(a.at);
         for (std::size_t i = 0, j = 0; j < at.size(); ++j) {
             while (at[j] - at[i] > 3s)
@@ -215,7 +216,7 @@
     load.check(farm);
 }
 
-// One router's link to all of its zone's boxes is down: nobody moves.
+// One router's link to all of its zone's servers is down: nobody moves.
 void flaky_link() {
     lab::Farm farm{kStore + 1, kRouters};
     Fleet fleet{placed(farm)};
@@ -240,7 +241,7 @@
 }
 
 // One router cut off from all others: it serves near, and does not fail its zone over, even if it loses sight
-// of its boxes as well.
+// of its servers as well.
 void cut_off() {
     lab::Farm farm{kStore + 1, kRouters};
     Fleet fleet{placed(farm)};
@@ -302,7 +303,7 @@
     const auto who = static_cast<std::size_t>(std::stoul(first.substr(1)));
     load.routers.erase(std::remove(load.routers.begin(), load.routers.end(), who), load.routers.end());
     for (const auto k : kOfZ1)
-        farm.set_box(k, false);
+        farm.set_server(k, false);
     const auto lost = std::chrono::steady_clock::now();
     load.ask();
     if (how == SIGKILL)
@@ -346,7 +347,7 @@
     decider(SIGSTOP);
 }
 
-// Boxes that come and go faster than the hold-down: one change in each at the most.
+// Servers that come and go faster than the hold-down: one change in each at the most.
 void flapping() {
     lab::Farm farm{kStore + 1, kRouters};
     Fleet fleet{placed(farm)};
@@ -356,7 +357,7 @@
     fleet.wait_until(
         [&] {
             for (const auto k : kOfZ1)
-                farm.set_box(k, since(began) / 700 % 2 == 1);
+                farm.set_server(k, since(began) / 700 % 2 == 1);
             load.ask();
             return since(began) > 12'000;
         },
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -1,6 +1,6 @@
 // Several real processes of the program, their peer traffic through the fault relay: joins, a crash, a stall,
 // bad links, a partition and its healing, a restart under the same name, many joining at once, and bad peers.
-// What was shared of bans, boxes and drains. One scenario a run, named by the first argument, so that ctest
+// What was shared of bans, servers and drains. One scenario a run, named by the first argument, so that ctest
 // runs them side by side.
 
 #include <signal.h>
@@ -161,7 +161,7 @@
     CHECK(fleet.wait_until([&] { return fleet.agree() && fleet.view(0).size() == 8; }, 5s));
 }
 
-// Every running member has `out` boxes out by hand, and holds the same numbers of every origin.
+// Every running member has `out` servers out by hand, and holds the same numbers of every origin.
 bool all_out(Fleet& fleet, std::size_t out) {
     std::optional<std::map<std::string, std::uint64_t>> first;
     for (std::size_t i = 0; i < fleet.members(); ++i) {
@@ -204,14 +204,14 @@
     start_all(fleet, 0, 8);
     CHECK(agreed(fleet, 3s));
     for (std::size_t k = 0; k < 20; ++k)
-        CHECK(ack(fleet.call(k % 8, "OFFLINE " + Fleet::box(k))));
+        CHECK(ack(fleet.call(k % 8, "OFFLINE " + Fleet::server(k))));
     CHECK(fleet.wait_until([&] { return all_out(fleet, 20); }, 4s));
     fleet.kill(5);
     const auto killed = std::chrono::steady_clock::now();
     std::size_t changes = 0;
     // A change every two seconds or so, until the 30 s are over.
     while (std::chrono::steady_clock::now() - killed < 30s) {
-        CHECK(ack(fleet.call(changes % 4, "OFFLINE " + Fleet::box(20 + changes))));
+        CHECK(ack(fleet.call(changes % 4, "OFFLINE " + Fleet::server(20 + changes))));
         ++changes;
         fleet.wait_until([] { return false; }, 2s);
     }
@@ -261,7 +261,7 @@
     start_all(fleet, 0, 4);
     CHECK(agreed(fleet, 3s));
     for (std::size_t k = 0; k < 3; ++k)
-        CHECK(ack(fleet.call(k, "OFFLINE " + Fleet::box(k))));
+        CHECK(ack(fleet.call(k, "OFFLINE " + Fleet::server(k))));
     CHECK(fleet.wait_until([&] { return all_out(fleet, 3); }, 2s));
     fleet.kill(2);
     std::filesystem::path file;
@@ -329,13 +329,13 @@
     CHECK(fleet.call(0, "HEALTH").rfind("ACK", 0) == 0);
 }
 
-// Eight routers before six boxes of one zone.
+// Eight routers before six servers of one zone.
 lab::Fleet::Options before(const lab::Farm& farm, std::size_t leaving_for) {
     auto o = options(8);
-    o.boxes = [&farm, leaving_for](std::size_t i) {
-        std::vector<Fleet::Options::ListedBox> out;
+    o.servers = [&farm, leaving_for](std::size_t i) {
+        std::vector<Fleet::Options::ServerRecord> out;
         for (std::size_t k = 0; k < 6; ++k)
-            out.push_back({Fleet::box(k), farm.address(k, i), "edge-1", "small-box",
+            out.push_back({Fleet::server(k), farm.address(k, i), "edge-1", "small-box",
                            k == 2 && i < leaving_for ? "leaving" : "active"});
         return out;
     };
@@ -351,7 +351,7 @@
             CHECK(fleet.ask(i, "pages", ++object) == 200);
 }
 
-// What two routers learned of a box holds the others off it; what one learned moves nobody.
+// What two routers learned of a server holds the others off it; what one learned moves nobody.
 void learned() {
     lab::Farm farm{6, 8};
     Fleet fleet{before(farm, 0)};
@@ -383,7 +383,7 @@
     const auto away = std::chrono::steady_clock::now();
     ask_all(fleet, 2, 8, 40);
     CHECK(farm.asked_since({1}, away) == 0);
-    // Both links back: their trials succeed, they take their word back, and the box is used again.
+    // Both links back: their trials succeed, they take their word back, and the server is used again.
     farm.set_link(1, 0, true);
     farm.set_link(1, 1, true);
     CHECK(fleet.wait_until(
@@ -404,7 +404,7 @@
     CHECK(fleet.wait_until([&] { return held(0); }, 8s));
 }
 
-// Two routers were told that a box drains, the others were not yet: nothing new goes there from any.
+// Two routers were told that a server drains, the others were not yet: nothing new goes there from any.
 void drains() {
     lab::Farm farm{6, 8};
     Fleet fleet{before(farm, 2)};
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,4 +1,4 @@
-// Many gateways before the same caches: what is harmless from one and harms from a hundred.
+// Many routers before the same caches: what is harmless from one and harms from a hundred.
 #include <algorithm>
 #include <cmath>
 #include <map>
@@ -6,20 +6,20 @@
 
 #include "gateway.h"
 
-namespace winchflow::testing {
+namespace silverrail::routing::testing {
 namespace {
 
 Settings shared_settings(int in_zone, int in_all) {
     auto s = plain_settings();
-    s.gateways_in_zone = in_zone;
-    s.gateways = in_all;
+    s.routers_in_zone = in_zone;
+    s.routers = in_all;
     return s;
 }
 
-// The gateways of one zone, each with a seed of its own and nothing else in common than the settings.
-std::vector<Gateway> zone_of(int gateways, const Settings& settings, const CacheList& fleet = plain_fleet()) {
+// The routers of one zone, each with a seed of its own and nothing else in common than the settings.
+std::vector<Gateway> zone_of(int routers, const Settings& settings, const ServerList& fleet = plain_fleet()) {
     std::vector<Gateway> zone;
-    for (int i = 0; i < gateways; ++i) {
+    for (int i = 0; i < routers; ++i) {
         zone.emplace_back(settings, fleet);
         zone.back().router = Router{settings, 1000u + static_cast<unsigned>(i)};
         zone.back().tell(fleet);
@@ -29,11 +29,11 @@
 
 Settings cold_settings() {
     auto s = shared_settings(9, 100);
-    s.weights = Weights::nominal;
-    s.cold_from = 0.26;
-    s.cold_for = 14s;
-    s.tip_multiple = 2;
-    s.tip_window = 3s;
+    s.server_weights = ServerWeights::nominal;
+    s.slow_start_share = 0.26;
+    s.slow_start_duration = 14s;
+    s.overload_multiple = 2;
+    s.overload_window = 3s;
     return s;
 }
 
@@ -45,46 +45,49 @@
         if (lost.empty())
             lost = g.target();
         EXPECT_EQ(g.target(), lost);
-        g.end(id, Ending::no_connection);
+        g.end(id, AttemptStatus::connect_failed);
         if (g.find<Send>())
-            g.end(id, Ending::good, Note::hit, 1);
+            g.end(id, AttemptStatus::success, CacheStatus::hit, 1);
     }
     return lost;
 }
 
-// The fills that many gateways have under way together; each takes as long.
+// The fills that many routers have under way together; each takes as long.
 class Fills {
 public:
-    Fills(Span took, Note note) : took_(took), note_(note) {}
+    Fills(Span took, CacheStatus cache_status) : took_(took), note_(cache_status) {}
     std::size_t under_way() const {
         return out_.size();
     }
-    void began(std::size_t gateway, const Gateway& g, RequestId id) {
-        out_.push_back({gateway, id, g.now + took_});
+    void began(std::size_t router, const Gateway& g, RequestId id) {
+        out_.push_back({router, id, g.now + took_});
     }
-    // Tells this gateway of those of its own that are through.
-    void end_due(std::size_t gateway, Gateway& g) {
+    // Tells this router of those of its own that are through.
+    void end_due(std::size_t router, Gateway& g) {
         std::erase_if(out_, [&](const Out& o) {
-            if (o.gateway != gateway || o.ends > g.now)
+            if (o.router != router || o.ends > g.now)
                 return false;
-            g.tell(
-                Outcome{.request = o.id, .ending = Ending::good, .took = took_, .over = true, .note = note_});
+            g.tell(Outcome{.request = o.id,
+                           .attempt_status = AttemptStatus::success,
+                           .took = took_,
+                           .over = true,
+                           .cache_status = note_});
             return true;
         });
     }
 
 private:
     struct Out {
-        std::size_t gateway;
+        std::size_t router;
         RequestId id;
         Time ends;
     };
     Span took_;
-    Note note_;
+    CacheStatus note_;
     std::vector<Out> out_;
 };
 
-// An object that ten gateways are asked for once each is wanted: nine of ten must not pass it unkept.
+// An object that ten routers are asked for once each is wanted: nine of ten must not pass it unkept.
 TEST(SharedZone, AFirstRequestPassesUnkeptOnlyAsOftenAsItIsTheZonesFirst) {
     constexpr int kObjects = 300;
     auto zone = zone_of(10, shared_settings(10, 100));
@@ -93,11 +96,11 @@
     for (std::uint64_t object = 1; object <= kObjects; ++object) {
         int here = 0;
         for (auto& g : zone)
-            here += g.serve(object, Note::filled)->fill->rank == Rank::unkept;
+            here += g.serve(object, CacheStatus::filled)->fill->retention == RetentionPriority::no_store;
         unkept += here;
         never_kept += here == 10;
     }
-    EXPECT_NEAR(unkept, kObjects * 10 / 9, 5 * std::sqrt(kObjects));  // one gateway in nine
+    EXPECT_NEAR(unkept, kObjects * 10 / 9, 5 * std::sqrt(kObjects));  // one router in nine
     EXPECT_EQ(never_kept, 0);
 }
 
@@ -105,7 +108,7 @@
     for (const int in_zone : {1, 2})
         for (auto& g : zone_of(in_zone, shared_settings(in_zone, 4)))
             for (std::uint64_t object = 1; object <= 100; ++object)
-                EXPECT_EQ(g.serve(object, Note::filled)->fill->rank, Rank::unkept);
+                EXPECT_EQ(g.serve(object, CacheStatus::filled)->fill->retention, RetentionPriority::no_store);
 }
 
 // With little traffic no other parent answers within the time that a refusal takes: it is proof by itself.
@@ -113,11 +116,11 @@
     Gateway g;
     const auto id = g.ask(9);
     const auto dead = g.source();
-    g.end(id, Ending::full, Note::source_unreached);
+    g.end(id, AttemptStatus::overloaded, CacheStatus::source_unreachable);
     EXPECT_NE(g.source(), dead);
-    g.end(id, Ending::good, Note::filled, 1);
+    g.end(id, AttemptStatus::success, CacheStatus::filled, 1);
     for (std::uint64_t object = 1; object < 20; ++object) {
-        const auto next = g.serve(object, Note::filled);
+        const auto next = g.serve(object, CacheStatus::filled);
         EXPECT_NE(next->fill->source.address, dead);
     }
     g.pass(2s);
@@ -137,10 +140,10 @@
         if (g.source() != slow)
             of_first.push_back(object);
         g.tell(Outcome{.request = id,
-                       .ending = Ending::good,
+                       .attempt_status = AttemptStatus::success,
                        .took = g.source() == slow ? Span{1s} : Span{50ms},
                        .over = true,
-                       .note = Note::filled});
+                       .cache_status = CacheStatus::filled});
         g.pass(50ms);
     }
     Gateway calm;
@@ -149,23 +152,23 @@
     for (const auto object : of_first) {
         g.ask(object);
         EXPECT_EQ(g.source(), "origin");
-        g.end(RequestId{g.ids}, Ending::good, Note::filled_by_origin);
+        g.end(RequestId{g.ids}, AttemptStatus::success, CacheStatus::filled_from_origin);
         calm.ask(object);
         EXPECT_EQ(calm.source(), slow);
-        calm.end(RequestId{calm.ids}, Ending::good, Note::filled);
+        calm.end(RequestId{calm.ids}, AttemptStatus::success, CacheStatus::filled);
     }
 }
 
-// All parents gone: what a hundred gateways fetch at the origin at any time is about the fleet's share of it,
+// All parents gone: what a hundred routers fetch at the origin at any time is about the fleet's share of it,
 // not one for each; and the same seeds do the same again.
 TEST(ThinTraffic, AShareOfTheOriginUnderOneFetchIsAShareOfTime) {
     auto settings = shared_settings(9, 100);
-    settings.weights = Weights::nominal;
+    settings.server_weights = ServerWeights::nominal;
     const auto fleet = plain_fleet(1, 0);  // the link is taken as four answers wide: 0.75 x 11 of them in all
     std::vector<double> means;
     for (int again = 0; again < 2; ++again) {
         auto all = zone_of(100, settings, fleet);
-        Fills fills{200ms, Note::filled_by_origin};
+        Fills fills{200ms, CacheStatus::filled_from_origin};
         double sum = 0;
         int looks = 0;
         std::uint64_t object = 0;
@@ -180,7 +183,7 @@
                 if (g.source() == "origin")
                     fills.began(i, g, id);
                 else if (g.find<Send>())
-                    g.end(id, Ending::miss);
+                    g.end(id, AttemptStatus::miss);
             }
             if (tick < 100)
                 continue;  // the first fetch of each is free
@@ -207,7 +210,7 @@
                 g.ask(1);
                 if (g.target() == lost)
                     break;
-                g.end(RequestId{g.ids}, Ending::good, Note::hit);
+                g.end(RequestId{g.ids}, AttemptStatus::success, CacheStatus::hit);
                 g.pass(10ms);
             }
             back.push_back(step);
@@ -223,8 +226,8 @@
     EXPECT_EQ(runs[0], runs[1]);
 }
 
-// Nine gateways told of one new box at once: what all send it in any window stays under what tips it.
-TEST(InStep, ANewBoxIsNotTippedByTheSumOfAll) {
+// Nine routers told of one new server at once: what all send it in any window stays under what tips it.
+TEST(InStep, ANewServerIsNotTippedByTheSumOfAll) {
     auto zone = zone_of(9, cold_settings());
     for (auto& g : zone)
         g.restart("c1", g.now);
@@ -237,7 +240,7 @@
                 g.ask(++object);
                 if (g.target() == "c1")
                     sent += work;
-                g.end(RequestId{g.ids}, Ending::good, Note::hit);
+                g.end(RequestId{g.ids}, AttemptStatus::success, CacheStatus::hit);
             }
             g.pass(10ms);
         }
@@ -245,7 +248,7 @@
     EXPECT_LT(sent, 2 * 8 * 0.26 * 3);  // multiple x weight x share at the start x window
 }
 
-// A lost home's objects go to all the others, by each object's own order, and every gateway to the same.
+// A lost home's objects go to all the others, by each object's own order, and every router to the same.
 TEST(InStep, ALostHomesObjectsSpreadOverTheOthers) {
     auto zone = zone_of(20, shared_settings(20, 100), plain_fleet(5));
     std::map<std::string, int> taken;
@@ -268,8 +271,9 @@
         EXPECT_GE(count, 8) << cache;
 }
 
-// A box that refuses connections but answers what is out has a full table; one that comes back later is cold.
-TEST(ThinTraffic, AFullTableIsNotADeadBox) {
+// A server that refuses connections but answers what is out has a full table; one that comes back later is
+// cold.
+TEST(ThinTraffic, AFullTableIsNotADeadServer) {
     int sent[2] = {};
     for (const bool full : {false, true}) {
         Gateway g{cold_settings(), plain_fleet(2)};
@@ -278,18 +282,18 @@
         g.pass(10ms);
         ASSERT_EQ(refuse_twice(g, 1), home);
         if (full) {
-            g.end(open, Ending::good, Note::hit);
+            g.end(open, AttemptStatus::success, CacheStatus::hit);
         } else {
-            g.end(open, Ending::reset);
+            g.end(open, AttemptStatus::reset);
             if (g.find<Send>())
-                g.end(open, Ending::good, Note::hit, 1);
+                g.end(open, AttemptStatus::success, CacheStatus::hit, 1);
             g.pass(3s);
             EXPECT_EQ(g.serve(1)->target.address, home);  // the trial
         }
         for (int i = 0; i < 40; ++i) {
             const auto id = g.ask(1);
             sent[full] += g.target() == home;
-            g.end(id, Ending::good, Note::filled);
+            g.end(id, AttemptStatus::success, CacheStatus::filled);
         }
     }
     EXPECT_EQ(sent[true], 40);
@@ -297,7 +301,7 @@
 }
 
 // All groups purged: every request is a miss at once. Fills that come late close the way until what all of
-// the zone's gateways have out together is what small fills may take of its link: twice what it carries at
+// the zone's routers have out together is what small fills may take of its link: twice what it carries at
 // top pace.
 TEST(InStep, AfterAPurgeOfAllGroupsTheSumOfFillsKeepsToTheLink) {
     auto settings = shared_settings(9, 100);
@@ -307,7 +311,7 @@
     for (auto& g : zone)
         for (std::uint64_t group = 0; group < 32; ++group)
             g.tell(Purge{.group = GroupId{group}});
-    Fills fills{900ms, Note::filled};
+    Fills fills{900ms, CacheStatus::filled};
     std::size_t most_late = 0;
     std::uint64_t object = 0;
     for (int tick = 0; tick < 600; ++tick) {  // 6 s
@@ -325,7 +329,7 @@
             if (g.source()[0] == 'p')
                 fills.began(i, g, id);
             else
-                g.end(id, Ending::miss);
+                g.end(id, AttemptStatus::miss);
         }
         if (tick >= 300)
             most_late = std::max(most_late, fills.under_way());
@@ -335,4 +339,4 @@
 }
 
 }  // namespace
-}  // namespace winchflow::testing
+}  // namespace silverrail::routing::testing
--- a/tests/gateway.h
+++ b/tests/gateway.h
@@ -1,4 +1,4 @@
-// A gateway for tests: a Router with a small fleet, a clock that the test moves, and what was last done.
+// A router for tests: a Router with a small fleet, a clock that the test moves, and what was last done.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -7,9 +7,9 @@
 #include <utility>
 #include <vector>
 
-#include "winchflow/router.h"
+#include "silverrail/routing/router.h"
 
-namespace winchflow::testing {
+namespace silverrail::routing::testing {
 
 using namespace std::chrono_literals;
 
@@ -18,31 +18,35 @@
     s.zone = "bay";
     s.parent_kind = "parent";
     s.origin_kind = "origin";
-    s.attempt_limit = 4;
-    s.may_cancel = true;
+    s.max_attempts = 4;
+    s.cancellation_supported = true;
     s.direct = true;
-    s.detail = Detail::all;
-    s.heed_within = 300ms;
-    s.cleared_within = 6s;
-    s.classes.push_back({.name = "tile", .aim = 400ms, .give_up = 4s, .effect = Effect::pure});
+    s.outcome_detail = OutcomeDetail::all;
+    s.purge_effective_within = 300ms;
+    s.purge_complete_within = 6s;
+    s.classes.push_back(
+        {.name = "tile", .latency_objective = 400ms, .give_up = 4s, .idempotency = Idempotency::idempotent});
     s.classes.push_back({.name = "save",
-                         .aim = 400ms,
+                         .latency_objective = 400ms,
                          .give_up = 4s,
-                         .effect = Effect::keyed,
-                         .scope = Scope::all,
+                         .idempotency = Idempotency::keyed,
+                         .key_scope = KeyScope::all,
                          .window = 2s,
                          .uncached = true});
-    s.classes.push_back(
-        {.name = "order", .aim = 400ms, .give_up = 4s, .effect = Effect::unsafe, .uncached = true});
+    s.classes.push_back({.name = "order",
+                         .latency_objective = 400ms,
+                         .give_up = 4s,
+                         .idempotency = Idempotency::none,
+                         .uncached = true});
     return s;
 }
 
-inline ListedCache listed(std::string address, std::string zone, std::string kind) {
+inline ListedServer listed(std::string address, std::string zone, std::string kind) {
     return {.id = {std::move(address)}, .weight = 8, .zone = std::move(zone), .kind = std::move(kind)};
 }
 
-inline CacheList plain_fleet(int caches = 3, int parents = 2, bool origin = true) {
-    CacheList list{.complete = true};
+inline ServerList plain_fleet(int caches = 3, int parents = 2, bool origin = true) {
+    ServerList list{.complete = true};
     for (int i = 1; i <= caches; ++i)
         list.caches.push_back(listed("c" + std::to_string(i), "bay", "cache"));
     for (int i = 1; i <= parents; ++i)
@@ -54,7 +58,7 @@
 
 class Gateway {
 public:
-    explicit Gateway(Settings settings = plain_settings(), const CacheList& fleet = plain_fleet())
+    explicit Gateway(Settings settings = plain_settings(), const ServerList& fleet = plain_fleet())
         : router{std::move(settings), 7} {
         tell(fleet);
     }
@@ -76,21 +80,22 @@
                      .deadline = now + patience});
         return id;
     }
-    std::vector<Action> end(RequestId id, Ending ending, Note note = Note::none, std::uint32_t attempt = 0,
+    std::vector<Action> end(RequestId id, AttemptStatus attempt_status,
+                            CacheStatus cache_status = CacheStatus::none, std::uint32_t attempt = 0,
                             bool over = false) {
         return tell(Outcome{.request = id,
                             .attempt = attempt,
-                            .ending = ending,
+                            .attempt_status = attempt_status,
                             .took = 50ms,
-                            .over = over || ending == Ending::good,
-                            .note = note});
+                            .over = over || attempt_status == AttemptStatus::success,
+                            .cache_status = cache_status});
     }
     // Asks and has it served at once; returns the send, or nothing where it was not sent.
-    std::optional<Send> serve(std::uint64_t object, Note note = Note::hit) {
+    std::optional<Send> serve(std::uint64_t object, CacheStatus cache_status = CacheStatus::hit) {
         const RequestId id = ask(object);
         const auto send = find<Send>();
         if (send)
-            end(id, Ending::good, note);
+            end(id, AttemptStatus::success, cache_status);
         return send;
     }
     template <class Kind>
@@ -106,7 +111,7 @@
     std::string source() const {
         return find<Send>() && find<Send>()->fill ? find<Send>()->fill->source.address : "";
     }
-    ListedCache in_fleet(const std::string& address, Condition condition) const {
+    ListedServer in_fleet(const std::string& address, Condition condition) const {
         const bool cache = address[0] == 'c';
         auto entry = listed(address, cache ? "bay" : "hub",
                             cache               ? "cache"
@@ -116,12 +121,12 @@
         return entry;
     }
     void change(const std::string& address, Condition condition) {
-        tell(CacheList{.complete = false, .caches = {in_fleet(address, condition)}});
+        tell(ServerList{.complete = false, .caches = {in_fleet(address, condition)}});
     }
     void restart(const std::string& address, Time since) {
         auto entry = in_fleet(address, Condition::ready);
-        entry.up_since = since;
-        tell(CacheList{.complete = false, .caches = {entry}});
+        entry.started_at = since;
+        tell(ServerList{.complete = false, .caches = {entry}});
     }
 
     Router router;
@@ -130,4 +135,4 @@
     std::uint64_t ids = 0;
 };
 
-}  // namespace winchflow::testing
+}  // namespace silverrail::routing::testing
--- a/tests/health_test.cpp
+++ b/tests/health_test.cpp
@@ -3,7 +3,7 @@
 
 #include "gateway.h"
 
-namespace winchflow::testing {
+namespace silverrail::routing::testing {
 namespace {
 
 std::uint64_t object_of(Gateway& g, const std::string& home) {
@@ -20,9 +20,9 @@
     for (int i = 0; i < 2; ++i) {
         const auto id = g.ask(object);
         ASSERT_EQ(g.target(), "c1");
-        g.end(id, Ending::no_connection);
+        g.end(id, AttemptStatus::connect_failed);
         EXPECT_NE(g.target(), "c1");
-        g.end(id, Ending::good, Note::hit, 1);
+        g.end(id, AttemptStatus::success, CacheStatus::hit, 1);
     }
     EXPECT_NE(g.serve(object)->target.address, "c1");
     g.pass(1100ms);
@@ -30,7 +30,7 @@
     EXPECT_EQ(g.target(), "c1");
     g.ask(object);
     EXPECT_NE(g.target(), "c1");  // one trial at a time
-    g.end(trial, Ending::good, Note::hit);
+    g.end(trial, AttemptStatus::success, CacheStatus::hit);
     EXPECT_EQ(g.serve(object)->target.address, "c1");
 }
 
@@ -41,8 +41,8 @@
     for (int i = 0; i < 4; ++i) {
         const auto id = g.ask(object);
         ASSERT_EQ(g.target(), "c1");
-        g.end(id, Ending::reset);
-        g.end(id, Ending::good, Note::hit, 1);
+        g.end(id, AttemptStatus::reset);
+        g.end(id, AttemptStatus::success, CacheStatus::hit, 1);
     }
     EXPECT_NE(g.serve(object)->target.address, "c1");
 }
@@ -63,7 +63,7 @@
             g.tell(Timer{TimerId{static_cast<std::uint64_t>(id)}});
         EXPECT_TRUE(g.find<Cancel>());
         for (const auto id : held)
-            g.end(id, Ending::cancelled);
+            g.end(id, AttemptStatus::cancelled);
         g.ask(object);
         EXPECT_EQ(g.target() == "c1", !others_answer);
     }
@@ -75,20 +75,23 @@
     g.pass(1ms);
     const auto id = g.ask(object);
     g.pass(390ms);
-    g.serve(object, Note::filled);
+    g.serve(object, CacheStatus::filled);
     EXPECT_TRUE(g.tell(Timer{TimerId{static_cast<std::uint64_t>(id)}}).size() == 1);
     EXPECT_TRUE(g.find<SetTimer>());
 }
 
-// Guards against parents that turn slow without failing: their fills would hold all of a gateway's places.
+// Guards against parents that turn slow without failing: their fills would hold all of a router's places.
 TEST(Slowness, AParentPastItsAimAndTwiceAsSlowAsAPeerGetsOneFillAtATime) {
     for (const bool all_slow : {false, true}) {
         Gateway g;
         const auto fill_in = [&](std::uint64_t object, Span took) {
             const auto id = g.ask(object);
             const auto source = g.source();
-            g.tell(Outcome{
-                .request = id, .ending = Ending::good, .took = took, .over = true, .note = Note::filled});
+            g.tell(Outcome{.request = id,
+                           .attempt_status = AttemptStatus::success,
+                           .took = took,
+                           .over = true,
+                           .cache_status = CacheStatus::filled});
             return source;
         };
         std::vector<std::uint64_t> at_p1;
@@ -116,17 +119,17 @@
             g.pass(1250ms);
             g.tell(Timer{TimerId{static_cast<std::uint64_t>(id)}});
             ASSERT_TRUE(g.find<Cancel>());
-            g.end(id, Ending::cancelled, Note::none, n);
+            g.end(id, AttemptStatus::cancelled, CacheStatus::none, n);
         }
         EXPECT_EQ(g.target()[0], direct ? 'p' : 'c');
     }
 }
 
-// Guards small shares: chance alone brings several requests at once to a cache that many gateways share.
+// Guards small shares: chance alone brings several requests at once to a cache that many routers share.
 TEST(SmallShare, LeavesRoomForChanceAtAHome) {
     auto settings = plain_settings();
-    settings.weights = Weights::nominal;
-    settings.gateways_in_zone = 8;  // one answer at once is this gateway's share of a cache
+    settings.server_weights = ServerWeights::nominal;
+    settings.routers_in_zone = 8;  // one answer at once is this router's share of a cache
     Gateway g{settings, plain_fleet(3, 4)};
     const auto object = object_of(g, "c1");
     for (int i = 0; i < 3; ++i) {
@@ -146,10 +149,10 @@
         for (int i = 0; i < 10; ++i) {
             const auto id = g.ask(object);
             g.tell(Outcome{.request = id,
-                           .ending = Ending::good,
+                           .attempt_status = AttemptStatus::success,
                            .took = late ? 900ms : 50ms,
                            .over = true,
-                           .note = Note::hit});
+                           .cache_status = CacheStatus::hit});
         }
         int out = 0;
         while (g.ask(object), g.target() == "c1")
@@ -176,7 +179,8 @@
 // Guards a zone whose few live caches are full while the others hang: the link still has room.
 TEST(FullCaches, ARequestGoesPastThemWhileTheLinkHasRoom) {
     auto settings = plain_settings();
-    settings.weights = Weights::nominal;  // 8 a cache: full at 20 and two deviations of this gateway's
+    settings.server_weights =
+        ServerWeights::nominal;  // 8 a cache: full at 20 and two deviations of this router's
     settings.flow_kb_per_s = 1000;
     settings.zone_link_kb_per_s = 1000000;
     Gateway g{settings, plain_fleet(1)};
@@ -195,13 +199,13 @@
     auto settings = plain_settings();
     settings.flow_kb_per_s = 1000;
     settings.zone_link_kb_per_s = 8000;
-    const auto places = [&](int turned_away, Ending ending = Ending::full) {
+    const auto places = [&](int turned_away, AttemptStatus attempt_status = AttemptStatus::overloaded) {
         Gateway g{settings, plain_fleet(9, 4)};
         std::uint64_t object = 1;
         for (int i = 0; i < turned_away; ++i) {
             const auto id = g.ask(object++);
             for (std::uint32_t n = 0; g.find<Send>(); ++n)
-                g.end(id, ending, Note::none, n);
+                g.end(id, attempt_status, CacheStatus::none, n);
         }
         g.pass(20s);  // whoever was ejected is tried again
         int open = 0;
@@ -212,7 +216,7 @@
         return open;
     };
     EXPECT_LT(places(3), places(0));
-    EXPECT_EQ(places(3, Ending::reset), places(0));  // cut off: no sign of a crowd
+    EXPECT_EQ(places(3, AttemptStatus::reset), places(0));  // cut off: no sign of a crowd
 }
 
 // Guards an origin that is slow or pushed too far: what parents hold is still served, what they lack is not
@@ -226,28 +230,28 @@
         for (std::uint64_t object = 1; object <= 12; ++object) {
             const auto id = g.ask(object);
             g.tell(Outcome{.request = id,
-                           .ending = Ending::good,
+                           .attempt_status = AttemptStatus::success,
                            .took = late ? 900ms : 50ms,
                            .over = true,
-                           .note = Note::filled_by_origin});
+                           .cache_status = CacheStatus::filled_from_origin});
         }
-        int held_only = 0;
+        int only_if_cached = 0;
         int refused = 0;
         for (std::uint64_t object = 101; object <= 140; ++object) {
             const auto id = g.ask(object);
             const auto send = g.find<Send>();
-            if (!send || !send->fill || !send->fill->held_only) {
-                g.end(id, Ending::good, Note::hit);
+            if (!send || !send->fill || !send->fill->only_if_cached) {
+                g.end(id, AttemptStatus::success, CacheStatus::hit);
                 continue;
             }
-            ++held_only;
-            g.end(id, Ending::miss, Note::source_lacks);
+            ++only_if_cached;
+            g.end(id, AttemptStatus::miss, CacheStatus::source_missing);
             if (g.find<Send>()) {
-                EXPECT_FALSE(g.find<Send>()->fill->held_only);
+                EXPECT_FALSE(g.find<Send>()->fill->only_if_cached);
             }
-            refused += g.find<Refuse>().has_value();
+            refused += g.find<Reject>().has_value();
         }
-        EXPECT_EQ(held_only > 5, late);
+        EXPECT_EQ(only_if_cached > 5, late);
         EXPECT_EQ(refused > 0, late);
     }
 }
@@ -275,29 +279,29 @@
 // says so. Guards too against lost answers: their connections break, but the process runs and is as warm as
 // before.
 TEST(ColdStart, IsInferredFromAReturnAfterRefusedConnectionsNotBrokenOnes) {
-    for (const Ending ending : {Ending::no_connection, Ending::reset}) {
+    for (const AttemptStatus attempt_status : {AttemptStatus::connect_failed, AttemptStatus::reset}) {
         auto settings = plain_settings();
-        settings.cold_from = 0.1;
-        settings.cold_for = 10s;
-        settings.tip_multiple = 1;
-        settings.tip_window = 1s;
+        settings.slow_start_share = 0.1;
+        settings.slow_start_duration = 10s;
+        settings.overload_multiple = 1;
+        settings.overload_window = 1s;
         Gateway g{settings};
         const auto object = object_of(g, "c1");
         for (int i = 0; i < 2; ++i) {
             const auto id = g.ask(object);
-            g.end(id, ending);
-            g.end(id, Ending::good, Note::hit, 1);
+            g.end(id, attempt_status);
+            g.end(id, AttemptStatus::success, CacheStatus::hit, 1);
         }
         g.pass(1100ms);
         EXPECT_EQ(g.serve(object)->target.address, "c1");  // the trial, answered
-        EXPECT_EQ(g.serve(object)->target.address == "c1", ending == Ending::reset);
+        EXPECT_EQ(g.serve(object)->target.address == "c1", attempt_status == AttemptStatus::reset);
     }
 }
 
 // Guards a parent that its peers' loss or slowness leaves with the work of all.
 TEST(CrowdedParent, IsPassedOverOnceItFillsThisGatewaysShareOfItsLink) {
     auto settings = plain_settings();
-    settings.weights = Weights::nominal;  // 8 answers at once, so 20 likely fills
+    settings.server_weights = ServerWeights::nominal;  // 8 answers at once, so 20 likely fills
     settings.flow_kb_per_s = 1000;
     settings.zone_link_kb_per_s = 1000000;
     Gateway g{settings, plain_fleet(9, 1)};
@@ -320,8 +324,8 @@
     for (int i = 0; i < 200; ++i) {
         const auto id = g.ask(static_cast<std::uint64_t>(i));
         for (std::uint32_t n = 0; g.find<Send>(); ++n, ++sends)
-            g.end(id, Ending::full, Note::none, n);
-        EXPECT_TRUE(g.find<Refuse>());
+            g.end(id, AttemptStatus::overloaded, CacheStatus::none, n);
+        EXPECT_TRUE(g.find<Reject>());
     }
     EXPECT_LT(sends, 200 + 20 + 41);
 }
@@ -346,7 +350,7 @@
     settings.direct = false;
     Gateway h{settings, plain_fleet(0)};
     h.ask(1);
-    EXPECT_TRUE(h.find<Refuse>());
+    EXPECT_TRUE(h.find<Reject>());
 }
 
 // A link that is full of fills: hits go on, a miss is refused at once.
@@ -354,7 +358,7 @@
     auto settings = plain_settings();
     settings.flow_kb_per_s = 1000;
     settings.zone_link_kb_per_s = 4000;
-    settings.weights = Weights::nominal;
+    settings.server_weights = ServerWeights::nominal;
     Gateway g{settings};
     RequestId last{};
     std::uint64_t object = 1;
@@ -365,9 +369,9 @@
             break;
     }
     ASSERT_LT(object, 24u);
-    g.end(last, Ending::miss);
+    g.end(last, AttemptStatus::miss);
     EXPECT_FALSE(g.find<Send>());
-    EXPECT_TRUE(g.find<Refuse>());
+    EXPECT_TRUE(g.find<Reject>());
 }
 
 // A fill may be slow by itself: it is taken for hung only while fills come in time.
@@ -379,15 +383,15 @@
             const auto id = g.ask(++object);
             const bool first = g.source() == "p1";
             g.tell(Outcome{.request = id,
-                           .ending = Ending::good,
+                           .attempt_status = AttemptStatus::success,
                            .took = first ? 900ms : 50ms,
                            .over = true,
-                           .note = first ? Note::filled : Note::hit});
+                           .cache_status = first ? CacheStatus::filled : CacheStatus::hit});
             late += first;
         }
         RequestId id{};
         do {
-            g.end(id, Ending::good, Note::hit);
+            g.end(id, AttemptStatus::success, CacheStatus::hit);
             id = g.ask(++object);
         } while (g.target() != "c1" || g.source() != "p2");
         g.pass(1ms);
@@ -405,7 +409,7 @@
         auto settings = plain_settings();
         settings.flow_kb_per_s = 1000;
         settings.zone_link_kb_per_s = 4000;
-        settings.weights = Weights::nominal;
+        settings.server_weights = ServerWeights::nominal;
         Gateway g{settings};
         std::uint64_t object = 0;
         RequestId id{};
@@ -418,7 +422,7 @@
         while (answers_others) {
             const auto other = g.ask(++object);
             if (g.target() == home) {
-                g.end(other, Ending::good, Note::hit);
+                g.end(other, AttemptStatus::success, CacheStatus::hit);
                 break;
             }
         }
@@ -427,7 +431,7 @@
         ASSERT_EQ(g.find<Cancel>().has_value(), answers_others);
         if (!answers_others)
             continue;
-        g.end(id, Ending::cancelled);
+        g.end(id, AttemptStatus::cancelled);
         ASSERT_TRUE(g.find<Send>());
         EXPECT_NE(g.target(), home);
     }
@@ -447,11 +451,11 @@
             EXPECT_EQ(g.source(), source);
         }
         source = g.source();
-        g.end(id, Ending::good, Note::hit);
+        g.end(id, AttemptStatus::success, CacheStatus::hit);
     }
     EXPECT_GT(std::count(targets.begin(), targets.end(), "c1"), 0);
     EXPECT_GT(std::count(targets.begin(), targets.end(), "c2"), 0);
 }
 
 }  // namespace
-}  // namespace winchflow::testing
+}  // namespace silverrail::routing::testing
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -1,15 +1,15 @@
 // The five rules, each at its boundary.
 #include "gateway.h"
 
-namespace winchflow::testing {
+namespace silverrail::routing::testing {
 namespace {
 
 // ---- one final answer in time ----
 
 TEST(Answers, ARequestThatCannotBeSentIsRefusedAtOnce) {
-    Gateway g{plain_settings(), CacheList{.complete = true}};
+    Gateway g{plain_settings(), ServerList{.complete = true}};
     g.ask(1);
-    EXPECT_TRUE(g.find<Refuse>());
+    EXPECT_TRUE(g.find<Reject>());
     EXPECT_EQ(g.router.sizes().open_requests, 0u);
 }
 
@@ -17,19 +17,19 @@
     Gateway g;
     const auto id = g.ask(1);
     g.pass(4s);
-    g.end(id, Ending::late);
+    g.end(id, AttemptStatus::timeout);
     EXPECT_FALSE(g.find<Send>());
-    EXPECT_TRUE(g.find<Refuse>());
+    EXPECT_TRUE(g.find<Reject>());
     EXPECT_EQ(g.router.sizes().open_requests, 0u);
 }
 
 TEST(Answers, LateRepeatedAndUnknownNewsIsIgnored) {
     Gateway g;
     const auto id = g.ask(1);
-    g.end(id, Ending::good, Note::hit);
+    g.end(id, AttemptStatus::success, CacheStatus::hit);
     for (const Event& news :
-         {Event{Outcome{.request = id}}, Event{Abandoned{id}}, Event{Timer{TimerId{1}}},
-          Event{Outcome{.request = RequestId{999}, .attempt = 3}}, Event{Started{id, 0}}}) {
+         {Event{Outcome{.request = id}}, Event{ClientClosed{id}}, Event{Timer{TimerId{1}}},
+          Event{Outcome{.request = RequestId{999}, .attempt = 3}}, Event{ResponseStarted{id, 0}}}) {
         EXPECT_TRUE(g.tell(news).empty());
     }
     EXPECT_EQ(g.router.sizes().open_requests, 0u);
@@ -38,32 +38,33 @@
 TEST(Answers, AnAbandonedRequestIsHeldOnlyUntilItsAttemptEnds) {
     Gateway g;
     const auto id = g.ask(1);
-    EXPECT_TRUE(g.tell(Abandoned{id}).empty());
-    EXPECT_TRUE(g.end(id, Ending::full).empty());  // no further send, no answer
+    EXPECT_TRUE(g.tell(ClientClosed{id}).empty());
+    EXPECT_TRUE(g.end(id, AttemptStatus::overloaded).empty());  // no further send, no answer
     EXPECT_EQ(g.router.sizes().open_requests, 0u);
 }
 
 TEST(Answers, AttemptsAreBounded) {
     auto settings = plain_settings();
-    settings.attempt_limit = 2;
+    settings.max_attempts = 2;
     Gateway g{settings};
     const auto id = g.ask(1);
-    g.end(id, Ending::full, Note::none, 0);
+    g.end(id, AttemptStatus::overloaded, CacheStatus::none, 0);
     EXPECT_TRUE(g.find<Send>());
-    g.end(id, Ending::full, Note::none, 1);
+    g.end(id, AttemptStatus::overloaded, CacheStatus::none, 1);
     EXPECT_FALSE(g.find<Send>());
-    EXPECT_TRUE(g.find<Refuse>());
+    EXPECT_TRUE(g.find<Reject>());
 }
 
 // ---- no double effect ----
 
 TEST(Effects, AnUnsafeRequestThatMayHaveRunIsNeitherRepeatedNorRefused) {
-    for (const Ending ending : {Ending::late, Ending::reset, Ending::error, Ending::cancelled}) {
+    for (const AttemptStatus attempt_status :
+         {AttemptStatus::timeout, AttemptStatus::reset, AttemptStatus::error, AttemptStatus::cancelled}) {
         Gateway g;
         const auto id = g.ask(1, 2);
-        g.end(id, ending);
+        g.end(id, attempt_status);
         EXPECT_FALSE(g.find<Send>());
-        EXPECT_FALSE(g.find<Refuse>());
+        EXPECT_FALSE(g.find<Reject>());
         EXPECT_TRUE(g.find<Fail>());
     }
 }
@@ -71,7 +72,7 @@
 TEST(Effects, AnUnsafeRequestThatDidNotRunIsSentAgain) {
     Gateway g;
     const auto id = g.ask(1, 2);
-    g.end(id, Ending::no_connection);
+    g.end(id, AttemptStatus::connect_failed);
     EXPECT_TRUE(g.find<Send>());
 }
 
@@ -80,24 +81,24 @@
         Gateway g;
         const auto id = g.ask(1, 1);
         g.pass(passed);
-        g.end(id, Ending::reset);
+        g.end(id, AttemptStatus::reset);
         EXPECT_EQ(g.find<Send>().has_value(), again);
-        EXPECT_EQ(g.find<Refuse>().has_value(), !again);  // all caches drop repeats, so a refusal is true
+        EXPECT_EQ(g.find<Reject>().has_value(), !again);  // all caches drop repeats, so a refusal is true
     }
 }
 
 TEST(Effects, AKeyedRequestOfANarrowerScopeLeavesItNever) {
     auto settings = plain_settings();
     settings.direct = false;  // through a cache, the origin as its source
-    settings.classes[1].scope = Scope::cell;
+    settings.classes[1].key_scope = KeyScope::cell;
     auto fleet = plain_fleet();
     for (std::size_t i = 0; i < fleet.caches.size(); ++i)
         fleet.caches[i].cell = CellId{static_cast<int>(i)};
     Gateway g{settings, fleet};
     const auto id = g.ask(1, 1);
-    g.end(id, Ending::reset);
+    g.end(id, AttemptStatus::reset);
     EXPECT_FALSE(g.find<Send>());
-    EXPECT_FALSE(g.find<Refuse>());
+    EXPECT_FALSE(g.find<Reject>());
     EXPECT_TRUE(g.find<Fail>());
 }
 
@@ -109,7 +110,7 @@
     g.tell(Timer{TimerId{static_cast<std::uint64_t>(id)}});
     EXPECT_TRUE(g.find<Cancel>());
     EXPECT_FALSE(g.find<Send>());  // only once the first has ended
-    g.end(id, Ending::cancelled);
+    g.end(id, AttemptStatus::cancelled);
     EXPECT_TRUE(g.find<Send>());
     EXPECT_NE(g.target(), home);
 }
@@ -125,7 +126,7 @@
             const auto id = g.ask(object);
             EXPECT_NE(g.target(), "c1");
             EXPECT_NE(g.source(), "p1");
-            g.end(id, Ending::good, Note::hit);
+            g.end(id, AttemptStatus::success, CacheStatus::hit);
         }
     }
 }
@@ -137,7 +138,7 @@
         const auto id = g.ask(object);
         EXPECT_EQ(g.target(), "c1");
         EXPECT_EQ(g.source(), "p1");
-        g.end(id, Ending::good, Note::hit);
+        g.end(id, AttemptStatus::success, CacheStatus::hit);
     }
 }
 
@@ -146,7 +147,7 @@
     const auto id = g.ask(1);
     const std::string other = g.target() == "c1" ? "c2" : "c1";
     g.change(other, Condition::draining);
-    g.end(id, Ending::no_connection);
+    g.end(id, AttemptStatus::connect_failed);
     EXPECT_NE(g.target(), other);
 }
 
@@ -154,23 +155,23 @@
 
 Settings cold_settings() {
     auto s = plain_settings();
-    s.gateways = 4;
-    s.gateways_in_zone = 2;
+    s.routers = 4;
+    s.routers_in_zone = 2;
     s.flow_kb_per_s = 1000;
-    s.weights = Weights::nominal;
+    s.server_weights = ServerWeights::nominal;
     s.zone_link_kb_per_s = 1000000;
-    s.cold_from = 0.25;
-    s.cold_for = 18s;
-    s.tip_multiple = 2;
-    s.tip_window = 1s;
-    s.parent_cold_from = 0.1;
-    s.parent_cold_for = 20s;
-    s.parent_tip_multiple = 2;
+    s.slow_start_share = 0.25;
+    s.slow_start_duration = 18s;
+    s.overload_multiple = 2;
+    s.overload_window = 1s;
+    s.parent_slow_start_share = 0.1;
+    s.parent_slow_start_duration = 20s;
+    s.parent_overload_multiple = 2;
     return s;
 }
 
 // Seconds of sending that go to `address` (as target or source) in the first second after its start.
-double pushed(Gateway& g, const std::string& address, Note note) {
+double pushed(Gateway& g, const std::string& address, CacheStatus cache_status) {
     double work = 0;
     for (std::uint64_t object = 1; object <= 500; ++object) {
         const RequestId id{++g.ids};
@@ -178,7 +179,7 @@
         if (g.target() == address || g.source() == address)
             work += 0.1;  // 100 KB at 1000 KB/s
         if (g.find<Send>())
-            g.end(id, Ending::good, note);
+            g.end(id, AttemptStatus::success, cache_status);
         g.pass(2ms);
     }
     return work;
@@ -189,7 +190,7 @@
         const RequestId id{++g.ids};
         g.tell(Request{.id = id, .object = ObjectId{9000 + i}, .size_kb = 100, .deadline = g.now + 4s});
         if (g.find<Send>())
-            g.end(id, Ending::good, Note::hit);
+            g.end(id, AttemptStatus::success, CacheStatus::hit);
     }
 }
 
@@ -197,8 +198,8 @@
     Gateway g{cold_settings()};
     settle_sizes(g);
     g.restart("c1", g.now);
-    // Twice 0.25..0.29 of 8 for a second is at most 4.7; half of it is this gateway's.
-    const double work = pushed(g, "c1", Note::hit);
+    // Twice 0.25..0.29 of 8 for a second is at most 4.7; half of it is this router's.
+    const double work = pushed(g, "c1", CacheStatus::hit);
     EXPECT_GT(work, 0.5);
     EXPECT_LT(work, 0.5 * 2 * 8 * 0.25);
 }
@@ -207,7 +208,7 @@
     Gateway g{cold_settings()};
     settle_sizes(g);
     g.restart("p1", g.now);
-    const double work = pushed(g, "p1", Note::filled);
+    const double work = pushed(g, "p1", CacheStatus::filled);
     EXPECT_GT(work, 0.05);
     EXPECT_LT(work, 0.25 * 2 * 8 * 0.1);
 }
@@ -216,7 +217,7 @@
     Gateway g{cold_settings()};
     settle_sizes(g);
     g.restart("c1", g.now - 19s);
-    EXPECT_GT(pushed(g, "c1", Note::hit), 10);
+    EXPECT_GT(pushed(g, "c1", CacheStatus::hit), 10);
 }
 
 // ---- purges ----
@@ -273,14 +274,14 @@
     auto settings = plain_settings();
     settings.classes[0].max_age = 8s;
     settings.classes[0].grace = 10s;
-    settings.classes[0].stale_worth = 0.5;
+    settings.classes[0].stale_weight = 0.5;
     Gateway g{settings};
     g.tell(Purge{.object = ObjectId{1}, .age = 700ms});
     const auto id = g.ask(1);
-    g.end(id, Ending::full);
+    g.end(id, AttemptStatus::overloaded);
     EXPECT_EQ(g.find<Send>()->fill->oldest, 700ms);
     const auto other = g.ask(2);
-    g.end(other, Ending::full);
+    g.end(other, AttemptStatus::overloaded);
     EXPECT_EQ(g.find<Send>()->fill->oldest, 18s);  // a failed first try: stale will do
 }
 
@@ -290,17 +291,17 @@
 TEST(Referred, NeverNamesAColdCache) {
     auto settings = plain_settings();
     settings.direct = false;
-    settings.cold_for = 10s;
-    settings.cold_from = 0.3;
-    settings.tip_window = 3s;
+    settings.slow_start_duration = 10s;
+    settings.slow_start_share = 0.3;
+    settings.overload_window = 3s;
     Gateway g{settings, plain_fleet(2)};
     g.restart("c1", g.now);
     g.pass(5s);  // by now its budget would bear one
     for (std::uint64_t i = 1; i <= 20; ++i) {
         const RequestId id{++g.ids};
-        g.tell(Request{.id = id, .object = ObjectId{i}, .deadline = g.now + 1s, .referred = true});
+        g.tell(Request{.id = id, .object = ObjectId{i}, .deadline = g.now + 1s, .redirected = true});
         EXPECT_EQ(g.target(), "c2");
-        g.end(id, Ending::unseen, Note::none, 0, true);
+        g.end(id, AttemptStatus::unobserved, CacheStatus::none, 0, true);
     }
     EXPECT_EQ(g.router.sizes().open_requests, 0u);
 }
@@ -312,8 +313,8 @@
     Gateway not_told{settings, plain_fleet(3)};
     for (std::uint64_t i = 1; i <= 200; ++i) {
         const RequestId id{++told.ids};
-        told.tell(Request{.id = id, .object = ObjectId{i}, .deadline = told.now + 1s, .referred = true});
-        told.end(id, Ending::unseen, Note::none, 0, true);
+        told.tell(Request{.id = id, .object = ObjectId{i}, .deadline = told.now + 1s, .redirected = true});
+        told.end(id, AttemptStatus::unobserved, CacheStatus::none, 0, true);
         not_told.ids = told.ids;
     }
     // Nobody is ejected, no room has shrunk, no retry was earned: both go the same ways from here.
@@ -322,11 +323,11 @@
         const RequestId b = not_told.ask(i);
         EXPECT_EQ(told.target(), not_told.target());
         EXPECT_EQ(told.source(), not_told.source());
-        told.end(a, Ending::error);
-        not_told.end(b, Ending::error);
+        told.end(a, AttemptStatus::error);
+        not_told.end(b, AttemptStatus::error);
         EXPECT_EQ(told.target(), not_told.target());
-        EXPECT_EQ(told.find<Refuse>().has_value(), not_told.find<Refuse>().has_value());
+        EXPECT_EQ(told.find<Reject>().has_value(), not_told.find<Reject>().has_value());
     }
 }
 
-}  // namespace winchflow::testing
+}  // namespace silverrail::routing::testing
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -1,31 +1,33 @@
 // Odd settings: whatever is absent or strange, each request gets one answer and no rule is broken.
 #include "gateway.h"
 
-namespace winchflow::testing {
+namespace silverrail::routing::testing {
 namespace {
 
-// Plays requests of every class against the gateway, each attempt ending as `ending`, and counts answers.
-void expect_all_answered(Settings settings, const CacheList& fleet, const std::string& what) {
-    constexpr std::array endings{Ending::good,          Ending::error, Ending::full,     Ending::late,
-                                 Ending::no_connection, Ending::reset, Ending::not_sent, Ending::miss};
+// Plays requests of every class against the router, each attempt ending as `ending`, and counts answers.
+void expect_all_answered(Settings settings, const ServerList& fleet, const std::string& what) {
+    constexpr std::array endings{AttemptStatus::success,        AttemptStatus::error,
+                                 AttemptStatus::overloaded,     AttemptStatus::timeout,
+                                 AttemptStatus::connect_failed, AttemptStatus::reset,
+                                 AttemptStatus::not_sent,       AttemptStatus::miss};
     const auto classes = settings.classes.size();
-    const int limit = settings.attempt_limit;
+    const int limit = settings.max_attempts;
     Gateway g{std::move(settings), fleet};
     for (std::uint64_t i = 0; i < 400; ++i) {
-        const auto ending = endings[i % endings.size()];
+        const auto attempt_status = endings[i % endings.size()];
         const auto id = g.ask(i % 50, i % classes, 100ms);
         int sends = 0;
         while (const auto send = g.find<Send>()) {
             ++sends;
             ASSERT_EQ(send->request, id) << what;
             g.pass(7ms);
-            g.end(id, ending, Note::none, static_cast<std::uint32_t>(sends - 1));
-            if (ending == Ending::good)
+            g.end(id, attempt_status, CacheStatus::none, static_cast<std::uint32_t>(sends - 1));
+            if (attempt_status == AttemptStatus::success)
                 break;
         }
         ASSERT_LE(sends, limit) << what;
-        if (sends == 0 || ending != Ending::good) {
-            EXPECT_TRUE(g.find<Refuse>().has_value() != g.find<Fail>().has_value()) << what;
+        if (sends == 0 || attempt_status != AttemptStatus::success) {
+            EXPECT_TRUE(g.find<Reject>().has_value() != g.find<Fail>().has_value()) << what;
         }
         EXPECT_EQ(g.router.sizes().open_requests, 0u) << what;
     }
@@ -39,16 +41,16 @@
     expect_all_answered(plain, plain_fleet(3, 1), "one parent");
     expect_all_answered(plain, plain_fleet(3, 0, false), "no source at all");
     auto odd = plain;
-    odd.attempt_limit = 1;
+    odd.max_attempts = 1;
     expect_all_answered(odd, plain_fleet(), "one attempt");
     odd = plain;
-    odd.may_cancel = false;
+    odd.cancellation_supported = false;
     expect_all_answered(odd, plain_fleet(), "no cancelling");
     odd = plain;
-    odd.detail = Detail::off;
+    odd.outcome_detail = OutcomeDetail::off;
     expect_all_answered(odd, plain_fleet(), "no detail");
     odd = plain;
-    odd.gateways = odd.gateways_in_zone = 0;
+    odd.routers = odd.routers_in_zone = 0;
     expect_all_answered(odd, plain_fleet(), "no count of gateways");
     odd = plain;
     odd.parent_kind.clear();
@@ -56,24 +58,24 @@
     expect_all_answered(odd, plain_fleet(), "no kinds");
     odd = plain;
     for (auto& c : odd.classes)
-        c.aim = c.give_up = 1ns;
+        c.latency_objective = c.give_up = 1ns;
     expect_all_answered(odd, plain_fleet(), "very short times");
     odd = plain;
-    odd.weights = Weights::nominal;
+    odd.server_weights = ServerWeights::nominal;
     auto fleet = plain_fleet();
     for (auto& c : fleet.caches)
         c.weight = 0;
     expect_all_answered(odd, fleet, "no sizes");
     for (auto& c : fleet.caches)
-        c.up_since = Time{100s};
+        c.started_at = Time{100s};
     expect_all_answered(odd, fleet, "all just started, no figures for it");
 }
 
 TEST(OddSettings, WithoutCancellingATimeOutLetsAFurtherAttemptStart) {
     auto settings = plain_settings();
-    settings.may_cancel = false;
+    settings.cancellation_supported = false;
     settings.flow_kb_per_s = 1000;
-    settings.classes[0].aim_stretch = 1.5;
+    settings.classes[0].objective_stretch = 1.5;
     for (const double size_kb : {200.0, 2000.0, 0.0}) {
         Gateway g{settings};
         g.tell(Request{.id = RequestId{1},
@@ -83,11 +85,11 @@
                        .deadline = g.now + 9s});
         // At the object's own aim; one of untold size may be far larger than the mean, which stands at the
         // aim yet.
-        const Span aim = 400ms + (size_kb > 0 ? 1500us * static_cast<int>(size_kb) : 600ms);
-        EXPECT_EQ(g.find<Send>()->timeout, (size_kb > 0 ? 1 : 3) * aim) << size_kb;
+        const Span latency_objective = 400ms + (size_kb > 0 ? 1500us * static_cast<int>(size_kb) : 600ms);
+        EXPECT_EQ(g.find<Send>()->timeout, (size_kb > 0 ? 1 : 3) * latency_objective) << size_kb;
         EXPECT_FALSE(g.find<SetTimer>());
     }
 }
 
 }  // namespace
-}  // namespace winchflow::testing
+}  // namespace silverrail::routing::testing
