--- a/tests/silverrail/admin_test.cpp
+++ b/tests/silverrail/admin_test.cpp
@@ -20,7 +20,7 @@
         std::string line;
         bool ended;
         std::optional<Kind> kind;  // absent: a no
-        std::string box{};
+        std::string server{};
     };
     const Row rows[] = {
         {"HEALTH", true, Kind::health},
@@ -64,7 +64,7 @@
         const auto* good = std::get_if<admin::Call>(&call);
         CHECK((good != nullptr) == row.kind.has_value());
         if (good)
-            CHECK(good->kind == *row.kind && good->box == row.box);
+            CHECK(good->kind == *row.kind && good->server == row.server);
         if (!good)
             CHECK(!std::get<std::string>(call).empty());
     }
@@ -72,10 +72,10 @@
 }
 
 struct NoHands : admin::Hands {
-    admin::Verdict out(const core::CacheId& box) override {
-        return {true, "out " + box.address};
+    admin::Verdict out(const core::ServerId& server) override {
+        return {true, "out " + server.address};
     }
-    admin::Verdict back(const core::CacheId&) override {
+    admin::Verdict back(const core::ServerId&) override {
         return {false, "no such box"};
     }
 };
@@ -140,7 +140,7 @@
 
 void figures_of_each_end() {
     net::asio::io_context io;
-    Box box{io};
+    Server server{io};
     Router router{io, {}, 2};
     Control control{io, router};
     const auto dump = [&] {
@@ -161,31 +161,31 @@
         CHECK(!client.broken);
         return client.status();
     };
-    // Refused by the module: there is no box yet.
+    // Refused by the module: there is no server yet.
     CHECK(done(ask("pages", kObject)) == 503);
     is("busy.pages", 1);
-    router.list_with_sources({listed("s-a", box.address()), listed("s-far", "127.0.0.1:9", "other")});
+    router.list_with_sources({listed("s-a", server.address()), listed("s-far", "127.0.0.1:9", "other")});
     is("hosts_listed", 4);
     is("hosts_down", 0);
     // Served, then told that the client's copy holds.
     CHECK(done(ask("pages", kObject)) == 200);
-    box.response = Box::hit("");
-    box.response.result(net::http::status::not_modified);
+    server.response = Server::hit("");
+    server.response.result(net::http::status::not_modified);
     Request has = ask("pages", kObject);
     has.set(net::http::field::if_none_match, "\"4be0c1927d55a6f3\"");
     CHECK(done(has) == 304);
     is("success.pages", 2);
     is("backend_calls", 2);
-    // A copy of its own: served without a call to a box.
+    // A copy of its own: served without a call to a server.
     router.engine.keep_copies({.bytes = 1 << 20, .link = {1e9, 1e9}});
     router.engine.told_of_purges(true);
-    box.response = Box::hit("bytes");
-    box.response.set("Made-At", std::to_string(router.clock.unix_ms()));
+    server.response = Server::hit("bytes");
+    server.response.set("Made-At", std::to_string(router.clock.unix_ms()));
     CHECK(done(ask("pages", kObject)) == 200 && done(ask("pages", kObject)) == 200);
     is("success.pages", 4);
     is("backend_calls", 3);
     // Failed: cut off after it may have run, and never to be run twice.
-    box.act = Box::Act::reset_after_reading;
+    server.act = Server::Act::reset_after_reading;
     CHECK(done(ask("lodge", "00000000000000a1")) == 502);
     is("failure.lodge", 1);
     is("backend_calls", 4);
@@ -197,19 +197,19 @@
     Request unknown = ask("pages", kObject);
     unknown.target("/ops/nothing/" + kObject + "/piece-0");
     CHECK(done(unknown) == 502);
-    // Past its deadline: one that no other box may be asked for.
-    box.act = Box::Act::stay_silent;
+    // Past its deadline: one that no other server may be asked for.
+    server.act = Server::Act::stay_silent;
     CHECK(done(ask("lodge", "00000000000000a2", 300)) == 504);
     is("failure.lodge", 3);
     is("failure.pages", 0);
     is("inflight", 0);
     // Open ones are in flight; over the bound the door refuses, and who has left counts nowhere.
-    const std::size_t seen = box.seen.size();
+    const std::size_t seen = server.seen.size();
     Client one{io, router.server.local()};
     Client two{io, router.server.local()};
     one.send(ask("pages", "00000000000000b1", 9'000));
     two.send(ask("lodge", "00000000000000b2", 9'000));
-    run_until(io, [&] { return box.seen.size() == seen + 2; });
+    run_until(io, [&] { return server.seen.size() == seen + 2; });
     is("inflight", 2);
     CHECK(done(ask("pages", "00000000000000b3")) == 503);
     is("busy.pages", 2);
@@ -227,8 +227,8 @@
         CHECK(client.response.body().find("\n" + name + " " + std::to_string(figure(last, name)) + "\n") !=
               std::string::npos);
     CHECK(client.response.body().find("\nsuccess_pages 4\n") != std::string::npos);
-    // A box that refuses connections is avoided, and shows.
-    box.stop_listening();
+    // A server that refuses connections is avoided, and shows.
+    server.stop_listening();
     router.list({listed("s-a", "127.0.0.1:9")}, false);
     for (int i = 0; i < 4; ++i)
         done(ask("pages", "00000000000000c" + std::to_string(i)));
--- a/tests/silverrail/core_test.cpp
+++ b/tests/silverrail/core_test.cpp
@@ -60,15 +60,15 @@
         if (refuses_at_once) {
             const auto key = out.back().key;
             out.pop_back();
-            e.ended(key, {.ending = Ending::no_connection});
+            e.ended(key, {.attempt_status = AttemptStatus::connect_failed});
         }
     }
     void cancel(const AttemptKey& key) override {
         std::erase_if(out, [&](const Order& o) { return o.key == key; });
         ++cancelled;
     }
-    void forget(const CacheId& box) override {
-        forgotten.push_back(box.address);
+    void forget(const ServerId& server) override {
+        forgotten.push_back(server.address);
     }
     void end(std::size_t i, AttemptEnd how) {
         const auto key = out.at(i).key;
@@ -98,20 +98,20 @@
                 stand::listed("s-origin", "127.0.0.1:4", "origin")},
                true);
     }
-    void change(std::vector<Box> boxes, bool complete = false) {
-        engine.apply(BoxChange{complete, std::move(boxes)});
+    void change(std::vector<Server> servers, bool complete = false) {
+        engine.apply(ServerChange{complete, std::move(servers)});
     }
-    std::shared_ptr<Reply> ask(const char* class_name = "pages", Span wait = 2s, bool referred = false) {
+    std::shared_ptr<Reply> ask(const char* class_name = "pages", Span wait = 2s, bool redirected = false) {
         Call call;
         call.class_name = class_name;
         call.object = "7f3a9c21e0b4d655";
-        call.object_id = winchflow::ObjectId{0x7f3a9c21e0b4d655};
-        call.group = winchflow::GroupId{17};
+        call.object_id = silverrail::routing::ObjectId{0x7f3a9c21e0b4d655};
+        call.group = silverrail::routing::GroupId{17};
         call.deadline = clock.now() + wait;
         call.write = call.class_name != "pages";
         if (call.class_name == "order")
             call.idempotency_key = "952b4cf81bd4b06d";
-        call.referred = referred;
+        call.redirected = redirected;
         auto reply = std::make_shared<Reply>();
         id = engine.take(std::move(call), reply);
         return reply;
@@ -127,19 +127,19 @@
 void one_answer_by_the_deadline() {
     struct Case {
         const char* class_name;
-        Ending ending;
+        AttemptStatus attempt_status;
         Answer::Kind kind;  // once nothing more can be tried
         std::size_t attempts;
     };
     using Kind = Answer::Kind;
     const Case cases[] = {
-        {"pages", Ending::good, Kind::served, 1},
-        {"pages", Ending::reset, Kind::refused, 6},
-        {"pages", Ending::no_connection, Kind::refused, 6},
-        {"lodge", Ending::reset, Kind::failed, 1},  // may have run
-        {"lodge", Ending::error, Kind::failed, 1},
-        {"lodge", Ending::late, Kind::failed, 1},
-        {"lodge", Ending::no_connection, Kind::refused, 6},  // never ran
+        {"pages", AttemptStatus::success, Kind::served, 1},
+        {"pages", AttemptStatus::reset, Kind::refused, 6},
+        {"pages", AttemptStatus::connect_failed, Kind::refused, 6},
+        {"lodge", AttemptStatus::reset, Kind::failed, 1},  // may have run
+        {"lodge", AttemptStatus::error, Kind::failed, 1},
+        {"lodge", AttemptStatus::timeout, Kind::failed, 1},
+        {"lodge", AttemptStatus::connect_failed, Kind::refused, 6},  // never ran
     };
     for (const Case& c : cases) {
         Bench b;
@@ -147,7 +147,7 @@
         std::size_t attempts = 0;
         while (!b.sender.out.empty()) {
             ++attempts;
-            b.sender.end(0, {.ending = c.ending, .body = "bytes"});
+            b.sender.end(0, {.attempt_status = c.attempt_status, .body = "bytes"});
         }
         CHECK(reply->count == 1 && reply->answer.kind == c.kind && attempts <= c.attempts);
         CHECK((c.attempts == 1) == (attempts == 1));
@@ -192,7 +192,7 @@
         const auto key = b.sender.out.at(0).key;
         CHECK(b.sender.events->before_first_byte(key) == Span{});
         b.change({stand::listed(b.sender.out[0].target.address, b.sender.out[0].address, "small-box",
-                                winchflow::Condition::draining)});
+                                silverrail::routing::Condition::draining)});
         // The grace may be short, or half over when the list is heard: not a byte from here on.
         CHECK(!b.sender.events->before_first_byte(key));
         b.timers.pass(1600ms);
@@ -202,7 +202,7 @@
         Bench b;
         (void)b.ask();
         const auto key = b.sender.out.at(0).key;
-        b.change({stand::listed("s-parent", "127.0.0.1:3", "parent", winchflow::Condition::gone)});
+        b.change({stand::listed("s-parent", "127.0.0.1:3", "parent", silverrail::routing::Condition::gone)});
         CHECK(!b.sender.events->before_first_byte(key));  // a source is named too
     }
     // A keyed request's repeats end with the window that its first attempt began, whatever they wait for.
@@ -210,11 +210,11 @@
         Bench b;
         const auto reply = b.ask("order");
         b.timers.pass(50ms);
-        b.sender.end(0, {.ending = Ending::reset});  // it may have run
+        b.sender.end(0, {.attempt_status = AttemptStatus::reset});  // it may have run
         const auto key = b.sender.out.at(0).key;
         b.timers.pass(waited - 50ms);
         CHECK(b.sender.events->before_first_byte(key).has_value() == (waited == 800ms));
-        b.sender.end(0, {.ending = Ending::not_sent});
+        b.sender.end(0, {.attempt_status = AttemptStatus::not_sent});
         if (waited == 900ms)
             CHECK(b.sender.out.empty() && reply->answer.kind == Answer::Kind::refused);
     }
@@ -223,8 +223,8 @@
         (void)b.ask();
         const auto key = b.sender.out.at(0).key;
         // A stamp of this moment from elsewhere: without one a purge counts from its telling.
-        b.engine.apply(PurgeNotice{{}, winchflow::GroupId{99}, b.clock.unix_ms()});
-        b.engine.apply(PurgeNotice{{}, winchflow::GroupId{17}, b.clock.unix_ms() - 120});
+        b.engine.apply(PurgeNotice{{}, silverrail::routing::GroupId{99}, b.clock.unix_ms()});
+        b.engine.apply(PurgeNotice{{}, silverrail::routing::GroupId{17}, b.clock.unix_ms() - 120});
         b.timers.pass(80ms);
         CHECK(b.sender.events->before_first_byte(key) == Span{200ms});
         b.engine.abandon(*b.id);
@@ -233,12 +233,12 @@
     }
 }
 
-void boxes_by_id() {
+void servers_by_id() {
     Bench b;
-    b.change({stand::listed("s-a", "127.0.0.1:1", "small-box", winchflow::Condition::draining)});
+    b.change({stand::listed("s-a", "127.0.0.1:1", "small-box", silverrail::routing::Condition::draining)});
     CHECK(b.sender.forgotten.empty());  // what is open there comes to its end
     b.timers.pass(1s);
-    b.change({stand::listed("s-a", "127.0.0.1:1", "small-box", winchflow::Condition::gone)});
+    b.change({stand::listed("s-a", "127.0.0.1:1", "small-box", silverrail::routing::Condition::gone)});
     CHECK(b.sender.forgotten == std::vector<std::string>{"s-a"});
     auto again = stand::listed("s-b", "127.0.0.1:2");
     again.started_ms = b.clock.unix_ms();
@@ -250,21 +250,22 @@
 // The wall clock steps while servers start and objects are purged: ages stay what they are.
 void clock_steps() {
     const auto started = [](const Bench& b, Span ago) {
-        auto box = stand::listed("s-b", "127.0.0.1:2");
-        box.started_ms = b.clock.true_unix_ms() - ago / 1ms;
-        return box;
+        auto server = stand::listed("s-b", "127.0.0.1:2");
+        server.started_ms = b.clock.true_unix_ms() - ago / 1ms;
+        return server;
     };
-    const auto up_since = [](Bench& b) {
+    const auto started_at = [](Bench& b) {
         std::optional<Time> found;
-        b.engine.each_box([&](const Box& box, bool) {
-            if (box.entry.id.address == "s-b")
-                found = box.entry.up_since;
+        b.engine.each_server([&](const Server& server, bool) {
+            if (server.entry.id.address == "s-b")
+                found = server.entry.started_at;
         });
         CHECK(found);
         return *found;
     };
     const auto purge = [](Bench& b, Span ago, Span oldest = Span::max()) {
-        b.engine.apply(PurgeNotice{{}, winchflow::GroupId{17}, b.clock.true_unix_ms() - ago / 1ms}, oldest);
+        b.engine.apply(PurgeNotice{{}, silverrail::routing::GroupId{17}, b.clock.true_unix_ms() - ago / 1ms},
+                       oldest);
     };
     const auto asked_for = [](Bench& b) {
         (void)b.ask();
@@ -275,14 +276,14 @@
         purge(b, 0s);  // a first reading of both clocks
         b.change({started(b, 2500ms)});
         const Time began = b.clock.now() - 2500ms;
-        CHECK(up_since(b) == began);
+        CHECK(started_at(b) == began);
         b.timers.pass(10s);
         b.clock.step = step;
         // Told again, it has not started again; told for the first time, not earlier than it did.
         b.change({started(b, 12500ms)});
-        CHECK(up_since(b) == began);
+        CHECK(started_at(b) == began);
         b.change({started(b, 1s)});
-        CHECK(up_since(b) >= b.clock.now() - 1s && up_since(b) <= b.clock.now());
+        CHECK(started_at(b) >= b.clock.now() - 1s && started_at(b) <= b.clock.now());
         // A purge binds at least by its age, and by no more than the news was late.
         purge(b, 200ms);
         b.timers.pass(1s);
@@ -295,7 +296,10 @@
         CHECK(b.engine.counters().clock_steps == 2);
         // An answer from elsewhere shows how late it is at least: exact again where the clock had been
         // behind.
-        b.sender.end(0, {.ending = Ending::good, .body = "b", .tag = "t", .made_ms = b.clock.true_unix_ms()});
+        b.sender.end(0, {.attempt_status = AttemptStatus::success,
+                         .body = "b",
+                         .tag = "t",
+                         .made_ms = b.clock.true_unix_ms()});
         purge(b, 150ms);
         CHECK(asked_for(b) == Span{150ms});
     }
@@ -306,7 +310,10 @@
         purge(b, 500ms);
         b.timers.pass(300ms);
         CHECK(asked_for(b) == Span{300ms});
-        b.sender.end(0, {.ending = Ending::good, .body = "b", .tag = "t", .made_ms = b.clock.true_unix_ms()});
+        b.sender.end(0, {.attempt_status = AttemptStatus::success,
+                         .body = "b",
+                         .tag = "t",
+                         .made_ms = b.clock.true_unix_ms()});
         CHECK(asked_for(b) == Span{800ms});
     }
     {
@@ -322,8 +329,8 @@
     purge(ahead, 200ms, 10s);
     ahead.timers.pass(1s);
     CHECK(asked_for(ahead) == Span{1s} && ahead.engine.counters().clock_doubts == 1);
-    ahead.engine.apply(BoxChange{false, {started(ahead, 1s)}}, 10s);
-    CHECK(up_since(ahead) == ahead.clock.now() && ahead.engine.counters().clock_doubts == 2);
+    ahead.engine.apply(ServerChange{false, {started(ahead, 1s)}}, 10s);
+    CHECK(started_at(ahead) == ahead.clock.now() && ahead.engine.counters().clock_doubts == 2);
 }
 
 // A process that begins with its clock behind learns from the first answers how late it is at least: no copy
@@ -335,7 +342,10 @@
         b.engine.keep_copies({.bytes = 1 << 20, .link = {.flow_bytes_per_s = 1e6, .link_bytes_per_s = 1e6}});
         b.engine.told_of_purges(true);
         const auto answer = [&](std::int64_t made_ms) {
-            b.sender.end(0, {.ending = Ending::good, .body = "bytes", .tag = "tag", .made_ms = made_ms});
+            b.sender.end(0, {.attempt_status = AttemptStatus::success,
+                             .body = "bytes",
+                             .tag = "tag",
+                             .made_ms = made_ms});
         };
         (void)b.ask();
         answer(b.clock.true_unix_ms() - 500);  // shows how late it is at least
@@ -347,7 +357,7 @@
         const auto late = b.ask();
         CHECK(late->count == 0 && b.sender.out.size() == 1);
         while (!b.sender.out.empty())
-            b.sender.end(0, {.ending = Ending::no_connection});
+            b.sender.end(0, {.attempt_status = AttemptStatus::connect_failed});
         CHECK(late->answer.kind == Answer::Kind::refused);
     }
     // What is too far ahead to be a clock's step tells nothing: the copies that are held go on answering.
@@ -357,20 +367,22 @@
     const std::int64_t far_ahead = b.clock.unix_ms() + 100 * 24 * 3'600'000LL;
     for (const std::int64_t made_ms : {b.clock.unix_ms(), far_ahead}) {
         const auto asked = b.ask("lodge");
-        b.sender.end(0, {.ending = Ending::good, .body = "done", .tag = "tag", .made_ms = made_ms});
+        b.sender.end(
+            0, {.attempt_status = AttemptStatus::success, .body = "done", .tag = "tag", .made_ms = made_ms});
         CHECK(asked->count == 1);
     }
     (void)b.ask();
-    b.sender.end(0, {.ending = Ending::good, .body = "b", .tag = "t", .made_ms = b.clock.unix_ms()});
+    b.sender.end(
+        0, {.attempt_status = AttemptStatus::success, .body = "b", .tag = "t", .made_ms = b.clock.unix_ms()});
     CHECK(b.ask()->count == 1 && b.engine.counters().own_fresh == 1);
 }
 
 void referrals() {
     Bench b;
     auto reply = b.ask("pages", 1s, true);
-    CHECK(reply->answer.kind == Answer::Kind::referred && !reply->answer.box_address.empty());
+    CHECK(reply->answer.kind == Answer::Kind::redirected && !reply->answer.server_address.empty());
     CHECK(b.sender.out.empty() && b.engine.open() == 0);
-    b.engine.apply(PurgeNotice{winchflow::ObjectId{0x7f3a9c21e0b4d655}, {}, b.clock.unix_ms()});
+    b.engine.apply(PurgeNotice{silverrail::routing::ObjectId{0x7f3a9c21e0b4d655}, {}, b.clock.unix_ms()});
     reply = b.ask("pages", 1s, true);
     CHECK(reply->answer.kind == Answer::Kind::refused && reply->answer.hold_off > 0s);
     CHECK(b.engine.counters().not_carried == 1);
@@ -405,7 +417,8 @@
     const auto from_file = config::parse_config(*json);
     const std::string pairs =
         "allowed.cancel=true allowed.max-retry-after=500000000 allowed.retry-after=true allowed.try-limit=6 "
-        "balancers=4 classes.count=2 classes.0.aim=400000000 classes.0.aim-stretch=1.6 classes.0.effect=pure "
+        "balancers=4 classes.count=2 classes.0.aim=400000000 classes.0.aim-stretch=1.6 "
+        "classes.0.effect=pure "
         "classes.0.give-up=5000000000 classes.0.group=all classes.0.late-worth=0.15 "
         "classes.0.name=bulk-files "
         "classes.0.window=5000000000 classes.0.worth=2.0 classes.1.aim=700000000 "
@@ -422,25 +435,45 @@
         "family-info.shares-fills=true family-info.stale-earns=0.7,0.5 family-info.uncached=false,true "
         "family-info.upper-cold-from=0.068 family-info.zone-balancers=0,2 invariants.cold=14000000000 "
         "invariants.cold-from=0.26 invariants.fall=3000000000 invariants.tip-multiple=2.0";
-    const auto a = winchflow::adapter::parse_settings(winchflow::adapter::split(pairs, ' '));
+    const auto a =
+        silverrail::routing::adapter::parse_settings(silverrail::routing::adapter::split(pairs, ' '));
     const auto& b = from_file.settings;
-    const auto all = [](const winchflow::Settings& s) {
-        return std::tuple{s.zone,           s.gateways,         s.gateways_in_zone, s.parent_kind,
-                          s.origin_kind,    s.weights,          s.flow_kb_per_s,    s.zone_link_kb_per_s,
-                          s.detail,         s.may_cancel,       s.retry_after,      s.direct,
-                          s.joins,          s.max_retry_after,  s.attempt_limit,    s.heed_within,
-                          s.cleared_within, s.cold_from,        s.cold_for,         s.tip_multiple,
-                          s.tip_window,     s.parent_cold_from, s.parent_cold_for,  s.parent_tip_multiple};
+    const auto all = [](const silverrail::routing::Settings& s) {
+        return std::tuple{s.zone,
+                          s.routers,
+                          s.routers_in_zone,
+                          s.parent_kind,
+                          s.origin_kind,
+                          s.server_weights,
+                          s.flow_kb_per_s,
+                          s.zone_link_kb_per_s,
+                          s.outcome_detail,
+                          s.cancellation_supported,
+                          s.retry_after,
+                          s.direct,
+                          s.joins,
+                          s.max_retry_after,
+                          s.max_attempts,
+                          s.purge_effective_within,
+                          s.purge_complete_within,
+                          s.slow_start_share,
+                          s.slow_start_duration,
+                          s.overload_multiple,
+                          s.overload_window,
+                          s.parent_slow_start_share,
+                          s.parent_slow_start_duration,
+                          s.parent_overload_multiple};
     };
-    const auto each = [](const winchflow::ClassSettings& c) {
-        return std::tuple{c.name,       c.aim,         c.aim_stretch, c.give_up, c.worth,
-                          c.late_worth, c.effect,      c.scope,       c.window,  c.max_age,
-                          c.grace,      c.stale_worth, c.segmented,   c.uncached};
+    const auto each = [](const silverrail::routing::ClassSettings& c) {
+        return std::tuple{
+            c.name,        c.latency_objective, c.objective_stretch, c.give_up, c.priority_weight,
+            c.late_weight, c.idempotency,       c.key_scope,         c.window,  c.max_age,
+            c.grace,       c.stale_weight,      c.segmented,         c.uncached};
     };
     CHECK(all(a) == all(b) && a.classes.size() == 2 && b.classes.size() == 2);
     for (std::size_t i = 0; i < 2; ++i)
         CHECK(each(a.classes[i]) == each(b.classes[i]));
-    CHECK(b.parent_kind == "parent" && b.gateways_in_zone == 2 && b.classes[1].uncached);
+    CHECK(b.parent_kind == "parent" && b.routers_in_zone == 2 && b.classes[1].uncached);
     CHECK(from_file.connect_timeout == 400ms && from_file.seed == 0x8c1f30d27a5be964);
     auto broken = *json;
     broken["settings"]["classes"][0]["aim"] = "soon";
@@ -458,30 +491,31 @@
     Bench b;
     b.engine.keep_copies({.bytes = 1 << 20, .link = {.flow_bytes_per_s = 1e6, .link_bytes_per_s = 1e6}});
     b.engine.told_of_purges(true);
-    const auto box_answers = [&](std::int64_t made_ms) {
-        b.sender.end(0, {.ending = Ending::good, .body = "bytes", .tag = "tag", .made_ms = made_ms});
+    const auto server_answers = [&](std::int64_t made_ms) {
+        b.sender.end(
+            0, {.attempt_status = AttemptStatus::success, .body = "bytes", .tag = "tag", .made_ms = made_ms});
     };
     const auto first = b.ask();
-    box_answers(b.clock.unix_ms());
+    server_answers(b.clock.unix_ms());
     const auto second = b.ask();
     CHECK(first->count == 1 && second->count == 1 && !b.id && b.sender.out.empty());
     CHECK(second->answer.kind == Answer::Kind::served && second->answer.body == "bytes");
     CHECK(second->answer.tag == "tag" && b.engine.counters().own_fresh == 1);
-    b.ask("pages", 2s, true);  // a client that goes to the box by itself gets a name
-    CHECK(b.engine.counters().referred == 1 && b.engine.counters().own_fresh == 1);
+    b.ask("pages", 2s, true);  // a client that goes to the server by itself gets a name
+    CHECK(b.engine.counters().redirected == 1 && b.engine.counters().own_fresh == 1);
 
-    b.clock.passed += 9s;  // past its fresh time: the box is asked, and the copy stands in for a refusal
+    b.clock.passed += 9s;  // past its fresh time: the server is asked, and the copy stands in for a refusal
     const auto third = b.ask();
     CHECK(third->count == 0 && b.sender.out.size() == 1);
     while (!b.sender.out.empty())
-        b.sender.end(0, {.ending = Ending::no_connection});
+        b.sender.end(0, {.attempt_status = AttemptStatus::connect_failed});
     CHECK(third->count == 1 && third->answer.kind == Answer::Kind::served);
     CHECK(b.engine.counters().own_stale == 1 && b.engine.counters().refused == 0);
 
     b.engine.told_of_purges(false);
     const auto fourth = b.ask();
     while (!b.sender.out.empty())
-        b.sender.end(0, {.ending = Ending::no_connection});
+        b.sender.end(0, {.attempt_status = AttemptStatus::connect_failed});
     CHECK(fourth->answer.kind == Answer::Kind::refused);
 
     b.engine.told_of_purges(true);
@@ -489,15 +523,15 @@
     const auto asked = b.ask();
     const auto before = b.clock.unix_ms();
     b.clock.passed += 5ms;
-    b.engine.apply(PurgeNotice{std::nullopt, winchflow::GroupId{17}, before + 1});
-    box_answers(before);  // on its way while the purge was told
+    b.engine.apply(PurgeNotice{std::nullopt, silverrail::routing::GroupId{17}, before + 1});
+    server_answers(before);  // on its way while the purge was told
     CHECK(asked->count == 1);
     const auto after = b.ask();
     CHECK(after->count == 0 && b.sender.out.size() == 1);
 }
 
-// An answer that was long on its way is older than a purge that is past already at the boxes: it goes to its
-// client, who asked before the purge was told, and to nobody else.
+// An answer that was long on its way is older than a purge that is past already at the servers: it goes to
+// its client, who asked before the purge was told, and to nobody else.
 void long_answers_and_purges() {
     struct Case {
         const char* name;
@@ -520,15 +554,17 @@
         const auto asked = b.ask("pages", c.wait);
         b.clock.passed += c.told;
         const auto issued = b.clock.unix_ms() - c.issued / 1ms;
-        b.engine.apply(PurgeNotice{winchflow::ObjectId{0x7f3a9c21e0b4d655}, {}, issued});
+        b.engine.apply(PurgeNotice{silverrail::routing::ObjectId{0x7f3a9c21e0b4d655}, {}, issued});
         b.clock.passed += c.answer - c.told;
-        b.sender.end(0, {.ending = Ending::good, .body = "old", .tag = "tag", .made_ms = issued - 1});
+        b.sender.end(
+            0,
+            {.attempt_status = AttemptStatus::success, .body = "old", .tag = "tag", .made_ms = issued - 1});
         CHECK(asked->answer.kind == Answer::Kind::served && asked->answer.body == "old");
         // Neither as a fresh copy nor in place of a refusal.
         const auto next = b.ask();
         CHECK(next->count == 0 && b.sender.out.size() == 1);
         while (!b.sender.out.empty())
-            b.sender.end(0, {.ending = Ending::no_connection});
+            b.sender.end(0, {.attempt_status = AttemptStatus::connect_failed});
         CHECK(next->answer.kind == Answer::Kind::refused);
     }
 }
@@ -539,38 +575,40 @@
     const auto bans = [](std::initializer_list<const char*> ids) {
         members::Bans of;
         for (const char* id : ids)
-            CHECK(of.add(CacheId{id}));
+            CHECK(of.add(ServerId{id}));
         return of;
     };
     const auto back_to_good = [&](const std::shared_ptr<Reply>& reply) {
         CHECK(b.sender.out.size() == 1);
-        b.sender.end(0, {.ending = Ending::good, .note = Note::hit, .body = "bytes"});
+        b.sender.end(
+            0, {.attempt_status = AttemptStatus::success, .cache_status = CacheStatus::hit, .body = "bytes"});
         CHECK(reply->count == 1 && reply->answer.kind == Answer::Kind::served);
     };
     const auto first = b.ask();
-    const CacheId home = b.sender.out.at(0).target;
+    const ServerId home = b.sender.out.at(0).target;
     const char* other = home.address == "s-a" ? "s-b" : "s-a";
-    // Between decision and first byte: turned back, a write too, and sent to the other box instead.
+    // Between decision and first byte: turned back, a write too, and sent to the other server instead.
     const auto write = b.ask("lodge");
     CHECK(b.sender.out.size() == 2 && b.sender.out[1].target == home);
     b.engine.set_bans(bans({home.address.c_str()}));
     CHECK(b.sender.forgotten == std::vector{home.address});
     for (int i = 0; i < 2; ++i) {
         CHECK(!b.sender.events->before_first_byte(b.sender.out.at(0).key));
-        b.sender.end(0, {.ending = Ending::not_sent});
+        b.sender.end(0, {.attempt_status = AttemptStatus::not_sent});
         CHECK(b.sender.out.back().target.address == other);
         CHECK(b.sender.events->before_first_byte(b.sender.out.back().key));
     }
     while (!b.sender.out.empty())
-        b.sender.end(0, {.ending = Ending::good, .note = Note::hit, .body = "b"});
+        b.sender.end(
+            0, {.attempt_status = AttemptStatus::success, .cache_status = CacheStatus::hit, .body = "b"});
     CHECK(first->answer.kind == Answer::Kind::served && write->answer.kind == Answer::Kind::served);
     CHECK(b.engine.counters().hosts_down == 1 && b.engine.counters().hosts_listed == 4);
     // The list drops it, lists it again, and lists it as just started: it stays out.
-    using winchflow::Condition;
+    using silverrail::routing::Condition;
     b.change({stand::listed(home.address, "127.0.0.1:1", "small-box", Condition::gone)});
     b.change({stand::listed(home.address, "127.0.0.1:1")});
     auto started = stand::listed(home.address, "127.0.0.1:1");
-    started.entry.up_since = b.clock.now();
+    started.entry.started_at = b.clock.now();
     b.change({started});
     auto asked = b.ask();
     CHECK(b.sender.out.at(0).target.address == other);
@@ -591,21 +629,21 @@
         at_home += order.target == home ? 1 : 0;
     CHECK(at_home > 0 && at_home < 19);
     while (!b.sender.out.empty())
-        b.sender.end(0, {.ending = Ending::cancelled});
+        b.sender.end(0, {.attempt_status = AttemptStatus::cancelled});
     // As a source: a fill that names it is turned back and finds another source.
     b.clock.passed += 30s;
     asked = b.ask();
-    CHECK(b.sender.out.size() == 1 && b.sender.out[0].source == CacheId{"s-parent"});
+    CHECK(b.sender.out.size() == 1 && b.sender.out[0].source == ServerId{"s-parent"});
     b.engine.set_bans(bans({"s-parent"}));
     CHECK(!b.sender.events->before_first_byte(b.sender.out[0].key));
-    b.sender.end(0, {.ending = Ending::not_sent});
-    CHECK(b.sender.out.size() == 1 && b.sender.out[0].source != CacheId{"s-parent"});
+    b.sender.end(0, {.attempt_status = AttemptStatus::not_sent});
+    CHECK(b.sender.out.size() == 1 && b.sender.out[0].source != ServerId{"s-parent"});
     back_to_good(asked);
     CHECK(b.engine.open() == 0);
 }
 
-// Zones by weight, and boxes held out on others' word: what the module is shown, and what is held back at the
-// first byte.
+// Zones by weight, and servers held out on others' word: what the module is shown, and what is held back at
+// the first byte.
 void steered() {
     Bench b;
     auto far = stand::listed("s-far", "127.0.0.1:5");
@@ -617,42 +655,44 @@
             Call call;
             call.class_name = "pages";
             call.object = std::to_string(i);
-            call.object_id = winchflow::ObjectId{7919 * i + 1};
+            call.object_id = silverrail::routing::ObjectId{7919 * i + 1};
             call.deadline = b.clock.now() + 2s;
             b.engine.take(std::move(call), std::make_shared<Reply>());
             if (b.sender.out.empty())
                 continue;  // refused: what is cold bears little
             ++out[b.sender.out.back().target.address];
-            b.sender.end(0, {.ending = Ending::good, .note = Note::hit, .body = "b"});
+            b.sender.end(
+                0, {.attempt_status = AttemptStatus::success, .cache_status = CacheStatus::hit, .body = "b"});
         }
         return out;
     };
     CHECK(!asked(60).contains("s-far") && b.engine.sent_away().empty());
-    // Half stays, half goes: one box there bears as much as two here.
+    // Half stays, half goes: one server there bears as much as two here.
     b.engine.steer({{"edge-1", 0.5}, {"edge-2", 1.0}});
     auto to = asked(400);
     CHECK(to["s-far"] > 150 && to["s-far"] < 250 && to["s-a"] > 60 && to["s-b"] > 60);
     CHECK(b.engine.sent_away().at("edge-2") == to["s-far"]);
     // All goes: what was on its way to the own zone is held back, and nothing new goes there.
     const auto on_its_way = b.ask();
-    const CacheId home = b.sender.out.at(0).target;
+    const ServerId home = b.sender.out.at(0).target;
     b.engine.steer({{"edge-1", 0.0}, {"edge-2", 1.0}});
     if (home.address != "s-far") {
         CHECK(!b.sender.events->before_first_byte(b.sender.out.at(0).key));
-        b.sender.end(0, {.ending = Ending::not_sent});
+        b.sender.end(0, {.attempt_status = AttemptStatus::not_sent});
     }
     CHECK(b.sender.out.at(0).target.address == "s-far");
-    b.sender.end(0, {.ending = Ending::good, .note = Note::hit, .body = "b"});
+    b.sender.end(0,
+                 {.attempt_status = AttemptStatus::success, .cache_status = CacheStatus::hit, .body = "b"});
     CHECK(on_its_way->answer.kind == Answer::Kind::served);
     CHECK(asked(50)["s-far"] == 50 && b.engine.counters().hosts_down == 2);
-    // Back: the own zone's boxes count as just started.
+    // Back: the own zone's servers count as just started.
     b.engine.steer({});
     CHECK(b.engine.counters().hosts_down == 0);
     to = asked(60);
     CHECK(!to.contains("s-far"));
     // Held out on others' word: as a ban, until they say otherwise; the list changes nothing of it.
     Bench c;
-    c.engine.hold_out({CacheId{"s-a"}});
+    c.engine.hold_out({ServerId{"s-a"}});
     c.change({stand::listed("s-a", "127.0.0.1:1")});
     CHECK(c.engine.counters().hosts_down == 1 && c.sender.forgotten == std::vector<std::string>{"s-a"});
     (void)c.ask();
@@ -667,7 +707,7 @@
     one_answer_by_the_deadline();
     admission();
     first_bytes();
-    boxes_by_id();
+    servers_by_id();
     clock_steps();
     clock_behind_from_the_start();
     referrals();
--- a/tests/silverrail/bulletin_test.cpp
+++ b/tests/silverrail/discovery_test.cpp
@@ -1,9 +1,8 @@
-// The watch on the list of boxes: what is lost, spoilt or silent there is asked for again, and never in a
+// The watch on the list of servers: what is lost, spoilt or silent there is asked for again, and never in a
 // loop.
-#include "net/bulletin.h"
-
 #include <optional>
 
+#include "net/discovery_watch.h"
 #include "stand.h"
 
 using namespace silverrail;
@@ -71,7 +70,7 @@
 
 struct Watch {
     Watch(asio::io_context& io, const tcp::endpoint& at)
-        : bulletin(
+        : discovery(
               io, at, 1,
               [this](std::int64_t no, std::string_view data) {
                   if (data == "spoilt")
@@ -80,13 +79,13 @@
                   return true;
               },
               log, 7) {
-        bulletin.when_sure([this](bool now) { sure = now; });
-        bulletin.start();
+        discovery.when_sure([this](bool now) { sure = now; });
+        discovery.start();
     }
     Log log;
     std::vector<std::int64_t> taken;
     bool sure = false;
-    net::Bulletin bulletin;
+    net::DiscoveryWatch discovery;
 };
 
 // Until the n-th watcher has asked.
@@ -164,12 +163,12 @@
         run_until(io, [&] { return watch.taken.size() == c.taken.size(); });
         CHECK(watch.taken == c.taken);
         // The next event comes on the same connection: nothing is asked for a third time.
-        const auto next = watch.bulletin.last() + 1;
+        const auto next = watch.discovery.last() + 1;
         feed.watchers.back()->say(event(static_cast<int>(next), "more"));
-        run_until(io, [&] { return watch.bulletin.last() == next; });
-        CHECK(watch.bulletin.counters().connects == c.connects && feed.open() == 1);
-        CHECK(watch.bulletin.counters().unreadable == c.unreadable &&
-              watch.bulletin.counters().gaps == c.gaps);
+        run_until(io, [&] { return watch.discovery.last() == next; });
+        CHECK(watch.discovery.counters().connects == c.connects && feed.open() == 1);
+        CHECK(watch.discovery.counters().unreadable == c.unreadable &&
+              watch.discovery.counters().gaps == c.gaps);
     }
 }
 
@@ -183,7 +182,7 @@
     first.say(kHead + event(2, "a") + "data: ");
     const Pulse dribble{io, first, "x"};
     auto& second = asked(io, feed, 2);
-    CHECK(std::chrono::steady_clock::now() - begin < net::Bulletin::kSilence + 1500ms);
+    CHECK(std::chrono::steady_clock::now() - begin < net::DiscoveryWatch::kSilence + 1500ms);
     CHECK(second.after == "2" && !watch.sure);
     second.say(kHead + event(3, "b"));
     run_until(io, [&] { return watch.taken.size() == 2; });
@@ -220,18 +219,18 @@
             run_until(io, [&] { return watch.taken.size() == 1; });
             if (when != When::live) {
                 first.socket.close();
-                run_until(io, [&] { return !watch.bulletin.connected(); });
+                run_until(io, [&] { return !watch.discovery.connected(); });
             }
         }
         asio::steady_timer first_of_two{io};
         if (when == When::at_the_pauses_end) {
             // The pause is over and its handler stands behind the move's: both would connect.
             first_of_two.expires_at(std::chrono::steady_clock::now() - 1s);
-            first_of_two.async_wait([&](const net::error_code&) { watch.bulletin.move_to(to.at()); });
+            first_of_two.async_wait([&](const net::error_code&) { watch.discovery.move_to(to.at()); });
             const auto over = std::chrono::steady_clock::now() + 60ms;  // the first pause is 50 ms at most
             while (std::chrono::steady_clock::now() <= over) {}
         } else {
-            watch.bulletin.move_to(to.at());
+            watch.discovery.move_to(to.at());
         }
         auto& moved = asked(io, to, 1);
         CHECK(moved.after == (when == When::connecting ? "1" : "2"));
--- a/tests/silverrail/dns_test.cpp
+++ b/tests/silverrail/dns_test.cpp
@@ -1,5 +1,5 @@
-// The DNS front on real sockets, with stand-in resolvers, clients and boxes. The clock is the test's own, so
-// the seconds of a drain pass without waiting and every verdict is the same each time.
+// The DNS front on real sockets, with stand-in resolvers, clients and servers. The clock is the test's own,
+// so the seconds of a drain pass without waiting and every verdict is the same each time.
 #include <cmath>
 #include <functional>
 #include <set>
@@ -13,7 +13,7 @@
 using namespace silverrail::stand;
 using namespace silverrail::front::dns;
 using namespace std::string_literals;
-using winchflow::Condition;
+using silverrail::routing::Condition;
 
 namespace {
 
@@ -42,7 +42,7 @@
         CHECK(!"an attempt was sent");
     }
     void cancel(const core::AttemptKey&) override {}
-    void forget(const core::CacheId&) override {}
+    void forget(const core::ServerId&) override {}
 };
 
 ZoneSettings zone() {
@@ -62,12 +62,12 @@
         server.listen_udp({net::asio::ip::make_address("127.0.0.1"), 0});
         server.listen_tcp(loopback());
     }
-    void list(std::vector<core::Box> boxes, bool complete = true) {
+    void list(std::vector<core::Server> servers, bool complete = true) {
         if (complete) {
-            boxes.push_back(listed("s-parent", "127.0.0.1:9", "parent"));
-            boxes.push_back(listed("s-origin", "127.0.0.1:9", "origin"));
+            servers.push_back(listed("s-parent", "127.0.0.1:9", "parent"));
+            servers.push_back(listed("s-origin", "127.0.0.1:9", "origin"));
         }
-        engine.apply(core::BoxChange{complete, std::move(boxes)});
+        engine.apply(core::ServerChange{complete, std::move(servers)});
     }
     HandClock clock;
     NoTimers timers;
@@ -238,24 +238,24 @@
     net::asio::io_context io;
     Node node{io};
     Udp udp{io, node.server.udp_local()};
-    // No box at all: the module refuses, at once.
+    // No server at all: the module refuses, at once.
     node.list({listed("s-a", "127.0.1.1:80")});
     node.list({listed("s-a", "127.0.1.1:80", "small-box", Condition::draining),
                listed("s-b", "127.0.1.2:80", "small-box", Condition::gone)},
               false);
     node.list({listed("s-c", "127.0.1.3:80")}, false);
     CHECK(udp.ask(query(name_of(1))).address == "127.0.1.3");
-    // A cold box is never named: one answer brings more requests than a budget counts.
+    // A cold server is never named: one answer brings more requests than a budget counts.
     auto cold = listed("s-c", "127.0.1.3:80");
     cold.started_ms = node.clock.unix_ms();
-    cold.entry.up_since = node.clock.now();
+    cold.entry.started_at = node.clock.now();
     node.list({cold}, false);
     Reply r = udp.ask(query(name_of(1)));
     CHECK(r.rcode == 2 && r.extended == 14);
     node.clock.passed += 15s;
     CHECK(udp.ask(query(name_of(1))).rcode == 0);
     // A purge needs the age bound, which no name carries: refused, until all older copies are gone.
-    node.engine.apply(core::PurgeNotice{{}, winchflow::GroupId{17}, node.clock.unix_ms()});
+    node.engine.apply(core::PurgeNotice{{}, silverrail::routing::GroupId{17}, node.clock.unix_ms()});
     r = udp.ask(query(name_of(1)));
     CHECK(r.rcode == 2 && r.extended == 14);
     CHECK(udp.ask(query(kObject + ".pages.route.example")).rcode == 2);  // may be of any group
@@ -275,7 +275,7 @@
     CHECK(r.rcode == 2 && r.extended == 23);
 }
 
-// An answer that waited for its connection is not sent once it is too old to name its box.
+// An answer that waited for its connection is not sent once it is too old to name its server.
 void old_answers_stay_here() {
     net::asio::io_context io;
     HandClock clock;
@@ -334,22 +334,22 @@
 
 struct Hits {
     int all = 0;
-    int drained = 0;     // on a box, later than 2 s after it was said to drain
-    int cold = 0;        // on a box that has just started
+    int drained = 0;     // on a server, later than 2 s after it was said to drain
+    int cold = 0;        // on a server that has just started
     int cold_named = 0;  // of those, by an answer given after its start was told
     int unresolved = 0;
 };
 
-// Three boxes; one drains, another starts anew. Clients come through one resolver, at ten requests a second
-// of the test's clock, each with a real connection to the box that it was named.
+// Three servers; one drains, another starts anew. Clients come through one resolver, at ten requests a second
+// of the test's clock, each with a real connection to the server that it was named.
 Hits month_end(core::Span overstay) {
     net::asio::io_context io;
     Node node{io};
-    std::vector<std::unique_ptr<Box>> boxes;
-    std::vector<core::Box> entries;
+    std::vector<std::unique_ptr<Server>> servers;
+    std::vector<core::Server> entries;
     for (int i = 1; i <= 3; ++i) {
-        boxes.push_back(std::make_unique<Box>(io, ("127.0.1." + std::to_string(i)).c_str()));
-        entries.push_back(listed("s-" + std::to_string(i), boxes.back()->address()));
+        servers.push_back(std::make_unique<Server>(io, ("127.0.1." + std::to_string(i)).c_str()));
+        entries.push_back(listed("s-" + std::to_string(i), servers.back()->address()));
     }
     node.list(entries);
     Udp udp{io, node.server.udp_local()};
@@ -365,7 +365,7 @@
             node.list({entries[0]}, false);
         }
         if (now == starts) {
-            entries[1].entry.up_since = now;
+            entries[1].entry.started_at = now;
             entries[1].started_ms = node.clock.unix_ms();
             node.list({entries[1]}, false);
         }
@@ -374,20 +374,21 @@
             ++hits.unresolved;
             continue;
         }
-        // The client goes where it was sent; the box counts.
-        std::size_t box = 0;
-        while (box < 3 && !boxes[box]->address().starts_with(address + ":"))
-            ++box;
-        CHECK(box < 3);
-        const std::size_t before = boxes[box]->seen.size();
+        // The client goes where it was sent; the server counts.
+        std::size_t server = 0;
+        while (server < 3 && !servers[server]->address().starts_with(address + ":"))
+            ++server;
+        CHECK(server < 3);
+        const std::size_t before = servers[server]->seen.size();
         Client client{
-            io, {net::asio::ip::make_address(address), config::parse_endpoint(boxes[box]->address())->port}};
+            io,
+            {net::asio::ip::make_address(address), config::parse_endpoint(servers[server]->address())->port}};
         client.send(Request{net::http::verb::get, "/obj/pages/" + kObject + "/0", 11});
         run_until(io, [&] { return client.done; });
-        CHECK(client.status() == 200 && boxes[box]->seen.size() == before + 1);
+        CHECK(client.status() == 200 && servers[server]->seen.size() == before + 1);
         ++hits.all;
-        hits.drained += box == 0 && now > drains + 2s;
-        const bool cold = box == 1 && now >= starts;
+        hits.drained += server == 0 && now > drains + 2s;
+        const bool cold = server == 1 && now >= starts;
         hits.cold += cold;
         hits.cold_named += cold && resolver.asked_at >= starts;
     }
--- a/tests/silverrail/endings_test.cpp
+++ b/tests/silverrail/endings_test.cpp
@@ -7,7 +7,7 @@
 using namespace silverrail;
 using namespace silverrail::stand;
 namespace asio = net::asio;
-using winchflow::Condition;
+using silverrail::routing::Condition;
 
 namespace {
 
@@ -20,10 +20,10 @@
     return out.str();
 }
 
-// A box whose connections come up when the test says so: its backlog is full until then.
-class HeldBox {
+// A server whose connections come up when the test says so: its backlog is full until then.
+class HeldServer {
 public:
-    explicit HeldBox(asio::io_context& io) : acceptor_(io), filler_(io) {
+    explicit HeldServer(asio::io_context& io) : acceptor_(io), filler_(io) {
         acceptor_.open(tcp::v4());
         acceptor_.bind(loopback());
         acceptor_.listen(0);
@@ -95,7 +95,7 @@
 }
 
 // What was waited for comes about, and whatever had been waiting for it would be heard before this.
-void nothing_but_a_mark(asio::io_context& io, HeldBox& held) {
+void nothing_but_a_mark(asio::io_context& io, HeldServer& held) {
     held.open();
     tcp::socket mark{io};
     mark.connect(held.endpoint());
@@ -108,27 +108,27 @@
 void who_left_waiting_for_a_socket() {
     for (const Way way : kWays) {
         asio::io_context io;
-        Box box{io};
+        Server server{io};
         auto limits = patient();
         limits.sockets = 1;
         Router router{io, {}, 1000, limits};
-        box.act = Box::Act::stay_silent;
-        router.list_with_sources({listed("s-a", box.address())});
-        Client holds{io, router.server.local()};  // the only socket to boxes
+        server.act = Server::Act::stay_silent;
+        router.list_with_sources({listed("s-a", server.address())});
+        Client holds{io, router.server.local()};  // the only socket to servers
         holds.send(ask("pages", kObject));
-        run_until(io, [&] { return box.seen.size() == 1; });
+        run_until(io, [&] { return server.seen.size() == 1; });
         RawClient leaves{io, router.server.local(), text_of(ask("pages", "00000000000000aa"))};
         run_until(io, [&] { return router.engine.open() == 2; });
         go(io, router, leaves, way);
-        box.act = Box::Act::answer;
+        server.act = Server::Act::answer;
         holds.leave();
         run_until(io, [&] { return router.engine.open() == 0; });
         // The socket is free; the next who asks gets it.
         Client next{io, router.server.local()};
         next.send(ask("pages", "00000000000000bb"));
         run_until(io, [&] { return next.done; });
-        CHECK(box.seen.size() == 2);
-        CHECK(box.seen[1].request.target().find("bb") != net::beast::string_view::npos);
+        CHECK(server.seen.size() == 2);
+        CHECK(server.seen[1].request.target().find("bb") != net::beast::string_view::npos);
     }
 }
 
@@ -137,34 +137,34 @@
     for (const bool retry : {false, true})
         for (const Way way : kWays) {
             asio::io_context io;
-            Box box{io};
-            HeldBox held{io};
+            Server server{io};
+            HeldServer held{io};
             Router router{io, {}, 1000, patient()};
-            box.act = Box::Act::stay_silent;
-            router.list_with_sources({listed("s-a", retry ? box.address() : held.address())});
+            server.act = Server::Act::stay_silent;
+            router.list_with_sources({listed("s-a", retry ? server.address() : held.address())});
             RawClient leaves{io, router.server.local(), text_of(ask("pages", kObject))};
             run_until(io, [&] { return router.engine.counters().sent == 1; });
             if (retry) {
-                run_until(io, [&] { return box.seen.size() == 1; });
+                run_until(io, [&] { return server.seen.size() == 1; });
                 router.list({listed("s-b", held.address())}, false);
-                box.reset_all();
+                server.reset_all();
                 run_until(io, [&] { return router.engine.counters().sent == 2; });
             }
             go(io, router, leaves, way);
             nothing_but_a_mark(io, held);
-            CHECK(router.engine.open() == 0 && box.seen.size() == (retry ? 1 : 0));
+            CHECK(router.engine.open() == 0 && server.seen.size() == (retry ? 1 : 0));
         }
 }
 
-// ... and for the time at which another box would be asked.
+// ... and for the time at which another server would be asked.
 void who_left_before_a_second_copy() {
     std::optional<core::Span> usual;  // until that, for one who stays
     for (const std::optional<Way> way :
          {std::optional<Way>{}, std::optional{kWays[0]}, std::optional{kWays[1]}, std::optional{kWays[2]},
           std::optional{kWays[3]}}) {
         asio::io_context io;
-        Box one{io}, other{io};
-        one.act = other.act = Box::Act::stay_silent;
+        Server one{io}, other{io};
+        one.act = other.act = Server::Act::stay_silent;
         Router router{io};
         router.list_with_sources({listed("s-a", one.address()), listed("s-b", other.address())});
         const auto begin = router.clock.now();
@@ -188,22 +188,22 @@
 void late_connections_keep_the_rules() {
     for (const bool keyed : {true, false}) {
         asio::io_context io;
-        Box box{io};
-        HeldBox held{io};
+        Server server{io};
+        HeldServer held{io};
         Router router{io, {}, 1000, patient()};
-        box.act = Box::Act::stay_silent;
-        const auto first = listed("s-a", keyed ? box.address() : held.address());
-        const auto second = listed("s-b", keyed ? held.address() : box.address());
+        server.act = Server::Act::stay_silent;
+        const auto first = listed("s-a", keyed ? server.address() : held.address());
+        const auto second = listed("s-b", keyed ? held.address() : server.address());
         router.list_with_sources({first});
         Client client{io, router.server.local()};
         const auto begin = router.clock.now();
-        // Neither is given up for another box meanwhile, as one that may be repeated would be.
+        // Neither is given up for another server meanwhile, as one that may be repeated would be.
         client.send(ask(keyed ? "order" : "lodge", kObject));
         if (keyed) {
             // It may have run; its repeat waits for a connection until the window of 900 ms is over.
-            run_until(io, [&] { return box.seen.size() == 1; });
+            run_until(io, [&] { return server.seen.size() == 1; });
             router.list({second}, false);
-            box.reset_all();
+            server.reset_all();
             run_until(io, [&] { return router.engine.counters().sent == 2; });
             run_until(io, [&] { return router.clock.now() >= begin + 900ms; });
             held.open();
@@ -216,10 +216,10 @@
             auto drains = first;
             drains.entry.condition = Condition::draining;
             router.list({second, drains}, false);
-            box.act = Box::Act::answer;
+            server.act = Server::Act::answer;
             held.open();
             run_until(io, [&] { return client.done; });
-            CHECK(client.status() == 200 && box.seen.size() == 1 && held.heard.empty());
+            CHECK(client.status() == 200 && server.seen.size() == 1 && held.heard.empty());
         }
     }
 }
@@ -249,12 +249,12 @@
     acceptor.set_option(asio::socket_base::receive_buffer_size(2048));
     acceptor.bind(loopback());
     acceptor.listen();
-    std::vector<std::unique_ptr<tcp::socket>> boxes;
+    std::vector<std::unique_ptr<tcp::socket>> servers;
     std::function<void()> accept = [&] {
         acceptor.async_accept([&](const net::error_code& error, tcp::socket socket) {
             if (error)
                 return;
-            boxes.push_back(std::make_unique<tcp::socket>(std::move(socket)));
+            servers.push_back(std::make_unique<tcp::socket>(std::move(socket)));
             accept();
         });
     };
@@ -268,10 +268,10 @@
     // Its connection has been asked for and is not written to yet: from here on it takes little at once.
     run_until(io, [&] { return router.engine.counters().sent == 1; });
     CHECK(narrow(acceptor.local_endpoint()) == 1);
-    run_until(io, [&] { return boxes.size() == 1 && boxes[0]->available() > 0; });
+    run_until(io, [&] { return servers.size() == 1 && servers[0]->available() > 0; });
     CHECK(router.engine.counters().backend_calls == 0);
     const std::string answer = "HTTP/1.1 500 Early\r\nContent-Length: 0\r\n\r\n";
-    asio::write(*boxes[0], asio::buffer(answer));
+    asio::write(*servers[0], asio::buffer(answer));
     run_until(io, [&] { return client.done; });
     CHECK(client.status() == 502 && router.upstream.sockets() == 0);
 }
@@ -280,31 +280,31 @@
 // it is used again.
 void second_answers_are_nobodys() {
     asio::io_context io;
-    Box box{io};
+    Server server{io};
     Router router{io};
-    router.list_with_sources({listed("s-a", box.address())});
+    router.list_with_sources({listed("s-a", server.address())});
     Client client{io, router.server.local()};
     client.send(ask("pages", kObject));
     run_until(io, [&] { return client.done; });
     client.send(ask("pages", "00000000000000aa"));
-    run_until(io, [&] { return box.seen.size() == 2; });
-    CHECK(box.seen[0].connection != box.seen[1].connection);
+    run_until(io, [&] { return server.seen.size() == 2; });
+    CHECK(server.seen[0].connection != server.seen[1].connection);
     run_until(io, [&] { return client.done; });
     // Rested, it is used.
     rest(io, router);
     client.send(ask("pages", "00000000000000bb"));
     run_until(io, [&] { return client.done; });
-    CHECK(box.connections == 2 && box.seen.size() == 3 && client.status() == 200);
+    CHECK(server.connections == 2 && server.seen.size() == 3 && client.status() == 200);
 }
 
 // The limit's handler runs while the whole request lies in the socket: it is answered.
 void a_request_in_the_last_instant() {
     asio::io_context io;
-    Box box{io};
+    Server server{io};
     net::HttpLimits limits;
     limits.first_request = 100ms;
     Router router{io, limits};
-    router.list_with_sources({listed("s-a", box.address())});
+    router.list_with_sources({listed("s-a", server.address())});
     RawClient client{io, router.server.local()};
     run_until(io, [&] { return router.server.connections() == 1; });
     const auto due = std::chrono::steady_clock::now() + 100ms;
@@ -338,12 +338,12 @@
 void early_bytes_wait_for_their_turn() {
     for (const bool resets : {false, true}) {
         asio::io_context io;
-        Box box{io};
+        Server server{io};
         Router router{io};
-        router.list_with_sources({listed("s-a", box.address())});
-        box.act = Box::Act::stay_silent;
+        router.list_with_sources({listed("s-a", server.address())});
+        server.act = Server::Act::stay_silent;
         RawClient client{io, router.server.local(), text_of(ask("pages", kObject))};
-        run_until(io, [&] { return box.seen.size() == 1; });
+        run_until(io, [&] { return server.seen.size() == 1; });
         // Past what is read early: it is bounded, and its end is seen behind it all the same.
         const std::size_t most = net::HttpLimits{}.early;
         client.say(std::string(most + 1, 'x'));
@@ -354,15 +354,15 @@
         else
             client.half_close();
         const auto left = std::chrono::steady_clock::now();
-        run_until(io, [&] { return box.closed == 1; });
+        run_until(io, [&] { return server.closed == 1; });
         CHECK(std::chrono::steady_clock::now() - left < 100ms);
         CHECK(router.engine.open() == 0 && router.engine.counters().abandoned == 1);
     }
     // Requests that were sent along with another, longer than what is read early: each has its answer.
     asio::io_context io;
-    Box box{io};
+    Server server{io};
     Router router{io};
-    router.list_with_sources({listed("s-a", box.address())});
+    router.list_with_sources({listed("s-a", server.address())});
     Request large = ask("lodge", kObject);
     large.body() = std::string(40'000, 'w');
     RawClient client{
@@ -376,7 +376,7 @@
         return count;
     };
     run_until(io, [&] { return answers() == 3; });
-    CHECK(box.seen.size() == 3 && box.seen[1].request.body() == large.body());
+    CHECK(server.seen.size() == 3 && server.seen[1].request.body() == large.body());
 }
 
 // Asks as a client that takes little of an answer at once.
@@ -394,14 +394,14 @@
 // further answer and has asked gets it.
 void the_end_owes_nothing() {
     asio::io_context io;
-    Box box{io};
+    Server server{io};
     Router router{io};
-    router.list_with_sources({listed("s-a", box.address())});
+    router.list_with_sources({listed("s-a", server.address())});
     RawClient rests{io, router.server.local(), text_of(ask("pages", kObject))};
     run_until(io, [&] { return rests.heard.find("bytes of the object") != std::string::npos; });
     const std::size_t answer = rests.heard.size();
     // Does not read its answer yet, so the router is still writing when it is told to end.
-    box.response = Box::hit(std::string(240'000, 'b'));
+    server.response = Server::hit(std::string(240'000, 'b'));
     tcp::socket reader{io};
     ask_narrowly(io, router, reader, ask("pages", "00000000000000aa"));
     CHECK(router.server.connections() == 2);
@@ -430,7 +430,7 @@
     const auto second = heard.find("HTTP/1.1 200", 8);
     CHECK(second != std::string::npos && heard.find("Connection: close", second) != std::string::npos);
     CHECK(heard.size() > 480'000);
-    for (const auto& seen : box.seen)
+    for (const auto& seen : server.seen)
         CHECK(seen.request.target().find("bb") == net::beast::string_view::npos);
     run_until(io, [&] { return router.server.connections() == 0; });
 }
@@ -438,12 +438,12 @@
 // A reader that is slow but moves gets its whole answer; one that has stopped is let go.
 void slow_readers() {
     asio::io_context io;
-    Box box{io};
-    box.response = Box::hit(std::string(240'000, 'b'));
+    Server server{io};
+    server.response = Server::hit(std::string(240'000, 'b'));
     net::HttpLimits limits;
     limits.write = 400ms;
     Router router{io, limits};
-    router.list_with_sources({listed("s-a", box.address())});
+    router.list_with_sources({listed("s-a", server.address())});
     tcp::socket moves{io}, stopped{io};
     ask_narrowly(io, router, moves, ask("pages", kObject));
     ask_narrowly(io, router, stopped, ask("pages", kObject));
@@ -476,29 +476,29 @@
     for (const std::size_t length : {std::size_t{9}, std::size_t{40'000}})
         for (const bool retires_first : {false, true}) {
             asio::io_context io;
-            Box box{io};
+            Server server{io};
             Router router{io};
-            router.list_with_sources({listed("s-a", box.address())});
-            box.act = Box::Act::stay_silent;
+            router.list_with_sources({listed("s-a", server.address())});
+            server.act = Server::Act::stay_silent;
             Request behind = ask("lodge", kObject);
             behind.body() = std::string(length, 'w');
             RawClient client{
                 io, router.server.local(),
                 text_of(ask("pages", kObject)) + text_of(behind) + text_of(ask("pages", "00000000000000aa"))};
-            run_until(io, [&] { return box.seen.size() == 1; });
+            run_until(io, [&] { return server.seen.size() == 1; });
             run_until(io, [&] { return io.poll() == 0; });
             if (retires_first)
                 router.server.retire();
             router.server.stop();
-            box.act = Box::Act::answer;
-            box.reset_all();  // the first one's attempt ends, and the next is answered
+            server.act = Server::Act::answer;
+            server.reset_all();  // the first one's attempt ends, and the next is answered
             run_until(io, [&] { return client.ended; });
             std::size_t answers = 0;
             for (auto at = client.heard.find("HTTP/1.1 "); at != std::string::npos;
                  at = client.heard.find("HTTP/1.1 ", at + 1))
                 ++answers;
             CHECK(answers == 3 && client.clean);
-            CHECK(box.seen.back().request.target().find("aa") != net::beast::string_view::npos);
+            CHECK(server.seen.back().request.target().find("aa") != net::beast::string_view::npos);
             run_until(io, [&] { return router.server.done(); });
         }
 }
--- a/tests/silverrail/faults_test.cpp
+++ b/tests/silverrail/faults_test.cpp
@@ -58,8 +58,8 @@
     }
 
     asio::io_context io;
-    Bulletin discovery{io};
-    Box server{io};
+    DiscoveryWatch discovery{io};
+    Server server{io};
     lab::FaultFile faults;
     Program program;
 };
@@ -67,7 +67,7 @@
 // The system takes a third of what it is given, as it may: answers, requests and writes go out all the same.
 void short_writes() {
     World world;
-    world.server.response = Box::hit(std::string(120'000, 'x'));
+    world.server.response = Server::hit(std::string(120'000, 'x'));
     for (int calls = 1; calls <= 6; ++calls) {
         world.faults.fail_next(Fault::write_short, static_cast<std::uint32_t>(calls));
         CHECK(world.status_within(ask("pages", kObject, 1500), 2000ms) == 200);
@@ -93,7 +93,7 @@
 // same.
 void reload_fails_for_a_moment() {
     World world;
-    Bulletin moved{world.io};
+    DiscoveryWatch moved{world.io};
     world.program.configure(moved.address(), "1");
     world.faults.fail_next(Fault::file_open, 3);
     world.faults.fail_next(Fault::file_read, 2);
@@ -108,8 +108,8 @@
 // No socket, buffer or file for the first moments: it starts once there is.
 void start_fails_for_a_moment() {
     asio::io_context io;
-    Bulletin discovery{io};
-    Box server{io};
+    DiscoveryWatch discovery{io};
+    Server server{io};
     lab::FaultFile faults{
         (std::filesystem::temp_directory_path() / ("silverrail-faults-" + std::to_string(::getpid())))
             .string()};
@@ -262,7 +262,7 @@
 void deadline_of_a_pipelined_request() {
     for (const std::size_t length : {std::size_t{9}, std::size_t{40'000}}) {
         World world;
-        world.server.act = Box::Act::stay_silent;
+        world.server.act = Server::Act::stay_silent;
         const Request first = ask("lodge", kObject, 500);
         Request second = ask("lodge", "00000000000000aa", 1000);
         second.body() = std::string(length, 'w');
--- a/tests/silverrail/parsers_test.cpp
+++ b/tests/silverrail/parsers_test.cpp
@@ -48,7 +48,7 @@
     CHECK(!bounded.feed(std::string(100, 'x'), [](const auto&) {}));
 }
 
-void bulletin() {
+void discovery() {
     struct Case {
         const char* json;
         bool good;
@@ -75,9 +75,9 @@
 
     const auto event = config::parse_event(*config::parse_json(
         R"({"roster":{"servers":[{"id":"a","addr":"h:1","state":"leaving","started_ms":1000}]}})"));
-    const auto& box = std::get<core::BoxChange>(event->what).boxes.at(0);
-    CHECK(box.started_ms == 1000 && !box.entry.up_since);
-    CHECK(box.entry.condition == winchflow::Condition::draining);
+    const auto& server = std::get<core::ServerChange>(event->what).servers.at(0);
+    CHECK(server.started_ms == 1000 && !server.entry.started_at);
+    CHECK(server.entry.condition == silverrail::routing::Condition::draining);
 }
 
 void calls() {
@@ -141,25 +141,25 @@
     }
 }
 
-void box_answers() {
-    using core::Ending;
+void server_answers() {
+    using core::AttemptStatus;
     struct Case {
         unsigned status;
         const char* never_ran;
         const char* detail;
-        Ending ending;
-        core::Note note;
+        AttemptStatus attempt_status;
+        core::CacheStatus cache_status;
     };
     const Case cases[] = {
-        {200, "", "hit", Ending::good, core::Note::hit},
-        {304, "", "stale", Ending::good, core::Note::stale},
-        {404, "", "src_lacks", Ending::miss, core::Note::source_lacks},
-        {503, "1", "no_slot", Ending::full, core::Note::no_fill_place},
-        {503, "", "", Ending::error, core::Note::none},  // nothing says that it never ran
-        {504, "1", "", Ending::not_sent, core::Note::none},
-        {504, "", "", Ending::error, core::Note::none},
-        {500, "", "origin_failed", Ending::error, core::Note::origin_failed},
-        {418, "", "what", Ending::error, core::Note::none},
+        {200, "", "hit", AttemptStatus::success, core::CacheStatus::hit},
+        {304, "", "stale", AttemptStatus::success, core::CacheStatus::stale},
+        {404, "", "src_lacks", AttemptStatus::miss, core::CacheStatus::source_missing},
+        {503, "1", "no_slot", AttemptStatus::overloaded, core::CacheStatus::no_fill_slot},
+        {503, "", "", AttemptStatus::error, core::CacheStatus::none},  // nothing says that it never ran
+        {504, "1", "", AttemptStatus::not_sent, core::CacheStatus::none},
+        {504, "", "", AttemptStatus::error, core::CacheStatus::none},
+        {500, "", "origin_failed", AttemptStatus::error, core::CacheStatus::origin_failed},
+        {418, "", "what", AttemptStatus::error, core::CacheStatus::none},
     };
     for (const Case& c : cases) {
         net::http::response<net::http::string_body> r{net::http::int_to_status(c.status), 11};
@@ -167,8 +167,8 @@
         if (*c.never_ran)
             r.set("Not-Begun", c.never_ran);
         r.set("Detail", c.detail);
-        const auto end = net::box_answer(std::move(r));
-        CHECK(end.ending == c.ending && end.note == c.note);
+        const auto end = net::server_answer(std::move(r));
+        CHECK(end.attempt_status == c.attempt_status && end.cache_status == c.cache_status);
     }
     const auto load = net::load_of("inflight:7;util:0.61;x1:oops;;x0:0.4");
     CHECK(load.in_flight == 7 && load.utilisation == 0.61 && load.hit_share == 0.4 && !load.link_fullness);
@@ -397,9 +397,9 @@
 int main() {
     backoff();
     sse();
-    bulletin();
+    discovery();
     calls();
-    box_answers();
+    server_answers();
     dns_queries();
     dns_names();
     operator_files();
--- a/tests/silverrail/program.h
+++ b/tests/silverrail/program.h
@@ -1,4 +1,4 @@
-// The program itself as a process of its own, with the files it reads, and the bulletin it follows.
+// The program itself as a process of its own, with the files it reads, and discovery it follows.
 #pragma once
 
 #include <fcntl.h>
@@ -20,10 +20,10 @@
 namespace asio = net::asio;
 namespace http = net::http;
 
-// A bulletin that says what it is told to, and can be cut off.
-class Bulletin {
+// A discovery that says what it is told to, and can be cut off.
+class DiscoveryWatch {
 public:
-    explicit Bulletin(asio::io_context& io) : acceptor_(io, loopback()) {
+    explicit DiscoveryWatch(asio::io_context& io) : acceptor_(io, loopback()) {
         accept();
     }
     std::string address() const {
@@ -76,8 +76,8 @@
     Request request_;
 };
 
-inline std::string box_json(const std::string& id, const std::string& address, const char* kind,
-                            const char* state) {
+inline std::string server_json(const std::string& id, const std::string& address, const char* kind,
+                               const char* state) {
     return R"({"id":")" + id + R"(","addr":")" + address + R"(","zone":")" +
            (std::string_view{kind} == "small-box" ? "edge-1" : "north") + R"(","kind":")" + kind +
            R"(","cell":1,"state":")" + state + R"(","weight":10,"started_ms":0})";
@@ -91,15 +91,15 @@
 
 class Program {
 public:
-    Program(const std::string& bulletin, const std::string& box) : Program(bulletin, box, "") {}
+    Program(const std::string& discovery, const std::string& server) : Program(discovery, server, "") {}
     // With `faults` its system calls fail by that file's word.
-    Program(const std::string& bulletin, const std::string& box, const std::string& control,
+    Program(const std::string& discovery, const std::string& server, const std::string& control,
             const lab::FaultFile* faults = nullptr)
-        : at(free_endpoint()), box_(box), faults_(faults) {
+        : at(free_endpoint()), server_(server), faults_(faults) {
         folder_ = std::filesystem::temp_directory_path() / ("silverrail-run-" + std::to_string(::getpid()));
         std::filesystem::create_directory(folder_);
         file_ = folder_ / "config.json";
-        configure(bulletin, "1");
+        configure(discovery, "1");
         settings(R"({"trace":{"folder":")" + folder_.string() + R"(","flight_mb":2}})");
         pid_ = start(control);
     }
@@ -124,15 +124,15 @@
         }
         return pid;
     }
-    void configure(const std::string& bulletin, const std::string& seed) {
+    void configure(const std::string& discovery, const std::string& seed) {
         std::ofstream{file_}
             << R"({"name":"n0","listen":")" << text_of(at) << R"(","seed":")" << seed << R"(","bulletin":")"
-            << bulletin
+            << discovery
             << R"(","limits":{"sockets":256,"memory_mb":64},"flow_bytes_per_s":1e6,"link_bytes_per_s":4e6)"
             << R"(,"known":{"no":1,"items":[{"no":1,"roster":{"full":true,"servers":[)"
-            << box_json("s-a", box_, "small-box", "active") << ","
-            << box_json("s-p", "127.0.0.1:9", "parent", "active") << ","
-            << box_json("s-o", "127.0.0.1:9", "origin", "active") << R"(]}}]},"settings":{
+            << server_json("s-a", server_, "small-box", "active") << ","
+            << server_json("s-p", "127.0.0.1:9", "parent", "active") << ","
+            << server_json("s-o", "127.0.0.1:9", "origin", "active") << R"(]}}]},"settings":{
             "allowed":{"cancel":true,"connect-timeout":400000000,"conn-idle":15000000000,"retry-after":true,
             "max-retry-after":500000000,"try-limit":6},"classes":[{"name":"pages","aim":250000000,
             "give-up":5000000000,"effect":"pure"},
@@ -205,7 +205,7 @@
     tcp::endpoint at;
 
 private:
-    std::string box_;
+    std::string server_;
     const lab::FaultFile* faults_;
     std::filesystem::path folder_;
     std::filesystem::path file_;
--- a/tests/silverrail/program_test.cpp
+++ b/tests/silverrail/program_test.cpp
@@ -17,18 +17,18 @@
     return client.status();
 }
 
-// Boxes that hang for longer than SIGKILL waits after SIGTERM (3.7 s with these settings): whoever still
+// Servers that hang for longer than SIGKILL waits after SIGTERM (3.7 s with these settings): whoever still
 // waits is answered before that, and the process ends by itself.
-void hung_boxes_at_the_end() {
+void hung_servers_at_the_end() {
     asio::io_context io;
-    Bulletin bulletin{io};
-    Box box{io};
-    box.act = Box::Act::stay_silent;
-    Program program{bulletin.address(), box.address()};
+    DiscoveryWatch discovery{io};
+    Server server{io};
+    server.act = Server::Act::stay_silent;
+    Program program{discovery.address(), server.address()};
     run_until(io, [&] { return program.listens(); });
     Client waits{io, program.at};
     waits.send(ask("lodge", kObject, 9000));
-    run_until(io, [&] { return box.seen.size() == 1; });
+    run_until(io, [&] { return server.seen.size() == 1; });
     program.end();
     const auto killed = std::chrono::steady_clock::now() + 3700ms;
     run_until(io, [&] { return waits.done; });
@@ -36,28 +36,28 @@
     waits.leave();
     // By itself; how long its exit takes (under sanitizers the search for leaks) owes nobody anything.
     run_until(io, [&] { return program.ended(); });
-    CHECK(program.logged("phase stopped") && box.seen.size() == 1);
+    CHECK(program.logged("phase stopped") && server.seen.size() == 1);
 }
 
 }  // namespace
 
 int main() {
-    hung_boxes_at_the_end();
+    hung_servers_at_the_end();
     asio::io_context io;
-    Bulletin bulletin{io};
-    Box box{io};
-    Box second{io};
-    Program program{bulletin.address(), box.address()};
+    DiscoveryWatch discovery{io};
+    Server server{io};
+    Server second{io};
+    Program program{discovery.address(), server.address()};
     run_until(io, [&] { return program.listens(); });
     Client client{io, program.at};
     CHECK(get(io, client, "/alive") == 200);
 
-    // The list of the start serves before the bulletin has said anything; then it resumes after that.
+    // The list of the start serves before discovery has said anything; then it resumes after that.
     client.send(ask("pages", kObject));
     run_until(io, [&] { return client.done; });
-    CHECK(client.status() == 200 && box.seen.size() == 1);
-    run_until(io, [&] { return bulletin.resumed_after.size() == 1; });
-    CHECK(bulletin.resumed_after[0] == "1");
+    CHECK(client.status() == 200 && server.seen.size() == 1);
+    run_until(io, [&] { return discovery.resumed_after.size() == 1; });
+    CHECK(discovery.resumed_after[0] == "1");
     const auto purges = [&](const char* wanted) {
         std::string counters;
         run_until(io, [&] {
@@ -65,7 +65,7 @@
             return counters.find(wanted) != std::string::npos;
         });
     };
-    // What it passed on answers again by itself once the bulletin is known to be live, a box's silence or
+    // What it passed on answers again by itself once discovery is known to be live, a server's silence or
     // not.
     const auto own = [&] {
         std::string counters;
@@ -75,49 +75,49 @@
     const auto ask_until_own = [&] {
         const int before = own();
         run_until(io, [&] {
-            bulletin.say(": here\n\n");
+            discovery.say(": here\n\n");
             client.send(ask("pages", kObject));
             run_until(io, [&] { return client.done; });
-            CHECK(client.status() == 200 && client.response.body() == box.response.body());
+            CHECK(client.status() == 200 && client.response.body() == server.response.body());
             return own() > before;
         });
     };
     ask_until_own();
-    bulletin.say("id: 2\ndata: {\"no\":2,\"recall\":{\"lot\":3,\"issued\":1}}\n\n");
+    discovery.say("id: 2\ndata: {\"no\":2,\"recall\":{\"lot\":3,\"issued\":1}}\n\n");
     purges("\npurges 1\n");
     // Cut off, it connects anew and says what it had last; what it is told again is not taken twice.
-    bulletin.cut();
-    run_until(io, [&] { return bulletin.resumed_after.size() == 2; });
-    CHECK(bulletin.resumed_after[1] == "2");
-    // Right after a break a purge may have been missed: the box is asked.
-    const std::size_t asked_before = box.seen.size();
+    discovery.cut();
+    run_until(io, [&] { return discovery.resumed_after.size() == 2; });
+    CHECK(discovery.resumed_after[1] == "2");
+    // Right after a break a purge may have been missed: the server is asked.
+    const std::size_t asked_before = server.seen.size();
     client.send(ask("pages", kObject));
     run_until(io, [&] { return client.done; });
-    CHECK(client.status() == 200 && box.seen.size() == asked_before + 1);
-    bulletin.say(
+    CHECK(client.status() == 200 && server.seen.size() == asked_before + 1);
+    discovery.say(
         "id: 2\ndata: {\"no\":2,\"recall\":{\"lot\":3,\"issued\":1}}\n\n"
         "id: 3\ndata: {\"no\":3,\"roster\":{\"version\":2,\"full\":false,\"servers\":[" +
-        box_json("s-a", box.address(), "small-box", "left") + "," +
-        box_json("s-b", second.address(), "small-box", "active") + "]}}\n\n");
-    run_until(io, [&] { return box.closed == 1; });  // the old box's connection is dropped
+        server_json("s-a", server.address(), "small-box", "left") + "," +
+        server_json("s-b", second.address(), "small-box", "active") + "]}}\n\n");
+    run_until(io, [&] { return server.closed == 1; });  // the old server's connection is dropped
     purges("\npurges 1\n");
     client.send(ask("pages", kObject));
     run_until(io, [&] { return client.done; });
     CHECK(client.status() == 200 && second.seen.size() == 1);
     // Silence without an end: no comment comes, so the connection is taken for dead.
-    run_until(io, [&] { return bulletin.resumed_after.size() == 3; });
-    CHECK(bulletin.resumed_after[2] == "3");
+    run_until(io, [&] { return discovery.resumed_after.size() == 3; });
+    CHECK(discovery.resumed_after[2] == "3");
 
-    // SIGHUP: a bad file changes nothing; a good one moves the bulletin, and its numbers go on. What is open,
+    // SIGHUP: a bad file changes nothing; a good one moves discovery, and its numbers go on. What is open,
     // and the client's connection, are not touched.
     program.spoil_configuration();
     program.hang_up();
     run_until(io, [&] { return program.logged("reload-failed"); });
-    second.act = Box::Act::stay_silent;
+    second.act = Server::Act::stay_silent;
     Client open{io, program.at};
     open.send(ask("pages", "00000000000000bb", 4000));
     run_until(io, [&] { return second.seen.size() == 2; });
-    Bulletin moved{io};
+    DiscoveryWatch moved{io};
     program.configure(moved.address(), "2");
     program.hang_up();
     run_until(io, [&] { return moved.resumed_after.size() == 1; });
@@ -126,15 +126,15 @@
     moved.say("id: 4\ndata: {\"no\":4,\"recall\":{\"lot\":3,\"issued\":1}}\n\n");
     purges("\npurges 2\n");
     CHECK(get(io, client, "/alive") == 200);
-    second.act = Box::Act::answer;
+    second.act = Server::Act::answer;
     run_until(io, [&] { return open.done; });  // its one answer, from another attempt or a refusal
     CHECK(!open.broken && open.status() >= 200);
     // And again, back to the first.
-    const std::size_t before = bulletin.resumed_after.size();
-    program.configure(bulletin.address(), "1");
+    const std::size_t before = discovery.resumed_after.size();
+    program.configure(discovery.address(), "1");
     program.hang_up();
-    run_until(io, [&] { return bulletin.resumed_after.size() > before; });
-    CHECK(bulletin.resumed_after.back() == "4");
+    run_until(io, [&] { return discovery.resumed_after.size() > before; });
+    CHECK(discovery.resumed_after.back() == "4");
 
     // SIGUSR2: what the flight recorder kept is written, whole, and this build decides the same again.
     CHECK(program.dumped().empty());
@@ -153,7 +153,7 @@
     CHECK(get(io, client, "/alive") == 200);
 
     // SIGTERM: what is open is finished, new connections are still taken for a while, then it exits with 0.
-    second.act = Box::Act::stay_silent;
+    second.act = Server::Act::stay_silent;
     Client slow{io, program.at};
     const std::size_t seen = second.seen.size();
     slow.send(ask("pages", kObject, 1800));
@@ -162,7 +162,7 @@
     std::string phase;
     run_until(io, [&] { return get(io, client, "/alive", &phase) == 503; });
     CHECK(phase == "draining");
-    second.act = Box::Act::answer;
+    second.act = Server::Act::answer;
     Client late{io, program.at};
     late.send(ask("pages", "00000000000000aa"));
     run_until(io, [&] { return late.done; });
--- a/tests/silverrail/rough_test.cpp
+++ b/tests/silverrail/rough_test.cpp
@@ -1,4 +1,4 @@
-// What clients and boxes do wrong: every case ends in time, within its bounds, and harms nobody else.
+// What clients and servers do wrong: every case ends in time, within its bounds, and harms nobody else.
 #include "stand.h"
 
 using namespace silverrail;
@@ -34,27 +34,28 @@
     };
     for (const Case& c : cases) {
         asio::io_context io;
-        Box box{io};
+        Server server{io};
         Router router{io};
-        router.list_with_sources({listed("s-a", box.address()), listed("s-o", box.address(), "origin")});
+        router.list_with_sources(
+            {listed("s-a", server.address()), listed("s-o", server.address(), "origin")});
         RawClient client{io, router.server.local(), c.bytes};
         run_until(io, [&] { return client.ended; });
         CHECK(client.heard.starts_with(std::string{"HTTP/1.1 "} + c.status));
         CHECK(!client.cut_short);                                      // no reset with the answer in flight
         CHECK(client.heard.find("HTTP/1.1", 8) == std::string::npos);  // nothing hidden was answered
         run_until(io, [&] { return router.server.connections() == 0; });
-        CHECK(router.engine.counters().taken == 0 && box.seen.empty());
+        CHECK(router.engine.counters().taken == 0 && server.seen.empty());
     }
 }
 
 // Silence and half requests end by a limit that runs from connecting; idle usual clients are left alone.
 void silence_ends() {
     asio::io_context io;
-    Box box{io};
+    Server server{io};
     net::HttpLimits limits;
     limits.first_request = limits.half_read = 100ms;
     Router router{io, limits};
-    router.list_with_sources({listed("s-a", box.address())});
+    router.list_with_sources({listed("s-a", server.address())});
     Client usual{io, router.server.local()};
     usual.send(ask("pages", kObject));
     run_until(io, [&] { return usual.done; });
@@ -73,18 +74,18 @@
 // Connections run short: who never asked goes first, then who is idle; a request that is open never does.
 void floods_spare_usual_clients() {
     asio::io_context io;
-    Box box{io};
+    Server server{io};
     net::HttpLimits limits;
     limits.connections = 4;
     Router router{io, limits};
-    router.list_with_sources({listed("s-a", box.address())});
+    router.list_with_sources({listed("s-a", server.address())});
     Client idle{io, router.server.local()};
     idle.send(ask("pages", kObject));
     run_until(io, [&] { return idle.done; });
-    box.act = Box::Act::stay_silent;
+    server.act = Server::Act::stay_silent;
     Client asking{io, router.server.local()};
     asking.send(ask("pages", kObject));
-    run_until(io, [&] { return box.seen.size() == 2; });
+    run_until(io, [&] { return server.seen.size() == 2; });
     std::vector<std::unique_ptr<RawClient>> silent;
     for (int i = 0; i < 2; ++i) {
         silent.push_back(std::make_unique<RawClient>(io, router.server.local()));
@@ -97,7 +98,7 @@
     silent.push_back(std::make_unique<RawClient>(io, router.server.local()));
     run_until(io, [&] { return silent[0]->ended; });
     CHECK(!silent[1]->ended && !silent[2]->ended);
-    box.act = Box::Act::answer;
+    server.act = Server::Act::answer;
     for (Client* usual : {&idle, &asking}) {
         if (usual == &idle)
             usual->send(ask("pages", "00000000000000aa", 5000));
@@ -109,14 +110,14 @@
 // An id that is open stands for one request; what no class can mean is not sent either.
 void impossible_requests_fail_unsent() {
     asio::io_context io;
-    Box box{io};
+    Server server{io};
     Router router{io};
-    router.list_with_sources({listed("s-a", box.address())});
-    box.act = Box::Act::stay_silent;
+    router.list_with_sources({listed("s-a", server.address())});
+    server.act = Server::Act::stay_silent;
     Client first{io, router.server.local()};
     Request request = ask("pages", kObject);
     first.send(request);
-    run_until(io, [&] { return box.seen.size() == 1; });
+    run_until(io, [&] { return server.seen.size() == 1; });
     Request same_id = ask("pages", "00000000000000aa");
     same_id.set("Trace-Id", request["Trace-Id"]);
     Request as_write = ask("pages", kObject);
@@ -134,7 +135,7 @@
     first.leave();
     run_until(io, [&] { return router.engine.open() == 0; });
     // Its id is free again.
-    box.act = Box::Act::answer;
+    server.act = Server::Act::answer;
     Client again{io, router.server.local()};
     again.send(request);
     run_until(io, [&] { return again.done; });
@@ -143,7 +144,7 @@
 
 // Spoilt answers fail at once and are not stored; good ones that bring more than theirs are served, and no
 // connection of either is used again.
-void box_answers_are_bounded() {
+void server_answers_are_bounded() {
     struct Case {
         std::string bytes;
         bool served;
@@ -165,11 +166,12 @@
     };
     for (const Case& c : cases) {
         asio::io_context io;
-        Box box{io};
+        Server server{io};
         Router router{io};
-        router.list_with_sources({listed("s-o", box.address(), "origin"), listed("s-a", box.address())});
-        box.act = Box::Act::say_raw;
-        box.raw = c.bytes;
+        router.list_with_sources(
+            {listed("s-o", server.address(), "origin"), listed("s-a", server.address())});
+        server.act = Server::Act::say_raw;
+        server.raw = c.bytes;
         Client client{io, router.server.local()};
         client.send(ask("pages", kObject, 10'000));
         const auto begin = std::chrono::steady_clock::now();
@@ -178,7 +180,7 @@
         CHECK(!c.served || client.response.body() == "whole");
         CHECK(std::chrono::steady_clock::now() - begin < 5s);  // not by its deadline
         if (!c.kept)
-            run_until(io, [&] { return box.closed == box.connections; });
+            run_until(io, [&] { return server.closed == server.connections; });
         CHECK(router.upstream.sockets() == (c.kept ? 1u : 0u));
     }
 }
@@ -190,6 +192,6 @@
     silence_ends();
     floods_spare_usual_clients();
     impossible_requests_fail_unsent();
-    box_answers_are_bounded();
+    server_answers_are_bounded();
     std::puts("rough: bad clients and bad boxes harm nobody else");
 }
--- a/tests/silverrail/sockets_test.cpp
+++ b/tests/silverrail/sockets_test.cpp
@@ -9,7 +9,7 @@
 
 using namespace silverrail;
 using namespace silverrail::stand;
-using winchflow::Condition;
+using silverrail::routing::Condition;
 
 namespace {
 
@@ -22,45 +22,47 @@
 
 void answers_pass_unchanged() {
     net::asio::io_context io;
-    Box box{io};
+    Server server{io};
     Router router{io};
-    router.list_with_sources({listed("s-a", box.address())});
-    box.response = Box::hit(std::string(240'000, '\0'));
-    for (std::size_t i = 0; i < box.response.body().size(); ++i)
-        box.response.body()[i] = static_cast<char>(i * 31);
+    router.list_with_sources({listed("s-a", server.address())});
+    server.response = Server::hit(std::string(240'000, '\0'));
+    for (std::size_t i = 0; i < server.response.body().size(); ++i)
+        server.response.body()[i] = static_cast<char>(i * 31);
     Client client{io, router.server.local()};
     Request request = ask("pages", kObject);
     request.set(net::http::field::if_none_match, "\"aa11\"");
     client.send(request);
     run_until(io, [&] { return client.done; });
-    CHECK(!client.broken && client.status() == 200 && client.response.body() == box.response.body());
+    CHECK(!client.broken && client.status() == 200 && client.response.body() == server.response.body());
     CHECK(client.response["ETag"] == "\"4be0c1927d55a6f3\"");
-    const Request& at_box = box.seen.at(0).request;
-    CHECK(at_box.target() == "/obj/pages/" + kObject + "/3");
-    CHECK(value(at_box, "Call-Id") == value(request, "Trace-Id") && value(at_box, "Miss-To") == "s-parent");
-    CHECK(value(at_box, "Have") == "aa11" && value(at_box, "Store-As").empty());
-    const int left = std::stoi(value(at_box, "Call-Ms"));
+    const Request& at_server = server.seen.at(0).request;
+    CHECK(at_server.target() == "/obj/pages/" + kObject + "/3");
+    CHECK(value(at_server, "Call-Id") == value(request, "Trace-Id") &&
+          value(at_server, "Miss-To") == "s-parent");
+    CHECK(value(at_server, "Have") == "aa11" && value(at_server, "Store-As").empty());
+    const int left = std::stoi(value(at_server, "Call-Ms"));
     CHECK(left > 0 && left <= 5000);
 
     // Kept alive on both sides, and a 304 passes without bytes.
-    box.response = Box::hit("");
-    box.response.result(net::http::status::not_modified);
+    server.response = Server::hit("");
+    server.response.result(net::http::status::not_modified);
     rest(io, router);
     client.send(request);
     run_until(io, [&] { return client.done; });
     CHECK(client.status() == 304 && client.response.body().empty());
-    CHECK(box.connections == 1 && box.seen.size() == 2);
-    CHECK(value(box.seen[1].request, "Store-As") == "3");  // tracked, and among the hottest: there are few
+    CHECK(server.connections == 1 && server.seen.size() == 2);
+    CHECK(value(server.seen[1].request, "Store-As") == "3");  // tracked, and among the hottest: there are few
 }
 
-// Rule 1: one final answer by the deadline, whatever the boxes do.
+// Rule 1: one final answer by the deadline, whatever the servers do.
 void every_request_is_answered() {
-    for (const Box::Act act : {Box::Act::stay_silent, Box::Act::reset_after_reading, Box::Act::break_off}) {
+    for (const Server::Act act :
+         {Server::Act::stay_silent, Server::Act::reset_after_reading, Server::Act::break_off}) {
         net::asio::io_context io;
-        Box box{io};
+        Server server{io};
         Router router{io};
-        router.list_with_sources({listed("s-a", box.address())});
-        box.act = act;
+        router.list_with_sources({listed("s-a", server.address())});
+        server.act = act;
         Client client{io, router.server.local()};
         const auto begin = std::chrono::steady_clock::now();
         client.send(ask("pages", kObject, 400));
@@ -85,7 +87,7 @@
 void refusals_come_at_once() {
     net::asio::io_context io;
     Router router{io};
-    router.list_with_sources({});  // no box in this zone
+    router.list_with_sources({});  // no server in this zone
     Client client{io, router.server.local()};
     client.send(ask("pages", kObject, 10'000));
     run_until(io, [&] { return client.done; });
@@ -95,14 +97,14 @@
 // Rule 2: a class that must never run twice, on every way an attempt can end.
 void never_twice() {
     struct Case {
-        Box::Act act;
+        Server::Act act;
         bool may_have_run;
     };
-    for (const Case& c : {Case{Box::Act::reset_after_reading, true}, Case{Box::Act::break_off, true},
-                          Case{Box::Act::stay_silent, true}}) {
+    for (const Case& c : {Case{Server::Act::reset_after_reading, true}, Case{Server::Act::break_off, true},
+                          Case{Server::Act::stay_silent, true}}) {
         net::asio::io_context io;
-        Box first{io};
-        Box second{io};
+        Server first{io};
+        Server second{io};
         Router router{io};
         router.list_with_sources({listed("s-a", first.address()), listed("s-b", second.address())});
         first.act = second.act = c.act;
@@ -113,10 +115,10 @@
         // Neither 429 nor 503, which would say that a further try is harmless.
         CHECK(client.status() != 503 && client.status() != 429 && client.status() >= 500);
     }
-    // Refused connections prove that nothing ran: the other box gets it.
+    // Refused connections prove that nothing ran: the other server gets it.
     net::asio::io_context io;
-    Box up{io};
-    Box down{io};
+    Server up{io};
+    Server down{io};
     const std::string dead = down.address();
     down.stop_listening();
     for (int i = 0; i < 8; ++i) {
@@ -134,14 +136,14 @@
 // one that has none is not sent.
 void keys_pass_on() {
     net::asio::io_context io;
-    Box up{io};
+    Server up{io};
     Router router{io};
     router.list_with_sources({listed("s-a", up.address())});
     Client client{io, router.server.local()};
-    up.act = Box::Act::reset_after_reading;
+    up.act = Server::Act::reset_after_reading;
     client.send(ask("order", kObject));
     run_until(io, [&] { return up.seen.size() == 2; });
-    up.act = Box::Act::answer;
+    up.act = Server::Act::answer;
     run_until(io, [&] { return client.done; });
     CHECK(client.status() == 200 && up.seen.size() >= 2);
     for (const auto& seen : up.seen)
@@ -158,25 +160,25 @@
 // A kept connection that breaks with the request on it is no reason to send that again.
 void no_repeat_on_a_stale_connection() {
     net::asio::io_context io;
-    Box box{io};
+    Server server{io};
     Router router{io};
-    router.list_with_sources({listed("s-a", box.address())});
+    router.list_with_sources({listed("s-a", server.address())});
     Client client{io, router.server.local()};
     client.send(ask("lodge", kObject));
     run_until(io, [&] { return client.done; });
-    box.act = Box::Act::reset_after_reading;
+    server.act = Server::Act::reset_after_reading;
     rest(io, router);
     client.send(ask("lodge", kObject));
     run_until(io, [&] { return client.done; });
-    CHECK(box.seen.size() == 2 && box.seen[1].connection == 1 && box.connections == 1);
+    CHECK(server.seen.size() == 2 && server.seen[1].connection == 1 && server.connections == 1);
     CHECK(client.status() == 502);
 }
 
-// Rule 3: nothing new to a box that drains or is gone, and no connection of it is used again.
+// Rule 3: nothing new to a server that drains or is gone, and no connection of it is used again.
 void drains_are_kept() {
     net::asio::io_context io;
-    Box first{io};
-    Box second{io};
+    Server first{io};
+    Server second{io};
     Router router{io};
     router.list_with_sources({listed("s-a", first.address()), listed("s-b", second.address())});
     Client client{io, router.server.local()};
@@ -195,7 +197,7 @@
     CHECK(first.seen.size() == before);
     router.list({listed("s-a", first.address(), "small-box", Condition::gone)}, false);
     run_until(io, [&] { return first.closed == first.connections; });
-    // A new box at the old one's address is another box, with connections of its own.
+    // A new server at the old one's address is another server, with connections of its own.
     router.list(
         {listed("s-c", first.address()), listed("s-b", second.address(), "small-box", Condition::gone)},
         false);
@@ -206,7 +208,7 @@
     for (int i = 0; i < 20; ++i) {
         const std::string id = "s-new" + std::to_string(i);
         router.list({listed(id, second.address())});
-        second.act = i % 2 ? Box::Act::answer : Box::Act::stay_silent;
+        second.act = i % 2 ? Server::Act::answer : Server::Act::stay_silent;
         const std::size_t seen = second.seen.size();
         Client asks{io, router.server.local()};
         asks.send(ask("pages", kObject));
@@ -217,16 +219,16 @@
         asks.leave();
         run_until(io, [&] { return router.engine.open() == 0; });
     }
-    CHECK(router.upstream.boxes() == 0);
+    CHECK(router.upstream.servers() == 0);
 }
 
-// Rule 4: a box that has just started is not sent more than its share, however many ask.
-void cold_boxes_are_spared() {
+// Rule 4: a server that has just started is not sent more than its share, however many ask.
+void cold_servers_are_spared() {
     net::asio::io_context io;
-    Box box{io};
+    Server server{io};
     Router router{io};
-    auto cold = listed("s-a", box.address());
-    cold.entry.up_since = router.clock.now();
+    auto cold = listed("s-a", server.address());
+    cold.entry.started_at = router.clock.now();
     cold.started_ms = router.clock.unix_ms();
     router.list_with_sources({cold});
     Client client{io, router.server.local()};
@@ -237,46 +239,47 @@
         refused += client.status() == 503;
     }
     // In 3 s it bears 2 x 26% x 10 answers at a time; each counts 0.25 s, the aim of its class.
-    CHECK(static_cast<double>(box.seen.size()) * 0.25 <= 2 * 0.26 * 10 * 3);
-    CHECK(refused == 300 - static_cast<int>(box.seen.size()));
+    CHECK(static_cast<double>(server.seen.size()) * 0.25 <= 2 * 0.26 * 10 * 3);
+    CHECK(refused == 300 - static_cast<int>(server.seen.size()));
 }
 
-// Rule 5: after a purge the box is told how old a copy may be, also where the purge came last of all.
+// Rule 5: after a purge the server is told how old a copy may be, also where the purge came last of all.
 void purges_are_kept() {
     net::asio::io_context io;
-    Box box{io};
+    Server server{io};
     Router router{io};
-    router.list_with_sources({listed("s-a", box.address())});
+    router.list_with_sources({listed("s-a", server.address())});
     const auto issued = router.clock.unix_ms() - 200;
-    router.engine.apply(core::PurgeNotice{{}, winchflow::GroupId{17}, issued});
+    router.engine.apply(core::PurgeNotice{{}, silverrail::routing::GroupId{17}, issued});
     Client client{io, router.server.local()};
     client.send(ask("pages", kObject));
     // Told while the connection is still coming up: the first byte has not gone out.
     run_until(io, [&] { return router.engine.counters().sent == 1; });
-    router.engine.apply(core::PurgeNotice{winchflow::ObjectId{0x7f3a9c21e0b4d655}, {}, issued + 190});
+    router.engine.apply(
+        core::PurgeNotice{silverrail::routing::ObjectId{0x7f3a9c21e0b4d655}, {}, issued + 190});
     run_until(io, [&] { return client.done; });
-    const int oldest = std::stoi(value(box.seen.at(0).request, "No-Older-Than"));
+    const int oldest = std::stoi(value(server.seen.at(0).request, "No-Older-Than"));
     CHECK(oldest >= 1 && oldest <= router.clock.unix_ms() - (issued + 190));
     CHECK(router.engine.counters().tightened == 1);
     auto other = ask("pages", "00000000000000ff");
     other.set("X-Lot", "18");
     client.send(other);
     run_until(io, [&] { return client.done; });
-    CHECK(value(box.seen.at(1).request, "No-Older-Than").empty());
+    CHECK(value(server.seen.at(1).request, "No-Older-Than").empty());
 }
 
-// The client has gone: the box is told by the end of the connection.
+// The client has gone: the server is told by the end of the connection.
 void gone_clients_cancel() {
     net::asio::io_context io;
-    Box box{io};
+    Server server{io};
     Router router{io};
-    router.list_with_sources({listed("s-a", box.address())});
-    box.act = Box::Act::stay_silent;
+    router.list_with_sources({listed("s-a", server.address())});
+    server.act = Server::Act::stay_silent;
     Client client{io, router.server.local()};
     client.send(ask("pages", kObject));
-    run_until(io, [&] { return box.seen.size() == 1; });
+    run_until(io, [&] { return server.seen.size() == 1; });
     client.leave();
-    run_until(io, [&] { return box.closed == 1; });
+    run_until(io, [&] { return server.closed == 1; });
     // Withdrawn at once, not timed out at the deadline.
     CHECK(router.engine.counters().cancelled == 1 && router.engine.counters().abandoned == 1);
     CHECK(router.engine.open() == 0);
@@ -322,7 +325,7 @@
     keys_pass_on();
     no_repeat_on_a_stale_connection();
     drains_are_kept();
-    cold_boxes_are_spared();
+    cold_servers_are_spared();
     purges_are_kept();
     gone_clients_cancel();
     descriptors_run_out();
--- a/tests/silverrail/stand.h
+++ b/tests/silverrail/stand.h
@@ -1,4 +1,4 @@
-// Stand-ins for the tests: boxes, clients and a router's parts on loopback, ports chosen by the system, one
+// Stand-ins for the tests: servers, clients and a router's parts on loopback, ports chosen by the system, one
 // thread. Nothing here waits for a time to pass as proof of anything.
 #pragma once
 
@@ -36,15 +36,15 @@
     }
 }
 
-// A box that answers as it is told to.
-class Box {
+// A server that answers as it is told to.
+class Server {
 public:
     enum class Act { answer, stay_silent, reset_after_reading, break_off, close_after_answer, say_raw };
     struct Seen {
         Request request;
         std::size_t connection;
     };
-    explicit Box(net::asio::io_context& io, const char* address = "127.0.0.1")
+    explicit Server(net::asio::io_context& io, const char* address = "127.0.0.1")
         : io_(io), acceptor_(io, loopback(address)) {
         accept();
     }
@@ -290,51 +290,51 @@
     return r;
 }
 
-inline winchflow::Settings settings() {
-    winchflow::Settings s;
+inline silverrail::routing::Settings settings() {
+    silverrail::routing::Settings s;
     s.zone = "edge-1";
     s.parent_kind = "parent";
     s.origin_kind = "origin";
-    s.weights = winchflow::Weights::nominal;
-    s.detail = winchflow::Detail::all;
-    s.may_cancel = true;
+    s.server_weights = silverrail::routing::ServerWeights::nominal;
+    s.outcome_detail = silverrail::routing::OutcomeDetail::all;
+    s.cancellation_supported = true;
     s.retry_after = true;
     s.max_retry_after = 500ms;
-    s.attempt_limit = 6;
-    s.heed_within = 500ms;
-    s.cleared_within = 6s;
-    s.cold_from = 0.26;
-    s.cold_for = 14s;
-    s.tip_multiple = 2;
-    s.tip_window = 3s;
-    s.parent_cold_from = 0.068;
-    s.parent_cold_for = 21s;
-    s.parent_tip_multiple = 2;
+    s.max_attempts = 6;
+    s.purge_effective_within = 500ms;
+    s.purge_complete_within = 6s;
+    s.slow_start_share = 0.26;
+    s.slow_start_duration = 14s;
+    s.overload_multiple = 2;
+    s.overload_window = 3s;
+    s.parent_slow_start_share = 0.068;
+    s.parent_slow_start_duration = 21s;
+    s.parent_overload_multiple = 2;
     s.classes.push_back({.name = "pages",
-                         .aim = 250ms,
+                         .latency_objective = 250ms,
                          .give_up = 5s,
-                         .effect = winchflow::Effect::pure,
+                         .idempotency = silverrail::routing::Idempotency::idempotent,
                          .max_age = 8s,
                          .grace = 20s});
     s.classes.push_back({.name = "lodge",
-                         .aim = 700ms,
+                         .latency_objective = 700ms,
                          .give_up = 5s,
-                         .effect = winchflow::Effect::unsafe,
+                         .idempotency = silverrail::routing::Idempotency::none,
                          .uncached = true});
     s.classes.push_back({.name = "order",
-                         .aim = 700ms,
+                         .latency_objective = 700ms,
                          .give_up = 5s,
-                         .effect = winchflow::Effect::keyed,
-                         .scope = winchflow::Scope::all,
+                         .idempotency = silverrail::routing::Idempotency::keyed,
+                         .key_scope = silverrail::routing::KeyScope::all,
                          .window = 900ms,
                          .uncached = true});
     return s;
 }
 
-inline core::Box listed(const std::string& id, const std::string& address, const char* kind = "small-box",
-                        winchflow::Condition condition = winchflow::Condition::ready) {
-    core::Box b;
-    b.entry.id = winchflow::CacheId{id};
+inline core::Server listed(const std::string& id, const std::string& address, const char* kind = "small-box",
+                           silverrail::routing::Condition condition = silverrail::routing::Condition::ready) {
+    core::Server b;
+    b.entry.id = silverrail::routing::ServerId{id};
     b.entry.condition = condition;
     b.entry.weight = 10;
     b.entry.zone = std::string_view{kind} == "small-box" ? "edge-1" : "north";
@@ -347,9 +347,9 @@
 class Router {
 public:
     explicit Router(net::asio::io_context& io, net::HttpLimits limits = {}, std::size_t most_open = 1000,
-                    net::UpstreamLimits to_boxes = {})
+                    net::UpstreamLimits to_servers = {})
         : timers(io),
-          upstream(io, to_boxes, clock, log),
+          upstream(io, to_servers, clock, log),
           engine(settings(), 7, most_open, clock, timers, upstream, log),
           platform(engine, lifecycle, log),
           server(
@@ -358,14 +358,14 @@
         lifecycle.enter(Lifecycle::Phase::ready);
         server.start();
     }
-    void list(std::vector<core::Box> boxes, bool complete = true) {
-        engine.apply(core::BoxChange{complete, std::move(boxes)});
+    void list(std::vector<core::Server> servers, bool complete = true) {
+        engine.apply(core::ServerChange{complete, std::move(servers)});
     }
-    // The boxes given, and a hub cache and an origin that only ever appear as sources.
-    void list_with_sources(std::vector<core::Box> boxes) {
-        boxes.push_back(listed("s-parent", "127.0.0.1:9", "parent"));
-        boxes.push_back(listed("s-origin", "127.0.0.1:9", "origin"));
-        list(std::move(boxes));
+    // The servers given, and a hub cache and an origin that only ever appear as sources.
+    void list_with_sources(std::vector<core::Server> servers) {
+        servers.push_back(listed("s-parent", "127.0.0.1:9", "parent"));
+        servers.push_back(listed("s-origin", "127.0.0.1:9", "origin"));
+        list(std::move(servers));
     }
     Log log;
     net::SystemClock clock;
@@ -377,7 +377,7 @@
     net::HttpServer server;
 };
 
-// Until a connection to a box that has just answered is used again.
+// Until a connection to a server that has just answered is used again.
 inline void rest(net::asio::io_context& io, const Router& router) {
     const auto rested = router.clock.now() + net::UpstreamLimits{}.rest;
     run_until(io, [&] { return router.clock.now() > rested; });
--- a/tests/silverrail/upgrade_test.cpp
+++ b/tests/silverrail/upgrade_test.cpp
@@ -20,10 +20,10 @@
             for (const std::size_t processes : {1U, 2U}) {
                 const auto s = members::shares_of(whole, processes);
                 const std::size_t each =
-                    members::kFixed + s.clients + s.boxes + (control ? s.callers + 1 : 0);
+                    members::kFixed + s.clients + s.servers + (control ? s.callers + 1 : 0);
                 // The sum over both stays under the limit of the one router.
                 CHECK(each * processes <= sockets);
-                CHECK(s.clients >= 8 && s.boxes >= 8 && (s.callers > 0) == control);
+                CHECK(s.clients >= 8 && s.servers >= 8 && (s.callers > 0) == control);
                 CHECK(s.copies_bytes * processes <= whole.memory_bytes / 8);
             }
             // Alone, all that the platform's clients hold at most finds room, at the usual limits.
@@ -195,7 +195,7 @@
     using members::Bans;
     Bans bans;
     for (const char* id : {"s-1", "s-2"})
-        CHECK(bans.add(winchflow::CacheId{id}) && bans.add(winchflow::CacheId{id}));
+        CHECK(bans.add(silverrail::routing::ServerId{id}) && bans.add(silverrail::routing::ServerId{id}));
     const std::string text = bans.text();
     CHECK(Bans::read(text).bans == bans && Bans::read(Bans{}.text()).bans == Bans{});
     CHECK(Bans::read(text).trouble == Bans::Trouble::none);
@@ -209,19 +209,19 @@
     CHECK(Bans::read("silverrail-bans 2\nout s-1\nend 1\n").trouble == Bans::Trouble::other_version);
     CHECK(Bans::read(text + "out s-3\n").trouble == Bans::Trouble::damaged);
     for (const char* id : {"", "a b", "a\n", "\x80"})
-        CHECK(!bans.add(winchflow::CacheId{id}));
+        CHECK(!bans.add(silverrail::routing::ServerId{id}));
     for (std::size_t i = 0; i < 2 * Bans::kMost; ++i)
-        bans.add(winchflow::CacheId{"x-" + std::to_string(i)});
+        bans.add(silverrail::routing::ServerId{"x-" + std::to_string(i)});
     CHECK(bans.ids().size() == Bans::kMost);
 }
 
-// A box is taken out at either process of an upgrade, and both heed it; what the file can't keep is said.
+// A server is taken out at either process of an upgrade, and both heed it; what the file can't keep is said.
 void bans_over_an_upgrade() {
     asio::io_context io;
-    Bulletin bulletin{io};
-    Box box{io};
+    DiscoveryWatch discovery{io};
+    Server server{io};
     const tcp::endpoint first = free_endpoint();
-    Program program{bulletin.address(), box.address(), text_of(first)};
+    Program program{discovery.address(), server.address(), text_of(first)};
     run_until(io, [&] { return says_yes(io, first); });
     const auto down = [&](const tcp::endpoint& at) {
         const std::string dump = call(io, at, "DUMP");
@@ -233,7 +233,7 @@
     Client client{io, program.at};
     client.send(ask("pages", "00000000000000aa"));
     run_until(io, [&] { return client.done; });
-    CHECK(client.status() == 503 && box.seen.empty() && down(first) == "1\n");
+    CHECK(client.status() == 503 && server.seen.empty() && down(first) == "1\n");
     // The new process has it out from its start, and its call back reaches the old one.
     const tcp::endpoint second = free_endpoint();
     const pid_t next = program.start(text_of(second));
@@ -293,10 +293,10 @@
 
 void upgrades_under_load() {
     asio::io_context io;
-    Bulletin bulletin{io};
-    Box box{io};
+    DiscoveryWatch discovery{io};
+    Server server{io};
     tcp::endpoint control = free_endpoint();
-    Program program{bulletin.address(), box.address(), text_of(control)};
+    Program program{discovery.address(), server.address(), text_of(control)};
     pid_t serving = program.pid();
     run_until(io, [&] { return says_yes(io, control); });
     Load load{io, program.at, 12};
@@ -339,7 +339,7 @@
     run_until(io, [&] { return load.open == 0; });
     // Every write that was answered 'served' ran exactly once, and none ran twice.
     std::map<std::string, int> ran;
-    for (const auto& seen : box.seen)
+    for (const auto& seen : server.seen)
         if (seen.request.method() == http::verb::put)
             ++ran[std::string{seen.request["Call-Id"]}];
     for (const auto& [id, times] : ran)
--- a/tests/size_share_test.cpp
+++ b/tests/size_share_test.cpp
@@ -1,5 +1,5 @@
 // The largest requests of a class are answered about as often as the others of it, with room to spare and
-// without: a gateway before caches and a zone link that carry so much at once, played in steps of a
+// without: a router before caches and a zone link that carry so much at once, played in steps of a
 // millisecond.
 #include <algorithm>
 #include <cmath>
@@ -8,7 +8,7 @@
 
 #include "gateway.h"
 
-namespace winchflow::testing {
+namespace silverrail::routing::testing {
 namespace {
 
 constexpr double kFlow = 1000;     // KB a second, one transfer
@@ -87,14 +87,14 @@
     static Settings settings(const Case& c) {
         Settings s = plain_settings();
         s.direct = false;
-        s.may_cancel = c.cancels;
-        s.weights = Weights::nominal;
+        s.cancellation_supported = c.cancels;
+        s.server_weights = ServerWeights::nominal;
         if (c.tells_sizes) {
             s.flow_kb_per_s = kFlow;
             s.zone_link_kb_per_s = kFlow * kZoneLink;
         }
-        s.classes[0].aim = 400ms;
-        s.classes[0].aim_stretch = 1.6;
+        s.classes[0].latency_objective = 400ms;
+        s.classes[0].objective_stretch = 1.6;
         s.classes[0].give_up = 5s;
         return s;
     }
@@ -135,9 +135,9 @@
         out_.push_back(t);
     }
     void on(const Cancel& c) {
-        end_if([&](const Transfer& t) { return t.request == c.request; }, Ending::cancelled);
+        end_if([&](const Transfer& t) { return t.request == c.request; }, AttemptStatus::cancelled);
     }
-    void on(const Refuse& r) {
+    void on(const Reject& r) {
         asked_.at(r.request).over = true;
     }
     void on(const Fail& f) {
@@ -147,22 +147,22 @@
         timers_.emplace(gateway_.now + t.after, t.id);
     }
 
-    void end(const Transfer& t, Ending ending) {
+    void end(const Transfer& t, AttemptStatus attempt_status) {
         Asked& r = asked_.at(t.request);
-        const bool good = ending == Ending::good && !r.over;
+        const bool good = attempt_status == AttemptStatus::success && !r.over;
         if (good)
             r.answered = r.over = true;
         act(gateway_.tell(Outcome{.request = t.request,
                                   .attempt = t.attempt,
-                                  .ending = ending,
+                                  .attempt_status = attempt_status,
                                   .took = gateway_.now - t.sent,
                                   .over = r.over,
-                                  .note = ending != Ending::good ? Note::none
-                                          : t.fill               ? Note::filled
-                                                                 : Note::hit}));
+                                  .cache_status = attempt_status != AttemptStatus::success ? CacheStatus::none
+                                                  : t.fill ? CacheStatus::filled
+                                                           : CacheStatus::hit}));
     }
     template <class Test>
-    void end_if(Test test, Ending ending) {
+    void end_if(Test test, AttemptStatus attempt_status) {
         std::vector<Transfer> ended;
         std::erase_if(out_, [&](const Transfer& t) {
             if (!test(t))
@@ -171,7 +171,7 @@
             return true;
         });
         for (const Transfer& t : ended)
-            end(t, ending);
+            end(t, attempt_status);
     }
     void fire_timers() {
         while (!timers_.empty() && timers_.begin()->first <= gateway_.now) {
@@ -181,8 +181,8 @@
         }
     }
     void move_transfers() {
-        end_if([](const Transfer& t) { return t.miss; }, Ending::miss);
-        end_if([&](const Transfer& t) { return t.until <= gateway_.now; }, Ending::late);
+        end_if([](const Transfer& t) { return t.miss; }, AttemptStatus::miss);
+        end_if([&](const Transfer& t) { return t.until <= gateway_.now; }, AttemptStatus::timeout);
         std::map<std::string, double> at_cache;
         double fills = 0;
         for (const Transfer& t : out_)
@@ -192,7 +192,7 @@
                                        : std::min(1.0, kCacheLinks / 3 / at_cache[t.target]);
             t.left -= pace * seconds(kStep);
         }
-        end_if([](const Transfer& t) { return t.left <= 0; }, Ending::good);
+        end_if([](const Transfer& t) { return t.left <= 0; }, AttemptStatus::success);
     }
     // Their clients leave, and what is out for them is given up.
     void give_up_late_ones() {
@@ -200,8 +200,8 @@
             if (r.over || gateway_.now < r.deadline)
                 continue;
             r.over = true;
-            act(gateway_.tell(Abandoned{id}));
-            end_if([id = id](const Transfer& t) { return t.request == id; }, Ending::cancelled);
+            act(gateway_.tell(ClientClosed{id}));
+            end_if([id = id](const Transfer& t) { return t.request == id; }, AttemptStatus::cancelled);
         }
     }
 
@@ -243,4 +243,4 @@
                                            Case{"want, nothing told or cancelled", 1.5, false, false, 0.5}));
 
 }  // namespace
-}  // namespace winchflow::testing
+}  // namespace silverrail::routing::testing
--- a/tests/trace/format_test.cpp
+++ b/tests/trace/format_test.cpp
@@ -303,7 +303,7 @@
     bool held = false;
     while (last->next(r, held))
         in_force.take(r);
-    CHECK(in_force.start(0) && in_force.start(0)->router == "n1" && in_force.boxes(0) == 2);
+    CHECK(in_force.start(0) && in_force.start(0)->router == "n1" && in_force.servers(0) == 2);
     CHECK(in_force.call(0, 5) && in_force.call(0, 5)->out.size() == 1);
     CHECK(std::get<state::Taken>(in_force.call(0, 5)->taken.record().body).trace == "kept");
     CHECK(in_force.unix_ns(0, 2000) == 1'002'000);
--- a/tests/trace/state_test.cpp
+++ b/tests/trace/state_test.cpp
@@ -24,21 +24,21 @@
     t.trace_id = trace;
     return t;
 }
-Sent sent(std::uint64_t call, std::uint64_t attempt, const char* box) {
+Sent sent(std::uint64_t call, std::uint64_t attempt, const char* server) {
     Sent s;
     s.call = call;
     s.attempt = attempt;
-    s.target = box;
+    s.target = server;
     s.fills = true;
     s.source = "hub";
     return s;
 }
-Ended ended(std::uint64_t call, std::uint64_t attempt, int ending, int note = 0) {
+Ended ended(std::uint64_t call, std::uint64_t attempt, int attempt_status, int cache_status = 0) {
     Ended e;
     e.call = call;
     e.attempt = attempt;
-    e.ending = static_cast<std::uint8_t>(ending);
-    e.note = static_cast<std::uint8_t>(note);
+    e.attempt_status = static_cast<std::uint8_t>(attempt_status);
+    e.cache_status = static_cast<std::uint8_t>(cache_status);
     return e;
 }
 Answered answered(std::uint64_t call, int kind) {
@@ -65,7 +65,7 @@
     CHECK(over.empty());
     take(170, ended(1, 0, 6));
     CHECK(over.size() == 1 && over[0].took() == 60 && over[0].attempts.size() == 2 && over[0].answered());
-    CHECK(over[0].attempts[1].target.text() == "b" && over[0].attempts[1].note == 2);
+    CHECK(over[0].attempts[1].target.text() == "b" && over[0].attempts[1].cache_status == 2);
     // Turned away: no number, no attempts.
     take(200, taken(0, 9));
     take(201, answered(0, 3));
@@ -80,7 +80,7 @@
     take(500, taken(3));
     take(500, sent(3, 0, "a"));
     take(510, answered(3, 4));
-    take(510, Abandoned{3});
+    take(510, ClientClosed{3});
     take(511, ended(3, 0, 6));
     CHECK(over.size() == 5 && over[4].answered());
     // An end whose begin was not seen, and one that never ends.
@@ -100,9 +100,9 @@
         {{.outcomes = {"served"}}, true},
         {{.outcomes = {"refused", "cancelled"}}, true},
         {{.outcomes = {"failed"}}, false},
-        {{.boxes = {"b"}}, true},
-        {{.boxes = {"hub"}}, true},
-        {{.boxes = {"c"}}, false},
+        {{.servers = {"b"}}, true},
+        {{.servers = {"hub"}}, true},
+        {{.servers = {"c"}}, false},
         {{.traces = {"0000000000000001"}}, true},
         {{.traces = {"1"}}, false},
         {{.objects = {0}}, true},
--- a/tests/trace/tools_test.cpp
+++ b/tests/trace/tools_test.cpp
@@ -75,8 +75,8 @@
     CHECK(found.first() && found.first()->difference == Replay::Difference::other_target);
     CHECK(found.first()->call == changed_call &&
           found.first()->recorded.find("s-elsewhere") != std::string::npos);
-    Open rank{spoil([](Sent& s) { s.rank ^= 1; })};
-    const Replay other = replayed(rank, true);
+    Open retention{spoil([](Sent& s) { s.retention ^= 1; })};
+    const Replay other = replayed(retention, true);
     CHECK(other.differences() == 1 && other.events() == same.events());
     CHECK(other.sums().begin()->first.second == Replay::Difference::other_fill);
     // What is not whole is not compared past the hole.
@@ -150,14 +150,14 @@
     CHECK(a.size() + b.size() == both.size() && both.size() == all && a.size() <= before);
     for (std::size_t i = 0; i < both.size(); ++i)
         CHECK(same((i < a.size() ? a[i] : b[i - a.size()]).record(), both[i].record()));
-    // The tail stands alone: router, boxes and the call that was open at the edge are known from its head.
+    // The tail stands alone: router, servers and the call that was open at the edge are known from its head.
     const auto chunk = tail->reader.load(0);
     InForce f;
     Record r;
     bool held = false;
     while (chunk->next(r, held) && held)
         f.take(r);
-    CHECK(f.start(0) && f.boxes(0) == 14 && f.call(0, edge_call));
+    CHECK(f.start(0) && f.servers(0) == 14 && f.call(0, edge_call));
     bool shown = false;
     show(tail->reader, {}, [&](const Story& s, const Names& names) {
         if (s.call != edge_call)
--- a/tests/tracker_test.cpp
+++ b/tests/tracker_test.cpp
@@ -3,11 +3,11 @@
 
 #include "gateway.h"
 
-namespace winchflow::testing {
+namespace silverrail::routing::testing {
 namespace {
 
-Rank rank_of(const std::optional<Send>& send) {
-    return send && send->fill ? send->fill->rank : Rank::unkept;
+RetentionPriority rank_of(const std::optional<Send>& send) {
+    return send && send->fill ? send->fill->retention : RetentionPriority::no_store;
 }
 
 // Fills the tracker with one-off objects numbered from `first` until it holds K.
@@ -18,8 +18,9 @@
 
 TEST(Tracker, FirstRequestPassesUnkept) {
     Gateway g;
-    EXPECT_EQ(rank_of(g.serve(1)), Rank::unkept);
-    EXPECT_EQ(rank_of(g.serve(1)), Rank::highest);  // among the C hottest: there are no others yet
+    EXPECT_EQ(rank_of(g.serve(1)), RetentionPriority::no_store);
+    EXPECT_EQ(rank_of(g.serve(1)),
+              RetentionPriority::highest);  // among the C hottest: there are no others yet
 }
 
 TEST(Tracker, TheHottestAreKeptAtTheHighestRankOthersAtTheLowest) {
@@ -27,11 +28,11 @@
     const auto c = g.router.sizes().hot_capacity;
     for (int round = 0; round < 3; ++round)
         for (std::uint64_t i = 1; i <= c; ++i)
-            g.serve(i);                                // hotness 3 each: they fill S_c, h_min = 3
-    g.serve(1000);                                     // 1
-    EXPECT_EQ(rank_of(g.serve(1000)), Rank::lowest);   // 2 < h_min
-    g.serve(1000);                                     // 3 = h_min, not above
-    EXPECT_EQ(rank_of(g.serve(1000)), Rank::highest);  // 4 > h_min
+            g.serve(i);                                            // hotness 3 each: they fill S_c, h_min = 3
+    g.serve(1000);                                                 // 1
+    EXPECT_EQ(rank_of(g.serve(1000)), RetentionPriority::lowest);  // 2 < h_min
+    g.serve(1000);                                                 // 3 = h_min, not above
+    EXPECT_EQ(rank_of(g.serve(1000)), RetentionPriority::highest);  // 4 > h_min
     EXPECT_EQ(g.router.sizes().hot, c);
 }
 
@@ -46,8 +47,10 @@
         for (std::uint64_t i = 10000; i < 10000 + sizes.tracker_capacity - sizes.hot_capacity; ++i)
             g.serve(i);
     ASSERT_EQ(g.router.sizes().tracked, g.router.sizes().tracker_capacity);
-    EXPECT_EQ(rank_of(g.serve(77777)), Rank::unkept);   // inherits 3, now 4: not above h_min = 4
-    EXPECT_EQ(rank_of(g.serve(77777)), Rank::highest);  // 5 > 4: without inheritance it would have 2
+    EXPECT_EQ(rank_of(g.serve(77777)),
+              RetentionPriority::no_store);  // inherits 3, now 4: not above h_min = 4
+    EXPECT_EQ(rank_of(g.serve(77777)),
+              RetentionPriority::highest);  // 5 > 4: without inheritance it would have 2
     EXPECT_EQ(g.router.sizes().tracked, g.router.sizes().tracker_capacity);
 }
 
@@ -58,10 +61,10 @@
         for (std::uint64_t i = 1; i <= c + 1; ++i)
             g.serve(i);
     for (int i = 0; i < 3; ++i)
-        g.tell(Purge{.object = ObjectId{1}});      // 3 reads - 3 purges = 0
-    EXPECT_EQ(rank_of(g.serve(1)), Rank::lowest);  // 1, under h_min = 3
+        g.tell(Purge{.object = ObjectId{1}});                   // 3 reads - 3 purges = 0
+    EXPECT_EQ(rank_of(g.serve(1)), RetentionPriority::lowest);  // 1, under h_min = 3
     g.serve(c + 1);
-    EXPECT_EQ(rank_of(g.serve(c + 1)), Rank::highest);
+    EXPECT_EQ(rank_of(g.serve(c + 1)), RetentionPriority::highest);
 }
 
 TEST(Tracker, AClientsMarkedRetryDoesNotCount) {
@@ -86,10 +89,10 @@
     Gateway g;
     const auto before = g.router.sizes();
     for (int i = 0; i < 10; ++i)
-        g.serve(1, Note::filled);
+        g.serve(1, CacheStatus::filled);
     EXPECT_EQ(g.router.sizes().hot_capacity, before.hot_capacity);
     g.pass(11s);  // the epoch's time bound
-    g.serve(1, Note::filled);
+    g.serve(1, CacheStatus::filled);
     EXPECT_EQ(g.router.sizes().hot_capacity, 2 * before.hot_capacity);
     EXPECT_EQ(g.router.sizes().tracker_capacity, 2 * before.tracker_capacity);
 }
@@ -98,7 +101,7 @@
     Gateway g;
     const auto before = g.router.sizes();
     for (int i = 0; i < 10; ++i)
-        g.serve(1, Note::hit);  // I_c = (0 + 1) / (0 + 1)
+        g.serve(1, CacheStatus::hit);  // I_c = (0 + 1) / (0 + 1)
     g.pass(11s);
     g.serve(1);
     EXPECT_EQ(g.router.sizes().hot_capacity, before.hot_capacity);
@@ -108,7 +111,7 @@
     Gateway g;
     const auto before = g.router.sizes();
     for (std::size_t i = 0; i < before.tracker_capacity; ++i)
-        g.serve(1, Note::filled);  // E = K requests
+        g.serve(1, CacheStatus::filled);  // E = K requests
     EXPECT_EQ(g.router.sizes().hot_capacity, 2 * before.hot_capacity);
 }
 
@@ -116,13 +119,13 @@
     Gateway g;
     for (int epoch = 0; epoch < 20; ++epoch) {
         for (int i = 0; i < 10; ++i)
-            g.serve(1, Note::filled);
+            g.serve(1, CacheStatus::filled);
         g.pass(11s);
     }
     const auto sizes = g.router.sizes();
     EXPECT_GE(sizes.tracker_capacity, 2 * sizes.hot_capacity);
     g.pass(11s);
-    g.serve(1, Note::filled);
+    g.serve(1, CacheStatus::filled);
     EXPECT_EQ(g.router.sizes().tracker_capacity, sizes.tracker_capacity);
 }
 
@@ -132,7 +135,7 @@
     Gateway g;
     const auto start = g.router.sizes();
     for (int i = 0; i < 10; ++i)
-        g.serve(1, Note::filled);
+        g.serve(1, CacheStatus::filled);
     g.pass(11s);
     g.serve(1);  // ends the epoch: doubled, alpha_t = 10
     ASSERT_EQ(g.router.sizes().hot_capacity, 2 * start.hot_capacity);
@@ -153,7 +156,7 @@
 TEST(Resizing, WhenOnlyTheKeptFallAllHotnessHalves) {
     Gateway g;
     for (int i = 0; i < 10; ++i)
-        g.serve(1, Note::filled);
+        g.serve(1, CacheStatus::filled);
     g.pass(11s);
     g.serve(1);  // doubled; alpha_t = 9 (the first of the ten found it untracked)
     const auto c = g.router.sizes().hot_capacity;
@@ -167,8 +170,9 @@
     for (int i = 0; i < 9; ++i)
         g.serve(5000);
     g.pass(11s);
-    EXPECT_EQ(rank_of(g.serve(5000)), Rank::lowest);   // 10, not above h_min = 10; then halved to 5
-    EXPECT_EQ(rank_of(g.serve(5000)), Rank::highest);  // 6 > 5
+    EXPECT_EQ(rank_of(g.serve(5000)),
+              RetentionPriority::lowest);  // 10, not above h_min = 10; then halved to 5
+    EXPECT_EQ(rank_of(g.serve(5000)), RetentionPriority::highest);  // 6 > 5
     EXPECT_EQ(g.router.sizes().hot_capacity, c);
 }
 
@@ -177,13 +181,13 @@
     fill_tracker(g, 1);
     const auto full = g.router.sizes();
     for (std::uint64_t i = 0; i < 100; ++i)
-        EXPECT_EQ(rank_of(g.serve(1000000 + i)), Rank::unkept);
+        EXPECT_EQ(rank_of(g.serve(1000000 + i)), RetentionPriority::no_store);
     EXPECT_EQ(g.router.sizes().tracked, full.tracked);
 }
 
 TEST(FillPath, HomesDoNotDependOnTheGateway) {
     auto other = plain_settings();
-    other.gateways = 5;
+    other.routers = 5;
     Gateway a;
     Gateway b{other};
     std::set<std::string> parents;
@@ -202,13 +206,13 @@
     Gateway g;
     const auto id = g.ask(9);
     const auto first = g.source();
-    g.end(id, Ending::miss, Note::source_unreached);
+    g.end(id, AttemptStatus::miss, CacheStatus::source_unreachable);
     const auto second = g.source();
     EXPECT_NE(first, second);
     EXPECT_EQ(second[0], 'p');
-    g.end(id, Ending::miss, Note::source_unreached, 1);
+    g.end(id, AttemptStatus::miss, CacheStatus::source_unreachable, 1);
     EXPECT_EQ(g.source(), "origin");
 }
 
 }  // namespace
-}  // namespace winchflow::testing
+}  // namespace silverrail::routing::testing
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -6,13 +6,14 @@
 #include "embed_example.h"
 #include "link.h"
 
-namespace winchflow::adapter {
+namespace silverrail::routing::adapter {
 namespace {
 
 const std::string kSettings =
     "balancers=2 classes.count=2 classes.0.name=tile classes.0.aim=250000000 classes.0.give-up=2500000000 "
     "classes.0.effect=pure classes.1.name=save classes.1.aim=800000000 classes.1.give-up=3000000000 "
-    "classes.1.effect=token classes.1.group=all classes.1.window=3000000000 family-info.uncached=false,true "
+    "classes.1.effect=token classes.1.group=all classes.1.window=3000000000 "
+    "family-info.uncached=false,true "
     "zone=bay dcs=hub,bay kinds=cache,parent,origin family-info.second-tier-kind=1 family-info.origin-kind=2 "
     "allowed.try-limit=4 allowed.cancel=true family-info.bypass-allowed=true some.new-key=whatever";
 const std::string kOpen =
@@ -131,4 +132,4 @@
 }
 
 }  // namespace
-}  // namespace winchflow::adapter
+}  // namespace silverrail::routing::adapter
