--- a/tests/compatibility/control_test.cpp
+++ b/tests/compatibility/control_test.cpp
@@ -202,7 +202,6 @@
 }
 
 // ---- without parts
-// -----------------------------------------------------------------------------------------
 
 void commands_of_a_router_by_itself() {
     StandInServer server{good_answer()};
@@ -260,7 +259,6 @@
 }
 
 // ---- with all parts
-// ----------------------------------------------------------------------------------------
 
 void commands_of_a_router_with_peers() {
     StandInServer server{good_answer()};
--- a/tests/compatibility/load_report_test.cpp
+++ b/tests/compatibility/load_report_test.cpp
@@ -9,7 +9,6 @@
 namespace {
 
 // ---- the program's own names, here and nowhere else in this file
-// -------------------------------------------
 
 struct LoadReport {
     std::optional<double> in_flight, utilisation, hit_share, link_fullness;
@@ -19,9 +18,6 @@
     const auto load = silverrail::net::load_of(header);
     return {load.in_flight, load.utilisation, load.hit_share, load.link_fullness};
 }
-
-// ------------------------------------------------------------------------------------------------------------
-
 void words_of_the_protocol() {
     const LoadReport report = parse_load_report("inflight:7;util:0.61;x0:0.4;x1:1.25");
     CHECK(report.in_flight == 7 && report.utilisation == 0.61);
--- a/tests/compatibility/peers_test.cpp
+++ b/tests/compatibility/peers_test.cpp
@@ -26,7 +26,6 @@
 constexpr std::size_t kSummaryBytes = 512;
 
 // ---- MessagePack and JSON: binary values are written as {"bytes": N}
-// ---------------------------------------
 
 Json::Value to_json(const msgpack::object& object) {
     switch (object.type) {
@@ -131,7 +130,6 @@
 }
 
 // ---- the stand-in peer
-// -------------------------------------------------------------------------------------
 
 // Takes datagrams and streams at one address, keeps them, and answers probes for any member's name, so that
 // the members that a test makes up stay alive.
@@ -239,7 +237,6 @@
 }
 
 // ---- the test
-// ----------------------------------------------------------------------------------------------
 
 class Test {
 public:
--- a/tests/compatibility/protocol_test.cpp
+++ b/tests/compatibility/protocol_test.cpp
@@ -83,7 +83,6 @@
 }
 
 // ---- requests of clients and attempts at servers
-// -----------------------------------------------------------
 
 void phases_and_counters_are_served(const RouterProcess& router) {
     const auto alive = get(router.port, "/alive");
@@ -186,7 +185,6 @@
 }
 
 // ---- answers of servers
-// ------------------------------------------------------------------------------------
 
 // How each answer is counted tells what the program took it for.
 void endings_of_attempts(const RouterProcess& router, StandInServer& cache) {
@@ -302,7 +300,6 @@
 }
 
 // ---- discovery
-// ---------------------------------------------------------------------------------------------
 
 std::string roster_event(bool full, const std::vector<Json::Value>& servers) {
     Json::Value event;
--- a/tests/compatibility/settings_test.cpp
+++ b/tests/compatibility/settings_test.cpp
@@ -29,7 +29,6 @@
 }
 
 // ---- the platform's configuration
-// --------------------------------------------------------------------------
 
 struct WrongValue {
     const char* path;   // where the wrong value is put
@@ -148,7 +147,6 @@
 }
 
 // ---- the operator's file
-// -----------------------------------------------------------------------------------
 
 // Every key, each with a value that is not its default.
 constexpr const char* kOperatorFile = R"({
@@ -258,7 +256,6 @@
 }
 
 // ---- environment
-// -------------------------------------------------------------------------------------------
 
 // EDGE_LISTEN and EDGE_CONTROL stand before the file's own words.
 void environment_names_the_files_and_addresses() {
@@ -291,7 +288,6 @@
 }
 
 // ---- the command line
-// --------------------------------------------------------------------------------------
 
 // Each sub-command with the options that its help names.
 struct Command {
--- a/tests/compatibility/support.h
+++ b/tests/compatibility/support.h
@@ -60,7 +60,6 @@
 }
 
 // ---- files and JSON
-// ----------------------------------------------------------------------------------------
 
 inline std::string read_file(const std::filesystem::path& path) {
     std::ostringstream text;
@@ -123,7 +122,6 @@
 };
 
 // ---- processes
-// ---------------------------------------------------------------------------------------------
 
 using Environment = std::map<std::string, std::string>;
 
@@ -169,7 +167,6 @@
 }
 
 // ---- sockets
-// -----------------------------------------------------------------------------------------------
 
 inline sockaddr_in loopback(unsigned short port) {
     sockaddr_in address{};
@@ -251,7 +248,6 @@
 }
 
 // ---- HTTP/1.1, as far as the tests need it
-// -----------------------------------------------------------------
 
 struct HttpMessage {
     std::string start_line;
@@ -472,7 +468,6 @@
 };
 
 // ---- the router
-// --------------------------------------------------------------------------------------------
 
 // A server of the endpoint list, as discovery writes it.
 inline Json::Value listed_server(const std::string& id, const std::string& address, const std::string& kind,
