--- a/adapter/link.cpp
+++ b/adapter/link.cpp
@@ -268,8 +268,8 @@
         o.request = request_id(f);
         o.attempt = static_cast<std::uint32_t>(f.integer(3, "an attempt"));
         o.attempt_status = look_up(kEndings, f.text(5), "an ending");
-        o.took = Span{f.integer_or_0(6, "a time")};
-        o.over = f.text(7) == "1";
+        o.duration = Span{f.integer_or_0(6, "a time")};
+        o.request_completed = f.text(7) == "1";
         const auto cache_status = f.integer_or_0(8, "a detail");
         if (cache_status >= 0 && cache_status <= 10)
             o.cache_status = static_cast<CacheStatus>(cache_status);
--- a/adapter/settings.cpp
+++ b/adapter/settings.cpp
@@ -104,7 +104,7 @@
     c.name = pairs.needed(at + "name");
     c.latency_objective = pairs.needed_span(at + "aim");
     c.objective_stretch = pairs.number(at + "aim-stretch");
-    c.give_up = pairs.needed_span(at + "give-up");
+    c.client_timeout = pairs.needed_span(at + "give-up");
     c.priority_weight = pairs.number(at + "worth", 1);
     c.late_weight = pairs.number(at + "late-worth");
     c.idempotency = pairs.one_of<Idempotency>(at + "effect", pairs.needed(at + "effect"),
--- a/include/silverrail/routing/router.h
+++ b/include/silverrail/routing/router.h
@@ -46,7 +46,7 @@
     std::string name{};
     Span latency_objective{};      // an answer within this earns its full worth
     double objective_stretch = 0;  // the aim grows by this multiple of the request's own work
-    Span give_up{};
+    Span client_timeout{};         // a client waits for its answer at most so long
     double priority_weight = 1;
     double late_weight = 0;
     Idempotency idempotency = Idempotency::none;
@@ -155,8 +155,8 @@
     RequestId request{};
     std::uint32_t attempt = 0;
     AttemptStatus attempt_status = AttemptStatus::error;
-    Span took{};
-    bool over = false;  // the client has its final answer
+    Span duration{};
+    bool request_completed = false;  // the client has its final answer
     CacheStatus cache_status = CacheStatus::none;
     Span source_wait{};
     LoadReport load{};
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -112,7 +112,7 @@
     c.name = at.text("name");
     c.latency_objective = at.needed_span("aim");
     c.objective_stretch = at.number_or("aim-stretch", 0);
-    c.give_up = at.needed_span("give-up");
+    c.client_timeout = at.needed_span("give-up");
     c.priority_weight = at.number_or("worth", 1);
     c.late_weight = at.number_or("late-worth", 0);
     c.idempotency = at.one_of<Idempotency>("effect", at.text("effect"),
--- a/src/core/book.cpp
+++ b/src/core/book.cpp
@@ -13,8 +13,8 @@
     o.request = key.request;
     o.attempt = key.attempt;
     o.attempt_status = end.attempt_status;
-    o.took = std::max(Span{}, now - attempt.sent);
-    o.over = over;
+    o.duration = std::max(Span{}, now - attempt.sent);
+    o.request_completed = over;
     o.cache_status = end.cache_status;
     o.source_wait = end.source_wait;
     o.load = end.load;
--- a/src/core/take_in.cpp
+++ b/src/core/take_in.cpp
@@ -6,7 +6,7 @@
     for (std::size_t i = 0; i < settings.classes.size(); ++i) {
         const auto& c = settings.classes[i];
         classes_[c.name] = i;
-        forms_.push_back({c.give_up, c.uncached, c.idempotency == routing::Idempotency::keyed});
+        forms_.push_back({c.client_timeout, c.uncached, c.idempotency == routing::Idempotency::keyed});
     }
 }
 
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -98,7 +98,7 @@
 inline Span longest_deadline(const routing::Settings& settings) {
     Span longest{};
     for (const auto& c : settings.classes)
-        longest = std::max(longest, c.give_up);
+        longest = std::max(longest, c.client_timeout);
     return longest;
 }
 
--- a/src/routing/brain.cpp
+++ b/src/routing/brain.cpp
@@ -962,7 +962,7 @@
               e.attempt_status == AttemptStatus::connect_failed ||
               e.attempt_status == AttemptStatus::not_sent || e.attempt_status == AttemptStatus::miss);
         judge(o, a, e);
-        if (e.over)
+        if (e.request_completed)
             o.answered = true;
         if (!o.answered && !o.started)
             carry_on(o, e);
@@ -979,7 +979,7 @@
         Member* source = a.source ? find(*a.source) : nullptr;
         const Member* from = source ? source : target;
         if (from && from->role == Role::origin && !class_of(o).uncached)
-            pause_origin(e.took);
+            pause_origin(e.duration);
         if (target)
             --target->outstanding;
         if (source)
@@ -1003,8 +1003,8 @@
                             (e.attempt_status == AttemptStatus::error && e.cache_status == CacheStatus::none);
         const bool failed = !good && !a.hung && !spoilt && e.attempt_status != AttemptStatus::miss &&
                             e.attempt_status != AttemptStatus::cancelled;
-        const bool in_time = good && e.took <= aim_of(o);
-        const double pace = seconds(e.took) / std::max(1e-3, seconds(aim_of(o)));
+        const bool in_time = good && e.duration <= aim_of(o);
+        const double pace = seconds(e.duration) / std::max(1e-3, seconds(aim_of(o)));
         if (target && hit)
             learn_pace(*target, pace);
         if (source && (filled || (!a.hung && (e.attempt_status == AttemptStatus::timeout ||
@@ -1039,7 +1039,7 @@
             // Untold sizes: a mean over all hits, as one that follows crowded answers calls them all in time.
             auto& seen = hits_seen_[o.request.class_index];
             const double weight = std::max(kLearnSlow, 1 / (seen += 1));
-            work_[o.request.class_index] += weight * (seconds(e.took) - work_[o.request.class_index]);
+            work_[o.request.class_index] += weight * (seconds(e.duration) - work_[o.request.class_index]);
         }
     }
     // Answers past their aim mean that the way bears fewer at once, whatever it is that is slow.
--- a/src/trace/observe.cpp
+++ b/src/trace/observe.cpp
@@ -114,8 +114,8 @@
         e.attempt = outcome->attempt;
         e.attempt_status = static_cast<std::uint8_t>(outcome->attempt_status);
         e.cache_status = static_cast<std::uint8_t>(outcome->cache_status);
-        e.over = outcome->over;
-        e.took = outcome->took.count();
+        e.over = outcome->request_completed;
+        e.took = outcome->duration.count();
         e.source_wait = outcome->source_wait.count();
         e.in_flight = outcome->load.in_flight.value_or(state::kNoFigure);
         e.utilisation = outcome->load.utilisation.value_or(state::kNoFigure);
--- a/src/trace/replay.cpp
+++ b/src/trace/replay.cpp
@@ -203,8 +203,8 @@
         o.attempt = static_cast<std::uint32_t>(e->attempt);
         o.attempt_status = static_cast<AttemptStatus>(e->attempt_status);
         o.cache_status = static_cast<CacheStatus>(e->cache_status);
-        o.over = e->over;
-        o.took = Span{e->took};
+        o.request_completed = e->over;
+        o.duration = Span{e->took};
         o.source_wait = Span{e->source_wait};
         o.load = {figure(e->in_flight), figure(e->utilisation), figure(e->hit_share),
                   figure(e->link_fullness)};
--- a/tests/copies/copies_test.cpp
+++ b/tests/copies/copies_test.cpp
@@ -15,9 +15,9 @@
 constexpr std::int64_t kNowMs = 1'764'576'000'000;
 const Time kNow{1000s};
 const std::vector<silverrail::routing::ClassSettings> kClasses{
-    {.name = "files", .latency_objective = 200ms, .objective_stretch = 1.5, .give_up = 2s},
-    {.name = "pages", .latency_objective = 200ms, .give_up = 2s, .max_age = 8s, .grace = 20s},
-    {.name = "lodge", .latency_objective = 200ms, .give_up = 2s, .uncached = true},
+    {.name = "files", .latency_objective = 200ms, .objective_stretch = 1.5, .client_timeout = 2s},
+    {.name = "pages", .latency_objective = 200ms, .client_timeout = 2s, .max_age = 8s, .grace = 20s},
+    {.name = "lodge", .latency_objective = 200ms, .client_timeout = 2s, .uncached = true},
 };
 constexpr Limits kLimits{.bytes = 100'000, .link = {.flow_bytes_per_s = 10'000, .link_bytes_per_s = 30'000}};
 
--- a/tests/embed_example.cpp
+++ b/tests/embed_example.cpp
@@ -15,8 +15,10 @@
     settings.origin_kind = "origin";
     settings.max_attempts = 3;
     settings.cancellation_supported = true;
-    settings.classes.push_back(
-        {.name = "page", .latency_objective = 250ms, .give_up = 2s, .idempotency = Idempotency::idempotent});
+    settings.classes.push_back({.name = "page",
+                                .latency_objective = 250ms,
+                                .client_timeout = 2s,
+                                .idempotency = Idempotency::idempotent});
 
     Router router{settings, 1};
     const Time start{1s};  // the router's own steady clock
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -69,8 +69,8 @@
                 return false;
             g.tell(Outcome{.request = o.id,
                            .attempt_status = AttemptStatus::success,
-                           .took = took_,
-                           .over = true,
+                           .duration = took_,
+                           .request_completed = true,
                            .cache_status = note_});
             return true;
         });
@@ -141,8 +141,8 @@
             of_first.push_back(object);
         g.tell(Outcome{.request = id,
                        .attempt_status = AttemptStatus::success,
-                       .took = g.source() == slow ? Span{1s} : Span{50ms},
-                       .over = true,
+                       .duration = g.source() == slow ? Span{1s} : Span{50ms},
+                       .request_completed = true,
                        .cache_status = CacheStatus::filled});
         g.pass(50ms);
     }
--- a/tests/gateway.h
+++ b/tests/gateway.h
@@ -24,18 +24,20 @@
     s.outcome_detail = OutcomeDetail::all;
     s.purge_effective_within = 300ms;
     s.purge_complete_within = 6s;
-    s.classes.push_back(
-        {.name = "tile", .latency_objective = 400ms, .give_up = 4s, .idempotency = Idempotency::idempotent});
+    s.classes.push_back({.name = "tile",
+                         .latency_objective = 400ms,
+                         .client_timeout = 4s,
+                         .idempotency = Idempotency::idempotent});
     s.classes.push_back({.name = "save",
                          .latency_objective = 400ms,
-                         .give_up = 4s,
+                         .client_timeout = 4s,
                          .idempotency = Idempotency::keyed,
                          .key_scope = KeyScope::all,
                          .window = 2s,
                          .uncached = true});
     s.classes.push_back({.name = "order",
                          .latency_objective = 400ms,
-                         .give_up = 4s,
+                         .client_timeout = 4s,
                          .idempotency = Idempotency::none,
                          .uncached = true});
     return s;
@@ -86,8 +88,8 @@
         return tell(Outcome{.request = id,
                             .attempt = attempt,
                             .attempt_status = attempt_status,
-                            .took = 50ms,
-                            .over = over || attempt_status == AttemptStatus::success,
+                            .duration = 50ms,
+                            .request_completed = over || attempt_status == AttemptStatus::success,
                             .cache_status = cache_status});
     }
     // Asks and has it served at once; returns the send, or nothing where it was not sent.
--- a/tests/health_test.cpp
+++ b/tests/health_test.cpp
@@ -89,8 +89,8 @@
             const auto source = g.source();
             g.tell(Outcome{.request = id,
                            .attempt_status = AttemptStatus::success,
-                           .took = took,
-                           .over = true,
+                           .duration = took,
+                           .request_completed = true,
                            .cache_status = CacheStatus::filled});
             return source;
         };
@@ -150,8 +150,8 @@
             const auto id = g.ask(object);
             g.tell(Outcome{.request = id,
                            .attempt_status = AttemptStatus::success,
-                           .took = late ? 900ms : 50ms,
-                           .over = true,
+                           .duration = late ? 900ms : 50ms,
+                           .request_completed = true,
                            .cache_status = CacheStatus::hit});
         }
         int out = 0;
@@ -231,8 +231,8 @@
             const auto id = g.ask(object);
             g.tell(Outcome{.request = id,
                            .attempt_status = AttemptStatus::success,
-                           .took = late ? 900ms : 50ms,
-                           .over = true,
+                           .duration = late ? 900ms : 50ms,
+                           .request_completed = true,
                            .cache_status = CacheStatus::filled_from_origin});
         }
         int only_if_cached = 0;
@@ -384,8 +384,8 @@
             const bool first = g.source() == "p1";
             g.tell(Outcome{.request = id,
                            .attempt_status = AttemptStatus::success,
-                           .took = first ? 900ms : 50ms,
-                           .over = true,
+                           .duration = first ? 900ms : 50ms,
+                           .request_completed = true,
                            .cache_status = first ? CacheStatus::filled : CacheStatus::hit});
             late += first;
         }
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -58,7 +58,7 @@
     expect_all_answered(odd, plain_fleet(), "no kinds");
     odd = plain;
     for (auto& c : odd.classes)
-        c.latency_objective = c.give_up = 1ns;
+        c.latency_objective = c.client_timeout = 1ns;
     expect_all_answered(odd, plain_fleet(), "very short times");
     odd = plain;
     odd.server_weights = ServerWeights::nominal;
--- a/tests/silverrail/core_test.cpp
+++ b/tests/silverrail/core_test.cpp
@@ -466,8 +466,8 @@
     };
     const auto each = [](const silverrail::routing::ClassSettings& c) {
         return std::tuple{
-            c.name,        c.latency_objective, c.objective_stretch, c.give_up, c.priority_weight,
-            c.late_weight, c.idempotency,       c.key_scope,         c.window,  c.max_age,
+            c.name,        c.latency_objective, c.objective_stretch, c.client_timeout, c.priority_weight,
+            c.late_weight, c.idempotency,       c.key_scope,         c.window,         c.max_age,
             c.grace,       c.stale_weight,      c.segmented,         c.uncached};
     };
     CHECK(all(a) == all(b) && a.classes.size() == 2 && b.classes.size() == 2);
--- a/tests/size_share_test.cpp
+++ b/tests/size_share_test.cpp
@@ -95,7 +95,7 @@
         }
         s.classes[0].latency_objective = 400ms;
         s.classes[0].objective_stretch = 1.6;
-        s.classes[0].give_up = 5s;
+        s.classes[0].client_timeout = 5s;
         return s;
     }
     static double seconds(Span s) {
@@ -155,8 +155,8 @@
         act(gateway_.tell(Outcome{.request = t.request,
                                   .attempt = t.attempt,
                                   .attempt_status = attempt_status,
-                                  .took = gateway_.now - t.sent,
-                                  .over = r.over,
+                                  .duration = gateway_.now - t.sent,
+                                  .request_completed = r.over,
                                   .cache_status = attempt_status != AttemptStatus::success ? CacheStatus::none
                                                   : t.fill ? CacheStatus::filled
                                                            : CacheStatus::hit}));
