--- /dev/null
+++ b/src/routing/outcome_learning.cpp
@@ -0,0 +1,111 @@
+#include "routing/outcome_learning.h"
+
+#include <algorithm>
+
+#include "routing/durations.h"
+
+namespace silverrail::routing {
+
+namespace {
+
+constexpr double kMinObjective = 1e-3;  // seconds
+
+}  // namespace
+
+void OutcomeLearner::record(const OpenRequest& open, Attempt& attempt, const Outcome& outcome, Time now) {
+    const Servers servers{d_.servers.find(attempt.target),
+                          attempt.source ? d_.servers.find(*attempt.source) : nullptr};
+    const ServerState* provider = servers.source ? servers.source : servers.target;
+    const bool cached_class = !d_.settings.classes[open.request.class_index].uncached;
+    if (provider && provider->role == ServerRole::origin && cached_class)
+        d_.capacity.pause_origin_after(outcome.took, now);
+    if (servers.target)
+        --servers.target->attempts_in_flight;
+    if (servers.source)
+        --servers.source->fills_in_flight;
+
+    const Findings findings = examine(open, outcome);
+    attempt.hung = findings.gave_up && d_.hangs.is_hung(open, attempt, now);
+    if (outcome.attempt_status == AttemptStatus::unobserved)
+        return;  // what was charged stands; nothing else was learned
+    if (servers.target)
+        d_.outliers.record_attempt(*servers.target, attempt, outcome.attempt_status, now);
+    learn_latency(servers, attempt, findings);
+    if (servers.source)
+        learn_of_source(*servers.source, attempt, outcome, findings, now);
+    learn_capacity(attempt, outcome, findings);
+    if (findings.hit && open.request.size_kb <= 0)
+        d_.work.record_hit(open.request, outcome.took);
+}
+
+OutcomeLearner::Findings OutcomeLearner::examine(const OpenRequest& open, const Outcome& outcome) const {
+    const AttemptStatus status = outcome.attempt_status;
+    const CacheStatus cache_status = outcome.cache_status;
+    const bool untold = cache_status == CacheStatus::none;
+    const Span objective = d_.work.latency_objective(open.request);
+
+    Findings findings;
+    findings.succeeded = status == AttemptStatus::success;
+    findings.gave_up = status == AttemptStatus::timeout || status == AttemptStatus::cancelled;
+    findings.hit = findings.succeeded && cache_status == CacheStatus::hit;
+    findings.filled = findings.succeeded && (cache_status == CacheStatus::filled ||
+                                             cache_status == CacheStatus::filled_from_origin ||
+                                             (untold && d_.settings.outcome_detail == OutcomeDetail::off));
+    // A request that hung, or an answer that was spoilt or cut off, says nothing of the capacities.
+    const bool spoilt = status == AttemptStatus::reset || (status == AttemptStatus::error && untold);
+    findings.failed =
+        !findings.succeeded && !spoilt && status != AttemptStatus::miss && status != AttemptStatus::cancelled;
+    findings.in_time = findings.succeeded && outcome.took <= objective;
+    findings.relative_latency = to_seconds(outcome.took) / std::max(kMinObjective, to_seconds(objective));
+    return findings;
+}
+
+void OutcomeLearner::learn_latency(const Servers& servers, const Attempt& attempt, const Findings& findings) {
+    if (servers.target && findings.hit)
+        OutlierDetector::record_latency(*servers.target, findings.relative_latency);
+    const bool source_was_slow = findings.gave_up && !attempt.hung;
+    if (servers.source && (findings.filled || source_was_slow))
+        OutlierDetector::record_latency(*servers.source, findings.relative_latency);
+}
+
+void OutcomeLearner::learn_of_source(ServerState& source, const Attempt& attempt, const Outcome& outcome,
+                                     const Findings& findings, Time now) {
+    if (findings.filled) {
+        d_.outliers.record_life(source, now);
+        ++source.epoch_fills;
+    } else if (findings.hit && attempt.charged_source) {
+        SlowStart::refund(source, attempt.work);
+    } else if (outcome.cache_status == CacheStatus::source_unreachable) {
+        const bool refused = outcome.attempt_status == AttemptStatus::overloaded;
+        if (refused)
+            d_.outliers.record_failure(source, true, OutlierDetector::kFailuresToEject, now);
+        else
+            d_.outliers.record_silence(source, attempt.sent_at, now);
+    }
+}
+
+void OutcomeLearner::learn_capacity(const Attempt& attempt, const Outcome& outcome,
+                                    const Findings& findings) {
+    const bool failed = findings.failed && !attempt.hung;
+    if (findings.hit || findings.filled)
+        d_.capacity.record_cache_lookup(findings.hit);
+    if (findings.hit)
+        d_.capacity.cache_factor().record(findings.in_time);
+    if (findings.filled || (attempt.source && failed))
+        d_.capacity.fill_factor().record(findings.in_time);
+    const bool read_directly = findings.succeeded && attempt.direct_read;
+    if (involved_origin(attempt, outcome) && (findings.filled || failed || read_directly))
+        d_.capacity.origin_factor().record(findings.in_time);
+}
+
+// Where answers do not tell, the origin had a part in any fill that was not asked of the parent alone.
+bool OutcomeLearner::involved_origin(const Attempt& attempt, const Outcome& outcome) const {
+    if (outcome.cache_status == CacheStatus::filled_from_origin ||
+        outcome.cache_status == CacheStatus::origin_failed || attempt.direct_read)
+        return true;
+    const bool filled_from_parent =
+        d_.settings.outcome_detail == OutcomeDetail::all && outcome.cache_status == CacheStatus::filled;
+    return attempt.source && !attempt.only_if_cached && !filled_from_parent;
+}
+
+}  // namespace silverrail::routing
--- /dev/null
+++ b/src/routing/server_table.cpp
@@ -0,0 +1,120 @@
+#include "routing/server_table.h"
+
+#include <algorithm>
+#include <cmath>
+#include <limits>
+#include <tuple>
+#include <utility>
+
+#include "routing/hashing.h"
+
+namespace silverrail::routing {
+
+namespace {
+
+constexpr double kMinWeight = 0.01;
+
+// Weighted rendezvous hashing: the score depends on the server and the key alone.
+double rendezvous_score(const ServerState& server, std::uint64_t key) {
+    return -server.weight / std::log(to_fraction(mix_bits(server.hash ^ mix_bits(key))));
+}
+
+// A new process starts cold, and what was learned of the old one does not hold for it.
+void reset_for_new_process(ServerState& server, Time started_at, Time now) {
+    server.started_at = started_at;
+    server.failures = 0;
+    server.ejected = false;
+    server.refused_since.reset();
+    server.relative_latency = 0;
+    server.slow_start_budget = 0;
+    server.slow_start_refilled_at = now;
+}
+
+}  // namespace
+
+void ServerTable::apply(const ServerList& list, Time now) {
+    if (list.complete)
+        for (auto& [id, server] : servers_)
+            server.listed = false;
+    for (const ListedServer& listed : list.caches)
+        update(listed, now);
+    std::erase_if(servers_, [](const auto& entry) {
+        const ServerState& server = entry.second;
+        return !server.listed && server.attempts_in_flight == 0 && server.fills_in_flight == 0;
+    });
+    by_role_ = {};
+    for (auto& [id, server] : servers_)
+        if (server.listed)
+            by_role_[static_cast<std::size_t>(server.role)].push_back(&server);
+}
+
+void ServerTable::update(const ListedServer& listed, Time now) {
+    ServerState& server = servers_[listed.id];
+    server.id = listed.id;
+    server.hash = hash_text(listed.id.address);
+    server.role = role_of(listed);
+    const bool weighted = settings_.server_weights == ServerWeights::nominal;
+    server.weight = weighted ? std::max(listed.weight, kMinWeight) : 1.0;
+    server.cell = listed.cell;
+    server.zone = listed.zone;
+    server.listed = listed.condition != Condition::gone;
+    server.ready = listed.condition == Condition::ready;
+    if (listed.started_at && (!server.started_at || *listed.started_at > *server.started_at))
+        reset_for_new_process(server, *listed.started_at, now);
+}
+
+ServerRole ServerTable::role_of(const ListedServer& listed) const {
+    if (listed.kind == settings_.origin_kind)
+        return ServerRole::origin;
+    if (!settings_.parent_kind.empty() && listed.kind == settings_.parent_kind)
+        return ServerRole::parent;
+    return listed.zone == settings_.zone ? ServerRole::cache : ServerRole::foreign;
+}
+
+ServerState* ServerTable::find(const ServerId& id) {
+    const auto found = servers_.find(id);
+    return found == servers_.end() ? nullptr : &found->second;
+}
+
+const ServerState* ServerTable::find(const ServerId& id) const {
+    const auto found = servers_.find(id);
+    return found == servers_.end() ? nullptr : &found->second;
+}
+
+bool ServerTable::is_usable(const ServerId& id) const {
+    const ServerState* server = find(id);
+    return server && routing::is_usable(*server);
+}
+
+std::vector<RankedServer> ServerTable::in_rendezvous_order(ServerRole role, std::uint64_t key) const {
+    std::vector<RankedServer> order;
+    for (ServerState* server : listed(role))
+        order.push_back({-rendezvous_score(*server, key), server});
+    std::sort(order.begin(), order.end(), [](const RankedServer& a, const RankedServer& b) {
+        return std::tie(a.cost, a.server->id) < std::tie(b.cost, b.server->id);
+    });
+    return order;
+}
+
+bool ServerTable::others_alive_since(const ServerState& server, Time since) const {
+    return std::any_of(servers_.begin(), servers_.end(), [&](const auto& entry) {
+        const ServerState& other = entry.second;
+        const bool counts = server.role == ServerRole::cache || other.role == server.role;
+        return &other != &server && counts && other.last_alive > since;
+    });
+}
+
+double ServerTable::take_parent_imbalance() {
+    double most = 0;
+    double fewest = std::numeric_limits<double>::max();
+    for (ServerState* parent : listed(ServerRole::parent)) {
+        // The hash gives each parent its weight's share of the fills.
+        const double load = (parent->epoch_fills + 1) / parent->weight;
+        most = std::max(most, load);
+        fewest = std::min(fewest, load);
+        parent->epoch_fills = 0;
+    }
+    return most / fewest;
+}
+
+}  // namespace silverrail::routing
