--- a/src/routing/outcome_learning.cpp
+++ b/src/routing/outcome_learning.cpp
@@ -18,7 +18,7 @@
     const ServerState* provider = servers.source ? servers.source : servers.target;
     const bool cached_class = !d_.settings.classes[open.request.class_index].uncached;
     if (provider && provider->role == ServerRole::origin && cached_class)
-        d_.capacity.pause_origin_after(outcome.took, now);
+        d_.capacity.pause_origin_after(outcome.duration, now);
     if (servers.target)
         --servers.target->attempts_in_flight;
     if (servers.source)
@@ -35,7 +35,7 @@
         learn_of_source(*servers.source, attempt, outcome, findings, now);
     learn_capacity(attempt, outcome, findings);
     if (findings.hit && open.request.size_kb <= 0)
-        d_.work.record_hit(open.request, outcome.took);
+        d_.work.record_hit(open.request, outcome.duration);
 }
 
 OutcomeLearner::Findings OutcomeLearner::examine(const OpenRequest& open, const Outcome& outcome) const {
@@ -55,8 +55,8 @@
     const bool spoilt = status == AttemptStatus::reset || (status == AttemptStatus::error && untold);
     findings.failed =
         !findings.succeeded && !spoilt && status != AttemptStatus::miss && status != AttemptStatus::cancelled;
-    findings.in_time = findings.succeeded && outcome.took <= objective;
-    findings.relative_latency = to_seconds(outcome.took) / std::max(kMinObjective, to_seconds(objective));
+    findings.in_time = findings.succeeded && outcome.duration <= objective;
+    findings.relative_latency = to_seconds(outcome.duration) / std::max(kMinObjective, to_seconds(objective));
     return findings;
 }
 
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -135,7 +135,7 @@
         attempt.in_flight = false;
         attempt.may_have_run = !never_ran(outcome.attempt_status);
         learner_.record(open, attempt, outcome, now_);
-        if (outcome.over)
+        if (outcome.request_completed)
             open.answered = true;
         if (!open.answered && !open.streaming)
             retry_or_give_up(open, outcome.attempt_status);
