--- a/include/silverrail/routing/router.h
+++ b/include/silverrail/routing/router.h
@@ -1,5 +1,11 @@
-// The interface of the decision module: what the program tells its Router, and what the Router asks of it.
-// The decisions are in src/routing/. Nothing here reads a clock, keeps a thread or does I/O.
+// The interface of the decision module: what a program tells its Router (settings and events), and what the
+// Router asks of it (actions).
+//
+// A Router is a deterministic state machine: it reads no clock, keeps no thread and does no I/O. Time comes
+// in with each event, randomness with the seed, so that the same events give the same actions. The
+// implementation is in src/routing/; docs/design.md says what the decisions follow.
+//
+// Units: durations and times are those of `Span` and `Time`, sizes are kilobytes, rates kilobytes a second.
 #pragma once
 
 #include <chrono>
@@ -13,7 +19,7 @@
 
 namespace silverrail::routing {
 
-// A clock that is never read: time comes in with each event.
+// A clock that is never read: it only gives `Time` a type of its own.
 struct Clock {
     using duration = std::chrono::nanoseconds;
     using rep = duration::rep;
@@ -26,8 +32,8 @@
 
 enum class RequestId : std::uint64_t {};
 enum class ObjectId : std::uint64_t {};
-enum class GroupId : std::uint64_t {};  // objects purged together
-enum class CellId : std::int64_t {};    // caches that share which keys they have seen
+enum class GroupId : std::uint64_t {};  // of objects that are purged together
+enum class CellId : std::int64_t {};    // of servers that share their idempotency keys
 enum class TimerId : std::uint64_t {};
 
 struct ServerId {
@@ -35,49 +41,56 @@
     auto operator<=>(const ServerId&) const = default;
 };
 
-// ---- start-up settings -------------------------------------------------------------------------
+// ---- Settings: given once, at the start --------------------------------------------------------
 
+// May a request run more than once? keyed: repeats with the same idempotency key are recognised.
 enum class Idempotency { idempotent, keyed, none };
-enum class KeyScope { all, zone, cell };           // which caches drop the repeats of a keyed request
-enum class OutcomeDetail { off, hit, all };        // how much answers tell of how they came about
-enum class ServerWeights { none, nominal, live };  // none: every cache counts the same
+// The servers that recognise each other's idempotency keys.
+enum class KeyScope { all, zone, cell };
+// How much answers tell of how they came about: nothing, hits, everything.
+enum class OutcomeDetail { off, hit, all };
+// The meaning of servers' weights. none: every server counts the same.
+enum class ServerWeights { none, nominal, live };
 
 struct ClassSettings {
     std::string name{};
-    Span latency_objective{};      // an answer within this earns its full worth
-    double objective_stretch = 0;  // the aim grows by this multiple of the request's own work
-    Span client_timeout{};         // a client waits for its answer at most so long
-    double priority_weight = 1;
-    double late_weight = 0;
+    Span latency_objective{};  // an answer within this earns its full weight
+    double objective_stretch =
+        0;                       // multiple of the request's own sending time that is added to the objective
+    Span client_timeout{};       // the longest that a client waits for its answer
+    double priority_weight = 1;  // of an answer within the objective
+    double late_weight = 0;      // of a later answer
     Idempotency idempotency = Idempotency::none;
     KeyScope key_scope = KeyScope::cell;
-    Span window{};   // for keyed: how long repeats are remembered
-    Span max_age{};  // 0: a copy is good until it is purged
-    Span grace{};    // how far past max_age a copy may still be served
-    double stale_weight = 0;
-    bool segmented = false;
-    bool uncached = false;
+    Span window{};            // keyed: how long repeats are recognised
+    Span max_age{};           // 0: a copy is fresh until it is purged
+    Span grace{};             // how far past max_age a stale copy may be served
+    double stale_weight = 0;  // of an answer with a stale copy
+    bool segmented = false;   // objects are requested in segments
+    bool uncached = false;    // requests run at the origin
 };
 
 struct Settings {
     std::vector<ClassSettings> classes;
-    std::string zone{};
-    int routers = 1;  // in the whole tier
+    std::string zone{};  // of this router
+    int routers = 1;     // in all zones together
     int routers_in_zone = 1;
-    std::string parent_kind;  // empty: no parents
+    std::string parent_kind;  // empty: there are no parents
     std::string origin_kind;
     ServerWeights server_weights = ServerWeights::none;
-    double flow_kb_per_s = 0;       // top pace of one answer; 0: not told
-    double zone_link_kb_per_s = 0;  // what the link for this zone's fills carries; 0: not told
+    double flow_kb_per_s = 0;       // top rate of one answer; 0: not told
+    double zone_link_kb_per_s = 0;  // of the link that this zone's fills use; 0: not told
     OutcomeDetail outcome_detail = OutcomeDetail::off;
     bool cancellation_supported = false;
-    bool retry_after = false;
-    bool direct = false;  // requests may go straight to a parent or the origin
-    bool joins = false;   // caches let a request join a fill under way
+    bool retry_after = false;  // rejected clients are told how long to wait
+    bool direct = false;       // requests may be sent straight to a parent or the origin
+    bool joins = false;        // servers coalesce a request with a fill that is under way
     Span max_retry_after{};
     int max_attempts = 1;
-    Span purge_effective_within{};  // a purge must be heeded by then
-    Span purge_complete_within{};   // and all older copies are dropped by then
+    Span purge_effective_within{};  // no purged copy is served later than this after the purge
+    Span purge_complete_within{};   // and no server holds one later than this after that
+    // Slow start: the share of its capacity that a server has at its start, how long it takes to reach all of
+    // it, and the multiple of its capacity that overloads it when it is kept up for the window.
     double slow_start_share = 0;
     Span slow_start_duration{};
     double overload_multiple = 1;
@@ -87,53 +100,59 @@
     double parent_overload_multiple = 1;
 };
 
-// ---- events ------------------------------------------------------------------------------------
+// ---- Events: what the program tells ------------------------------------------------------------
 
 enum class Condition { ready, draining, gone };
 
 struct ListedServer {
     ServerId id{};
     Condition condition = Condition::ready;
-    double weight = 1;  // its link out, in answers at top pace
+    double weight = 1;  // capacity of its link, in answers at top rate
     CellId cell{};
     std::string zone{};
     std::string kind{};
     std::optional<Time> started_at{};  // absent: long ago
 };
+
 struct ServerList {
-    bool complete = false;  // a cache that is absent from a complete list has left
+    bool complete = false;  // a server that is absent from a complete list has left
     std::vector<ListedServer> caches{};
 };
+
 struct Request {
     RequestId id{};
     std::size_t class_index = 0;
     ObjectId object{};
     GroupId group{};
-    std::uint32_t part = 0;
-    double size_kb = 0;  // 0: not told
+    std::uint32_t part = 0;  // segment
+    double size_kb = 0;      // 0: not told
     Time deadline{};
-    bool is_retry = false;
-    bool redirected = false;  // the client goes to the cache itself, and may go on doing so for a while
+    bool is_retry = false;    // the client has sent it before
+    bool redirected = false;  // the client goes to the server itself, and may do so again for a while
 };
-struct ResponseStarted {  // a streamed answer has begun: the attempt now belongs to the client
+
+// The response has begun and is passed on as it comes: the attempt now belongs to the client.
+struct ResponseStarted {
     RequestId request{};
     std::uint32_t attempt = 0;
 };
-// unobserved: the client was sent to the cache itself, so nobody here saw how or whether it ended.
+
 enum class AttemptStatus {
     success,
-    error,
-    overloaded,
-    timeout,
-    connect_failed,
-    reset,
+    error,           // an answer that is no good
+    overloaded,      // rejected by the server, unprocessed
+    timeout,         // the attempt's own
+    connect_failed,  // the connection was refused
+    reset,           // the connection broke after the request was sent
     cancelled,
-    not_sent,
-    miss,
-    unobserved
+    not_sent,    // held back by the program
+    miss,        // the server holds no copy and was not to fill it
+    unobserved,  // the client was redirected: nobody here saw how or whether it ended
 };
+
+// How an answer came about, as the server tells.
 enum class CacheStatus {
-    none,
+    none,  // not told
     hit,
     filled,
     filled_from_origin,
@@ -143,14 +162,17 @@
     source_unreachable,
     source_missing,
     no_fill_slot,
-    origin_failed
+    origin_failed,
 };
-struct LoadReport {  // what a report told; absent values were not in it
+
+// A server's load report; absent values were not in it.
+struct LoadReport {
     std::optional<double> in_flight;
     std::optional<double> utilisation;
     std::optional<double> hit_share;
     std::optional<double> link_fullness;
 };
+
 struct Outcome {
     RequestId request{};
     std::uint32_t attempt = 0;
@@ -158,60 +180,74 @@
     Span duration{};
     bool request_completed = false;  // the client has its final answer
     CacheStatus cache_status = CacheStatus::none;
-    Span source_wait{};
+    Span source_wait{};  // time that the server waited for the source
     LoadReport load{};
 };
+
 struct ClientClosed {
     RequestId request{};
 };
+
 struct Purge {
     std::optional<ObjectId> object{};  // absent: every object of the group
     GroupId group{};
-    Span age{};
+    Span age{};  // since it was issued
 };
+
+// A timer set with SetTimer is due.
 struct Timer {
     TimerId id{};
 };
+
 using Event = std::variant<ServerList, Request, ResponseStarted, Outcome, ClientClosed, Purge, Timer>;
 
-// ---- actions -----------------------------------------------------------------------------------
+// ---- Actions: what the Router asks for ---------------------------------------------------------
 
+// How long a server is to keep the copy that it fills.
 enum class RetentionPriority { no_store = 0, lowest = 1, middle = 2, highest = 3 };
 
 struct Fill {
-    ServerId source{};  // the same cache as the target: nothing is filled
+    ServerId source{};  // the target itself: nothing is filled
     RetentionPriority retention = RetentionPriority::no_store;
-    Span oldest{};  // 0: the class's max_age
-    bool join = false;
-    bool revalidate = false;
+    Span oldest{};                // greatest age of a copy that will do; 0: the class's max_age
+    bool join = false;            // may be coalesced with a fill under way
+    bool revalidate = false;      // a stale copy is to be revalidated
     bool only_if_cached = false;  // the source gives only what it holds
 };
+
 struct Send {
     RequestId request{};
     ServerId target{};
-    Span timeout{};              // 0: until the client gives up
-    std::optional<Fill> fill{};  // absent: a plain look
-    // A repeat of a keyed request: not a byte of it may go out at or after that, whatever it waited for.
+    Span timeout{};              // 0: none but the request's deadline
+    std::optional<Fill> fill{};  // absent: the target's own copy, or a write
+    // A retry of a keyed request: none of it may be sent at or after this.
     std::optional<Time> repeat_before{};
 };
+
 struct Cancel {
     RequestId request{};
     std::uint32_t attempt = 0;
 };
-struct Reject {  // tells the client that trying again is harmless
+
+// A final answer which promises that the request has had no effect: trying again is harmless.
+struct Reject {
     RequestId request{};
     Span retry_after{};
 };
-struct Fail {  // promises nothing
+
+// A final answer that promises nothing.
+struct Fail {
     RequestId request{};
 };
+
 struct SetTimer {
     TimerId id{};
     Span after{};
 };
+
 using Action = std::variant<Send, Cancel, Reject, Fail, SetTimer>;
 
-// One router's decisions: a deterministic state machine. `now` must not run backwards.
+// The decisions of one router.
 class Router {
 public:
     Router(Settings settings, std::uint64_t seed);
@@ -219,18 +255,20 @@
     Router(Router&&) noexcept;
     Router& operator=(Router&&) noexcept;
 
+    // Handles an event and returns the actions that it calls for, in order. `now` must not run backwards.
+    // Events of unknown requests or attempts are ignored.
     [[nodiscard]] std::vector<Action> on(const Event& event, Time now);
 
-    // From now on so many processes count as this one router, and each keeps to its part of every budget.
+    // From now on so many processes count as this one router, and each keeps to its share of every budget.
     void share_with(int processes);
 
-    // A listed cache that requests are kept away from now, or that gets trials only.
+    // Is the server listed as usable, but ejected or slow, so that it gets trial requests at most?
     [[nodiscard]] bool avoids(const ServerId& id) const;
 
-    // What the design's tracker stands at, for a router's own metrics and for tests.
+    // Sizes of the router's state, for metrics and tests.
     struct Sizes {
-        std::size_t hot_capacity;      // C
-        std::size_t tracker_capacity;  // K
+        std::size_t hot_capacity;
+        std::size_t tracker_capacity;
         std::size_t hot;
         std::size_t tracked;
         std::size_t open_requests;
