--- a/tests/health_test.cpp
+++ b/tests/routing/outlier_detection_test.cpp
@@ -1,12 +1,12 @@
 // Defences against what fails, each told from outcomes and silence alone.
 #include <algorithm>
 
-#include "gateway.h"
+#include "router_fixture.h"
 
 namespace silverrail::routing::testing {
 namespace {
 
-std::uint64_t object_of(Gateway& g, const std::string& home) {
+std::uint64_t object_of(TestRouter& g, const std::string& home) {
     for (std::uint64_t object = 1;; ++object) {
         const auto send = g.serve(object);
         if (send && send->target.address == home)
@@ -14,11 +14,11 @@
     }
 }
 
-TEST(Ejection, ACacheThatRefusesConnectionsIsLeftAloneAndTriedAgain) {
-    Gateway g;
+TEST(Ejection, ACacheThatRefusesConnectionsIsEjectedAndTriedAgain) {
+    TestRouter g;
     const auto object = object_of(g, "c1");
     for (int i = 0; i < 2; ++i) {
-        const auto id = g.ask(object);
+        const auto id = g.request(object);
         ASSERT_EQ(g.target(), "c1");
         g.end(id, AttemptStatus::connect_failed);
         EXPECT_NE(g.target(), "c1");
@@ -26,9 +26,9 @@
     }
     EXPECT_NE(g.serve(object)->target.address, "c1");
     g.pass(1100ms);
-    const auto trial = g.ask(object);
+    const auto trial = g.request(object);
     EXPECT_EQ(g.target(), "c1");
-    g.ask(object);
+    g.request(object);
     EXPECT_NE(g.target(), "c1");  // one trial at a time
     g.end(trial, AttemptStatus::success, CacheStatus::hit);
     EXPECT_EQ(g.serve(object)->target.address, "c1");
@@ -36,10 +36,10 @@
 
 // Answers that are spoilt or cut off come from all caches alike: two in a row would soon bar them all.
 TEST(Ejection, TakesMoreAnswersCutOffThanRefusedConnections) {
-    Gateway g;
+    TestRouter g;
     const auto object = object_of(g, "c1");
     for (int i = 0; i < 4; ++i) {
-        const auto id = g.ask(object);
+        const auto id = g.request(object);
         ASSERT_EQ(g.target(), "c1");
         g.end(id, AttemptStatus::reset);
         g.end(id, AttemptStatus::success, CacheStatus::hit, 1);
@@ -47,51 +47,51 @@
     EXPECT_NE(g.serve(object)->target.address, "c1");
 }
 
-TEST(Silence, IsHeldAgainstACacheOnlyIfAnotherAnswersMeanwhile) {
+TEST(Silence, EjectsACacheOnlyIfAnotherAnswersMeanwhile) {
     for (const bool others_answer : {true, false}) {
-        Gateway g;
+        TestRouter g;
         const auto object = object_of(g, "c1");
         const auto other = object_of(g, "c2");
         g.pass(1ms);
         std::vector<RequestId> held;
         for (int i = 0; i < 2; ++i)
-            held.push_back(g.ask(object));
+            held.push_back(g.request(object));
         g.pass(1250ms);
         if (others_answer)
             g.serve(other);
         for (const auto id : held)
-            g.tell(Timer{TimerId{static_cast<std::uint64_t>(id)}});
+            g.notify(Timer{TimerId{static_cast<std::uint64_t>(id)}});
         EXPECT_TRUE(g.find<Cancel>());
         for (const auto id : held)
             g.end(id, AttemptStatus::cancelled);
-        g.ask(object);
+        g.request(object);
         EXPECT_EQ(g.target() == "c1", !others_answer);
     }
 }
 
-TEST(Silence, AFillAtACacheThatAnswersOthersIsLeftToRunWithinItsAim) {
-    Gateway g;
+TEST(Silence, AFillAtACacheThatAnswersOthersRunsOnWithinItsObjective) {
+    TestRouter g;
     const auto object = object_of(g, "c1");
     g.pass(1ms);
-    const auto id = g.ask(object);
+    const auto id = g.request(object);
     g.pass(390ms);
     g.serve(object, CacheStatus::filled);
-    EXPECT_TRUE(g.tell(Timer{TimerId{static_cast<std::uint64_t>(id)}}).size() == 1);
+    EXPECT_TRUE(g.notify(Timer{TimerId{static_cast<std::uint64_t>(id)}}).size() == 1);
     EXPECT_TRUE(g.find<SetTimer>());
 }
 
 // Guards against parents that turn slow without failing: their fills would hold all of a router's places.
-TEST(Slowness, AParentPastItsAimAndTwiceAsSlowAsAPeerGetsOneFillAtATime) {
+TEST(Slowness, AParentPastItsObjectiveAndTwiceAsSlowAsAPeerGetsOneFillAtATime) {
     for (const bool all_slow : {false, true}) {
-        Gateway g;
+        TestRouter g;
         const auto fill_in = [&](std::uint64_t object, Span took) {
-            const auto id = g.ask(object);
+            const auto id = g.request(object);
             const auto source = g.source();
-            g.tell(Outcome{.request = id,
-                           .attempt_status = AttemptStatus::success,
-                           .duration = took,
-                           .request_completed = true,
-                           .cache_status = CacheStatus::filled});
+            g.notify(Outcome{.request = id,
+                             .attempt_status = AttemptStatus::success,
+                             .duration = took,
+                             .request_completed = true,
+                             .cache_status = CacheStatus::filled});
             return source;
         };
         std::vector<std::uint64_t> at_p1;
@@ -100,9 +100,9 @@
                 at_p1.push_back(object);
         for (int i = 0; i < 60; ++i)
             fill_in(at_p1[0], 900ms);  // aim 400 ms
-        g.ask(at_p1[1]);
+        g.request(at_p1[1]);
         EXPECT_EQ(g.source(), "p1");  // the trial
-        g.ask(at_p1[2]);
+        g.request(at_p1[2]);
         EXPECT_EQ(g.source(), all_slow ? "p1" : "p2");
     }
 }
@@ -112,12 +112,12 @@
     for (const bool direct : {true, false}) {
         auto settings = plain_settings();
         settings.direct = direct;
-        Gateway g{settings, plain_fleet(3, 4)};
-        const auto id = g.ask(1);
+        TestRouter g{settings, plain_fleet(3, 4)};
+        const auto id = g.request(1);
         for (std::uint32_t n = 0; n < 2; ++n) {
             ASSERT_EQ(g.target()[0], 'c');
             g.pass(1250ms);
-            g.tell(Timer{TimerId{static_cast<std::uint64_t>(id)}});
+            g.notify(Timer{TimerId{static_cast<std::uint64_t>(id)}});
             ASSERT_TRUE(g.find<Cancel>());
             g.end(id, AttemptStatus::cancelled, CacheStatus::none, n);
         }
@@ -126,50 +126,50 @@
 }
 
 // Guards small shares: chance alone brings several requests at once to a cache that many routers share.
-TEST(SmallShare, LeavesRoomForChanceAtAHome) {
+TEST(SmallShare, LeavesCapacityForChanceAtAnObjectsCache) {
     auto settings = plain_settings();
     settings.server_weights = ServerWeights::nominal;
     settings.routers_in_zone = 8;  // one answer at once is this router's share of a cache
-    Gateway g{settings, plain_fleet(3, 4)};
+    TestRouter g{settings, plain_fleet(3, 4)};
     const auto object = object_of(g, "c1");
     for (int i = 0; i < 3; ++i) {
-        g.ask(object);
+        g.request(object);
         EXPECT_EQ(g.target(), "c1");
     }
     for (int i = 0; i < 3; ++i)
-        g.ask(object);
+        g.request(object);
     EXPECT_NE(g.target(), "c1");
 }
 
 // Guards overload of the caches' own links: hits that come late lower how many may be out at one cache.
-TEST(SmallShare, LateHitsLowerTheRoomAtACache) {
+TEST(SmallShare, LateHitsLowerTheCapacityOfACache) {
     const auto at_home = [](bool late) {
-        Gateway g;  // unweighted caches
+        TestRouter g;  // unweighted caches
         const auto object = object_of(g, "c1");
         for (int i = 0; i < 10; ++i) {
-            const auto id = g.ask(object);
-            g.tell(Outcome{.request = id,
-                           .attempt_status = AttemptStatus::success,
-                           .duration = late ? 900ms : 50ms,
-                           .request_completed = true,
-                           .cache_status = CacheStatus::hit});
+            const auto id = g.request(object);
+            g.notify(Outcome{.request = id,
+                             .attempt_status = AttemptStatus::success,
+                             .duration = late ? 900ms : 50ms,
+                             .request_completed = true,
+                             .cache_status = CacheStatus::hit});
         }
         int out = 0;
-        while (g.ask(object), g.target() == "c1")
+        while (g.request(object), g.target() == "c1")
             ++out;
         return out;
     };
     EXPECT_LT(at_home(true), at_home(false));
 }
 
-TEST(FullLink, DirectReadsTakeAPlaceToo) {
+TEST(FullLink, DirectReadsCountAsFills) {
     auto settings = plain_settings();
     settings.flow_kb_per_s = 1000;
     settings.zone_link_kb_per_s = 4000;
-    Gateway g{settings, plain_fleet(0)};
+    TestRouter g{settings, plain_fleet(0)};
     int sent = 0;
     for (std::uint64_t object = 1; object <= 30; ++object) {
-        g.ask(object);
+        g.request(object);
         sent += g.find<Send>().has_value();
     }
     EXPECT_GT(sent, 2);
@@ -183,10 +183,10 @@
         ServerWeights::nominal;  // 8 a cache: full at 20 and two deviations of this router's
     settings.flow_kb_per_s = 1000;
     settings.zone_link_kb_per_s = 1000000;
-    Gateway g{settings, plain_fleet(1)};
+    TestRouter g{settings, plain_fleet(1)};
     int at_cache = 0;
     for (std::uint64_t object = 1; object <= 35; ++object) {
-        g.ask(object);
+        g.request(object);
         at_cache += g.target() == "c1";
     }
     EXPECT_EQ(at_cache, 29);
@@ -195,22 +195,22 @@
 
 // Guards against sources that turn fills away at once: no late answer would ever tell that they are
 // overloaded.
-TEST(FullLink, FillsThatAreTurnedAwayLowerThePlaces) {
+TEST(FullLink, RejectedFillsLowerTheLimit) {
     auto settings = plain_settings();
     settings.flow_kb_per_s = 1000;
     settings.zone_link_kb_per_s = 8000;
     const auto places = [&](int turned_away, AttemptStatus attempt_status = AttemptStatus::overloaded) {
-        Gateway g{settings, plain_fleet(9, 4)};
+        TestRouter g{settings, plain_fleet(9, 4)};
         std::uint64_t object = 1;
         for (int i = 0; i < turned_away; ++i) {
-            const auto id = g.ask(object++);
+            const auto id = g.request(object++);
             for (std::uint32_t n = 0; g.find<Send>(); ++n)
                 g.end(id, attempt_status, CacheStatus::none, n);
         }
         g.pass(20s);  // whoever was ejected is tried again
         int open = 0;
         do {
-            g.ask(object++);
+            g.request(object++);
             g.pass(1ms);
         } while (g.source() != g.target() && ++open < 60);
         return open;
@@ -226,19 +226,19 @@
         auto settings = plain_settings();
         settings.flow_kb_per_s = 1000;
         settings.zone_link_kb_per_s = 40000;
-        Gateway g{settings, plain_fleet(9, 4)};
+        TestRouter g{settings, plain_fleet(9, 4)};
         for (std::uint64_t object = 1; object <= 12; ++object) {
-            const auto id = g.ask(object);
-            g.tell(Outcome{.request = id,
-                           .attempt_status = AttemptStatus::success,
-                           .duration = late ? 900ms : 50ms,
-                           .request_completed = true,
-                           .cache_status = CacheStatus::filled_from_origin});
+            const auto id = g.request(object);
+            g.notify(Outcome{.request = id,
+                             .attempt_status = AttemptStatus::success,
+                             .duration = late ? 900ms : 50ms,
+                             .request_completed = true,
+                             .cache_status = CacheStatus::filled_from_origin});
         }
         int only_if_cached = 0;
         int refused = 0;
         for (std::uint64_t object = 101; object <= 140; ++object) {
-            const auto id = g.ask(object);
+            const auto id = g.request(object);
             const auto send = g.find<Send>();
             if (!send || !send->fill || !send->fill->only_if_cached) {
                 g.end(id, AttemptStatus::success, CacheStatus::hit);
@@ -261,9 +261,9 @@
     auto settings = plain_settings();
     settings.flow_kb_per_s = 1000;
     settings.zone_link_kb_per_s = 4000;
-    Gateway g{settings, plain_fleet(0)};
+    TestRouter g{settings, plain_fleet(0)};
     const auto ask_sized = [&](std::uint64_t object, double kb) {
-        g.tell(Request{
+        g.notify(Request{
             .id = RequestId{++g.ids}, .object = ObjectId{object}, .size_kb = kb, .deadline = g.now + 4s});
         return g.find<Send>().has_value();
     };
@@ -278,17 +278,17 @@
 // A process that ended, seen from refused connections, and answers again is taken as cold before the list
 // says so. Guards too against lost answers: their connections break, but the process runs and is as warm as
 // before.
-TEST(ColdStart, IsInferredFromAReturnAfterRefusedConnectionsNotBrokenOnes) {
+TEST(SlowStart, IsInferredFromAReturnAfterRefusedConnectionsNotBrokenOnes) {
     for (const AttemptStatus attempt_status : {AttemptStatus::connect_failed, AttemptStatus::reset}) {
         auto settings = plain_settings();
         settings.slow_start_share = 0.1;
         settings.slow_start_duration = 10s;
         settings.overload_multiple = 1;
         settings.overload_window = 1s;
-        Gateway g{settings};
+        TestRouter g{settings};
         const auto object = object_of(g, "c1");
         for (int i = 0; i < 2; ++i) {
-            const auto id = g.ask(object);
+            const auto id = g.request(object);
             g.end(id, attempt_status);
             g.end(id, AttemptStatus::success, CacheStatus::hit, 1);
         }
@@ -299,16 +299,16 @@
 }
 
 // Guards a parent that its peers' loss or slowness leaves with the work of all.
-TEST(CrowdedParent, IsPassedOverOnceItFillsThisGatewaysShareOfItsLink) {
+TEST(CrowdedParent, IsPassedOverOnceThisRoutersShareOfItsLinkIsUsed) {
     auto settings = plain_settings();
     settings.server_weights = ServerWeights::nominal;  // 8 answers at once, so 20 likely fills
     settings.flow_kb_per_s = 1000;
     settings.zone_link_kb_per_s = 1000000;
-    Gateway g{settings, plain_fleet(9, 1)};
+    TestRouter g{settings, plain_fleet(9, 1)};
     int at_parent = 0;
     int at_origin = 0;
     for (std::uint64_t object = 1; object <= 60; ++object) {
-        g.ask(object);
+        g.request(object);
         g.pass(1ms);
         at_parent += g.source() == "p1";
         at_origin += g.source() == "origin";
@@ -319,10 +319,10 @@
 }
 
 TEST(RetryBudget, IsBounded) {
-    Gateway g;
+    TestRouter g;
     int sends = 0;
     for (int i = 0; i < 200; ++i) {
-        const auto id = g.ask(static_cast<std::uint64_t>(i));
+        const auto id = g.request(static_cast<std::uint64_t>(i));
         for (std::uint32_t n = 0; g.find<Send>(); ++n, ++sends)
             g.end(id, AttemptStatus::overloaded, CacheStatus::none, n);
         EXPECT_TRUE(g.find<Reject>());
@@ -331,10 +331,10 @@
 }
 
 TEST(NoParents, TheOriginIsAskedForAFewAtATimeAndCachesForWhatTheyHold) {
-    Gateway g{plain_settings(), plain_fleet(3, 0)};
+    TestRouter g{plain_settings(), plain_fleet(3, 0)};
     int from_origin = 0;
     for (std::uint64_t i = 1; i <= 30; ++i) {
-        g.ask(i);
+        g.request(i);
         from_origin += g.source() == "origin";
     }
     EXPECT_GT(from_origin, 0);
@@ -342,28 +342,28 @@
 }
 
 TEST(NoCaches, ParentsAreAskedDirectlyWhereThatIsAllowed) {
-    Gateway g{plain_settings(), plain_fleet(0)};
-    g.ask(1);
+    TestRouter g{plain_settings(), plain_fleet(0)};
+    g.request(1);
     EXPECT_EQ(g.target()[0], 'p');
     EXPECT_EQ(g.source(), "origin");
     auto settings = plain_settings();
     settings.direct = false;
-    Gateway h{settings, plain_fleet(0)};
-    h.ask(1);
+    TestRouter h{settings, plain_fleet(0)};
+    h.request(1);
     EXPECT_TRUE(h.find<Reject>());
 }
 
 // A link that is full of fills: hits go on, a miss is refused at once.
-TEST(FullLink, CachesAreAskedForWhatTheyHoldAndMissesAreRefused) {
+TEST(FullLink, CachesAreAskedForWhatTheyHoldAndMissesAreRejected) {
     auto settings = plain_settings();
     settings.flow_kb_per_s = 1000;
     settings.zone_link_kb_per_s = 4000;
     settings.server_weights = ServerWeights::nominal;
-    Gateway g{settings};
+    TestRouter g{settings};
     RequestId last{};
     std::uint64_t object = 1;
     for (; object < 40; ++object) {
-        last = g.ask(object);
+        last = g.request(object);
         g.pass(1ms);
         if (g.source() == g.target())
             break;
@@ -375,59 +375,59 @@
 }
 
 // A fill may be slow by itself: it is taken for hung only while fills come in time.
-TEST(Hung, AFillIsTriedElsewhereOnlyWhileTheWaysAreTrusted) {
+TEST(Hung, AFillIsRetriedOnlyWhileFillsComeInTime) {
     for (const bool in_time : {true, false}) {
-        Gateway g;
+        TestRouter g;
         std::uint64_t object = 0;
         for (int late = 0; !in_time && late < 3;) {  // behind another parent: their pace is not this one's
-            const auto id = g.ask(++object);
+            const auto id = g.request(++object);
             const bool first = g.source() == "p1";
-            g.tell(Outcome{.request = id,
-                           .attempt_status = AttemptStatus::success,
-                           .duration = first ? 900ms : 50ms,
-                           .request_completed = true,
-                           .cache_status = first ? CacheStatus::filled : CacheStatus::hit});
+            g.notify(Outcome{.request = id,
+                             .attempt_status = AttemptStatus::success,
+                             .duration = first ? 900ms : 50ms,
+                             .request_completed = true,
+                             .cache_status = first ? CacheStatus::filled : CacheStatus::hit});
             late += first;
         }
         RequestId id{};
         do {
             g.end(id, AttemptStatus::success, CacheStatus::hit);
-            id = g.ask(++object);
+            id = g.request(++object);
         } while (g.target() != "c1" || g.source() != "p2");
         g.pass(1ms);
         g.serve(object);  // its cache answers others
         g.pass(520ms);
-        g.tell(Timer{TimerId{static_cast<std::uint64_t>(id)}});
+        g.notify(Timer{TimerId{static_cast<std::uint64_t>(id)}});
         EXPECT_EQ(g.find<Cancel>().has_value(), in_time);
     }
 }
 
 // Guards against single requests that never get an answer where others do: waited for to their end, they
 // would keep their places and their clients.
-TEST(Hung, ALookThatACacheLeavesWhileItAnswersOthersIsTriedElsewhere) {
+TEST(Hung, ARequestThatACacheLeavesWhileItAnswersOthersIsRetriedElsewhere) {
     for (const bool answers_others : {true, false}) {
         auto settings = plain_settings();
         settings.flow_kb_per_s = 1000;
         settings.zone_link_kb_per_s = 4000;
         settings.server_weights = ServerWeights::nominal;
-        Gateway g{settings};
+        TestRouter g{settings};
         std::uint64_t object = 0;
         RequestId id{};
         do {
-            id = g.ask(++object);
+            id = g.request(++object);
             g.pass(1ms);
             ASSERT_LT(object, 40u);
         } while (g.source() != g.target());  // the link is full: a look
         const std::string home = g.target();
         while (answers_others) {
-            const auto other = g.ask(++object);
+            const auto other = g.request(++object);
             if (g.target() == home) {
                 g.end(other, AttemptStatus::success, CacheStatus::hit);
                 break;
             }
         }
         g.pass(300ms);
-        g.tell(Timer{TimerId{static_cast<std::uint64_t>(id)}});
+        g.notify(Timer{TimerId{static_cast<std::uint64_t>(id)}});
         ASSERT_EQ(g.find<Cancel>().has_value(), answers_others);
         if (!answers_others)
             continue;
@@ -440,12 +440,12 @@
 TEST(Segments, PartsOfOneObjectAreSpreadOverTheCaches) {
     auto settings = plain_settings();
     settings.classes[0].segmented = true;
-    Gateway g{settings};
+    TestRouter g{settings};
     std::vector<std::string> targets;
     std::string source;
     for (std::uint32_t part = 0; part < 12; ++part) {
         const RequestId id{++g.ids};
-        g.tell(Request{.id = id, .object = ObjectId{4}, .part = part, .deadline = g.now + 4s});
+        g.notify(Request{.id = id, .object = ObjectId{4}, .part = part, .deadline = g.now + 4s});
         targets.push_back(g.target());
         if (part > 0) {
             EXPECT_EQ(g.source(), source);
--- a/tests/rules_test.cpp
+++ b/tests/routing/request_rules_test.cpp
@@ -1,21 +1,21 @@
 // The five rules, each at its boundary.
-#include "gateway.h"
+#include "router_fixture.h"
 
 namespace silverrail::routing::testing {
 namespace {
 
 // ---- one final answer in time ----
 
-TEST(Answers, ARequestThatCannotBeSentIsRefusedAtOnce) {
-    Gateway g{plain_settings(), ServerList{.complete = true}};
-    g.ask(1);
+TEST(Answers, ARequestThatCannotBeSentIsRejectedAtOnce) {
+    TestRouter g{plain_settings(), ServerList{.complete = true}};
+    g.request(1);
     EXPECT_TRUE(g.find<Reject>());
     EXPECT_EQ(g.router.sizes().open_requests, 0u);
 }
 
-TEST(Answers, TheTimeOutAtTheDeadlineIsAnsweredWithoutAFurtherSend) {
-    Gateway g;
-    const auto id = g.ask(1);
+TEST(Answers, ATimeoutAtTheDeadlineIsAnsweredWithoutARetry) {
+    TestRouter g;
+    const auto id = g.request(1);
     g.pass(4s);
     g.end(id, AttemptStatus::timeout);
     EXPECT_FALSE(g.find<Send>());
@@ -23,22 +23,22 @@
     EXPECT_EQ(g.router.sizes().open_requests, 0u);
 }
 
-TEST(Answers, LateRepeatedAndUnknownNewsIsIgnored) {
-    Gateway g;
-    const auto id = g.ask(1);
+TEST(Answers, LateRepeatedAndUnknownEventsAreIgnored) {
+    TestRouter g;
+    const auto id = g.request(1);
     g.end(id, AttemptStatus::success, CacheStatus::hit);
     for (const Event& news :
          {Event{Outcome{.request = id}}, Event{ClientClosed{id}}, Event{Timer{TimerId{1}}},
           Event{Outcome{.request = RequestId{999}, .attempt = 3}}, Event{ResponseStarted{id, 0}}}) {
-        EXPECT_TRUE(g.tell(news).empty());
+        EXPECT_TRUE(g.notify(news).empty());
     }
     EXPECT_EQ(g.router.sizes().open_requests, 0u);
 }
 
-TEST(Answers, AnAbandonedRequestIsHeldOnlyUntilItsAttemptEnds) {
-    Gateway g;
-    const auto id = g.ask(1);
-    EXPECT_TRUE(g.tell(ClientClosed{id}).empty());
+TEST(Answers, ARequestOfAClosedClientIsKeptOnlyUntilItsAttemptEnds) {
+    TestRouter g;
+    const auto id = g.request(1);
+    EXPECT_TRUE(g.notify(ClientClosed{id}).empty());
     EXPECT_TRUE(g.end(id, AttemptStatus::overloaded).empty());  // no further send, no answer
     EXPECT_EQ(g.router.sizes().open_requests, 0u);
 }
@@ -46,8 +46,8 @@
 TEST(Answers, AttemptsAreBounded) {
     auto settings = plain_settings();
     settings.max_attempts = 2;
-    Gateway g{settings};
-    const auto id = g.ask(1);
+    TestRouter g{settings};
+    const auto id = g.request(1);
     g.end(id, AttemptStatus::overloaded, CacheStatus::none, 0);
     EXPECT_TRUE(g.find<Send>());
     g.end(id, AttemptStatus::overloaded, CacheStatus::none, 1);
@@ -57,11 +57,11 @@
 
 // ---- no double effect ----
 
-TEST(Effects, AnUnsafeRequestThatMayHaveRunIsNeitherRepeatedNorRefused) {
+TEST(Idempotency, ANonIdempotentRequestThatMayHaveRunIsNeitherRetriedNorRejected) {
     for (const AttemptStatus attempt_status :
          {AttemptStatus::timeout, AttemptStatus::reset, AttemptStatus::error, AttemptStatus::cancelled}) {
-        Gateway g;
-        const auto id = g.ask(1, 2);
+        TestRouter g;
+        const auto id = g.request(1, 2);
         g.end(id, attempt_status);
         EXPECT_FALSE(g.find<Send>());
         EXPECT_FALSE(g.find<Reject>());
@@ -69,17 +69,17 @@
     }
 }
 
-TEST(Effects, AnUnsafeRequestThatDidNotRunIsSentAgain) {
-    Gateway g;
-    const auto id = g.ask(1, 2);
+TEST(Idempotency, ANonIdempotentRequestThatDidNotRunIsRetried) {
+    TestRouter g;
+    const auto id = g.request(1, 2);
     g.end(id, AttemptStatus::connect_failed);
     EXPECT_TRUE(g.find<Send>());
 }
 
-TEST(Effects, AKeyedRequestIsRepeatedOnlyWithinItsWindow) {
+TEST(Idempotency, AKeyedRequestIsRepeatedOnlyWithinItsWindow) {
     for (const auto& [passed, again] : {std::pair{1900ms, true}, std::pair{2000ms, false}}) {
-        Gateway g;
-        const auto id = g.ask(1, 1);
+        TestRouter g;
+        const auto id = g.request(1, 1);
         g.pass(passed);
         g.end(id, AttemptStatus::reset);
         EXPECT_EQ(g.find<Send>().has_value(), again);
@@ -87,27 +87,27 @@
     }
 }
 
-TEST(Effects, AKeyedRequestOfANarrowerScopeLeavesItNever) {
+TEST(Idempotency, AKeyedRequestOfANarrowerScopeLeavesItNever) {
     auto settings = plain_settings();
     settings.direct = false;  // through a cache, the origin as its source
     settings.classes[1].key_scope = KeyScope::cell;
     auto fleet = plain_fleet();
     for (std::size_t i = 0; i < fleet.caches.size(); ++i)
         fleet.caches[i].cell = CellId{static_cast<int>(i)};
-    Gateway g{settings, fleet};
-    const auto id = g.ask(1, 1);
+    TestRouter g{settings, fleet};
+    const auto id = g.request(1, 1);
     g.end(id, AttemptStatus::reset);
     EXPECT_FALSE(g.find<Send>());
     EXPECT_FALSE(g.find<Reject>());
     EXPECT_TRUE(g.find<Fail>());
 }
 
-TEST(Effects, NeverTwoAttemptsAtOnce) {
-    Gateway g;
-    const auto id = g.ask(1);
+TEST(Idempotency, NeverTwoAttemptsAtOnce) {
+    TestRouter g;
+    const auto id = g.request(1);
     const auto home = g.target();
     g.pass(1250ms);
-    g.tell(Timer{TimerId{static_cast<std::uint64_t>(id)}});
+    g.notify(Timer{TimerId{static_cast<std::uint64_t>(id)}});
     EXPECT_TRUE(g.find<Cancel>());
     EXPECT_FALSE(g.find<Send>());  // only once the first has ended
     g.end(id, AttemptStatus::cancelled);
@@ -117,13 +117,13 @@
 
 // ---- drains ----
 
-TEST(Drains, NothingNewGoesToADrainingCacheNorNamesItAsSource) {
+TEST(Draining, NothingNewGoesToADrainingCacheNorNamesItAsSource) {
     for (const Condition condition : {Condition::draining, Condition::gone}) {
-        Gateway g;
+        TestRouter g;
         g.change("c1", condition);
         g.change("p1", condition);
         for (std::uint64_t object = 1; object < 60; ++object) {
-            const auto id = g.ask(object);
+            const auto id = g.request(object);
             EXPECT_NE(g.target(), "c1");
             EXPECT_NE(g.source(), "p1");
             g.end(id, AttemptStatus::success, CacheStatus::hit);
@@ -131,20 +131,20 @@
     }
 }
 
-TEST(Drains, ACacheThatACompleteListLeavesOutIsGone) {
-    Gateway g;
-    g.tell(plain_fleet(1, 1));
+TEST(Draining, ACacheThatACompleteListLeavesOutIsGone) {
+    TestRouter g;
+    g.notify(plain_fleet(1, 1));
     for (std::uint64_t object = 1; object < 20; ++object) {
-        const auto id = g.ask(object);
+        const auto id = g.request(object);
         EXPECT_EQ(g.target(), "c1");
         EXPECT_EQ(g.source(), "p1");
         g.end(id, AttemptStatus::success, CacheStatus::hit);
     }
 }
 
-TEST(Drains, AFurtherAttemptHeedsADrainToldMeanwhile) {
-    Gateway g{plain_settings(), plain_fleet(2, 2)};
-    const auto id = g.ask(1);
+TEST(Draining, ARetryAvoidsAServerThatDrainsMeanwhile) {
+    TestRouter g{plain_settings(), plain_fleet(2, 2)};
+    const auto id = g.request(1);
     const std::string other = g.target() == "c1" ? "c2" : "c1";
     g.change(other, Condition::draining);
     g.end(id, AttemptStatus::connect_failed);
@@ -171,11 +171,11 @@
 }
 
 // Seconds of sending that go to `address` (as target or source) in the first second after its start.
-double pushed(Gateway& g, const std::string& address, CacheStatus cache_status) {
+double pushed(TestRouter& g, const std::string& address, CacheStatus cache_status) {
     double work = 0;
     for (std::uint64_t object = 1; object <= 500; ++object) {
         const RequestId id{++g.ids};
-        g.tell(Request{.id = id, .object = ObjectId{object}, .size_kb = 100, .deadline = g.now + 4s});
+        g.notify(Request{.id = id, .object = ObjectId{object}, .size_kb = 100, .deadline = g.now + 4s});
         if (g.target() == address || g.source() == address)
             work += 0.1;  // 100 KB at 1000 KB/s
         if (g.find<Send>())
@@ -185,17 +185,17 @@
     return work;
 }
 
-void settle_sizes(Gateway& g) {  // lets the mean sending time settle on 0.1 s
+void settle_sizes(TestRouter& g) {  // lets the mean sending time settle on 0.1 s
     for (std::uint64_t i = 0; i < 200; ++i) {
         const RequestId id{++g.ids};
-        g.tell(Request{.id = id, .object = ObjectId{9000 + i}, .size_kb = 100, .deadline = g.now + 4s});
+        g.notify(Request{.id = id, .object = ObjectId{9000 + i}, .size_kb = 100, .deadline = g.now + 4s});
         if (g.find<Send>())
             g.end(id, AttemptStatus::success, CacheStatus::hit);
     }
 }
 
-TEST(ColdStart, ACacheGetsThisGatewaysShareOnly) {
-    Gateway g{cold_settings()};
+TEST(SlowStart, ACacheGetsThisRoutersShareOnly) {
+    TestRouter g{cold_settings()};
     settle_sizes(g);
     g.restart("c1", g.now);
     // Twice 0.25..0.29 of 8 for a second is at most 4.7; half of it is this router's.
@@ -204,8 +204,8 @@
     EXPECT_LT(work, 0.5 * 2 * 8 * 0.25);
 }
 
-TEST(ColdStart, AParentGetsThisGatewaysShareOfFills) {
-    Gateway g{cold_settings()};
+TEST(SlowStart, AParentGetsThisRoutersShareOfFills) {
+    TestRouter g{cold_settings()};
     settle_sizes(g);
     g.restart("p1", g.now);
     const double work = pushed(g, "p1", CacheStatus::filled);
@@ -213,8 +213,8 @@
     EXPECT_LT(work, 0.25 * 2 * 8 * 0.1);
 }
 
-TEST(ColdStart, AWarmCacheIsNotHeldBack) {
-    Gateway g{cold_settings()};
+TEST(SlowStart, AWarmCacheIsNotHeldBack) {
+    TestRouter g{cold_settings()};
     settle_sizes(g);
     g.restart("c1", g.now - 19s);
     EXPECT_GT(pushed(g, "c1", CacheStatus::hit), 10);
@@ -223,12 +223,12 @@
 // ---- purges ----
 
 TEST(Purges, BoundTheAgeOfCopiesUntilAllOlderOnesAreGone) {
-    Gateway g;
+    TestRouter g;
     const auto age = [&](std::uint64_t object) {
         return g.serve(object)->fill->oldest;
     };
     EXPECT_EQ(age(1), 0ns);
-    g.tell(Purge{.object = ObjectId{1}, .age = 100ms});
+    g.notify(Purge{.object = ObjectId{1}, .age = 100ms});
     EXPECT_EQ(age(1), 100ms);
     EXPECT_EQ(age(2), 0ns);  // another object
     g.pass(5800ms);
@@ -238,35 +238,35 @@
 }
 
 TEST(Purges, OfAGroupBindAllItsObjectsAndAreForgottenInTime) {
-    Gateway g;
-    g.tell(Purge{.group = GroupId{5}, .age = 0ns});
-    g.ask(1, 0, 4s, GroupId{5});
+    TestRouter g;
+    g.notify(Purge{.group = GroupId{5}, .age = 0ns});
+    g.request(1, 0, 4s, GroupId{5});
     EXPECT_EQ(g.find<Send>()->fill->oldest, 1ns);  // zero would mean any age
-    g.ask(1, 0, 4s, GroupId{6});
+    g.request(1, 0, 4s, GroupId{6});
     EXPECT_EQ(g.find<Send>()->fill->oldest, 0ns);
     EXPECT_EQ(g.router.sizes().remembered_purges, 1u);
     g.pass(10s);
-    g.tell(Purge{.object = ObjectId{8}});
+    g.notify(Purge{.object = ObjectId{8}});
     EXPECT_EQ(g.router.sizes().remembered_purges, 1u);
 }
 
 TEST(Purges, TheNewestOfSeveralBinds) {
-    Gateway g;
-    g.tell(Purge{.object = ObjectId{1}, .age = 10ms});
-    g.tell(Purge{.object = ObjectId{1}, .age = 900ms});
-    g.tell(Purge{.group = GroupId{0}, .age = 500ms});
-    g.ask(1);
+    TestRouter g;
+    g.notify(Purge{.object = ObjectId{1}, .age = 10ms});
+    g.notify(Purge{.object = ObjectId{1}, .age = 900ms});
+    g.notify(Purge{.group = GroupId{0}, .age = 500ms});
+    g.request(1);
     EXPECT_EQ(g.find<Send>()->fill->oldest, 10ms);
 }
 
 TEST(Purges, AFillUnderWayIsNotJoinedWhileAPurgeBinds) {
     auto settings = plain_settings();
     settings.joins = true;
-    Gateway g{settings};
-    g.ask(1);
+    TestRouter g{settings};
+    g.request(1);
     EXPECT_TRUE(g.find<Send>()->fill->join);
-    g.tell(Purge{.object = ObjectId{2}, .age = 10ms});
-    g.ask(2);
+    g.notify(Purge{.object = ObjectId{2}, .age = 10ms});
+    g.request(2);
     EXPECT_FALSE(g.find<Send>()->fill->join);
 }
 
@@ -275,12 +275,12 @@
     settings.classes[0].max_age = 8s;
     settings.classes[0].grace = 10s;
     settings.classes[0].stale_weight = 0.5;
-    Gateway g{settings};
-    g.tell(Purge{.object = ObjectId{1}, .age = 700ms});
-    const auto id = g.ask(1);
+    TestRouter g{settings};
+    g.notify(Purge{.object = ObjectId{1}, .age = 700ms});
+    const auto id = g.request(1);
     g.end(id, AttemptStatus::overloaded);
     EXPECT_EQ(g.find<Send>()->fill->oldest, 700ms);
-    const auto other = g.ask(2);
+    const auto other = g.request(2);
     g.end(other, AttemptStatus::overloaded);
     EXPECT_EQ(g.find<Send>()->fill->oldest, 18s);  // a failed first try: stale will do
 }
@@ -288,39 +288,39 @@
 }  // namespace
 // Where the client goes to the cache itself, nobody here sees how that ends: one name may bring many
 // requests, and nothing may be learned from it.
-TEST(Referred, NeverNamesAColdCache) {
+TEST(Redirected, NeverNamesAColdCache) {
     auto settings = plain_settings();
     settings.direct = false;
     settings.slow_start_duration = 10s;
     settings.slow_start_share = 0.3;
     settings.overload_window = 3s;
-    Gateway g{settings, plain_fleet(2)};
+    TestRouter g{settings, plain_fleet(2)};
     g.restart("c1", g.now);
     g.pass(5s);  // by now its budget would bear one
     for (std::uint64_t i = 1; i <= 20; ++i) {
         const RequestId id{++g.ids};
-        g.tell(Request{.id = id, .object = ObjectId{i}, .deadline = g.now + 1s, .redirected = true});
+        g.notify(Request{.id = id, .object = ObjectId{i}, .deadline = g.now + 1s, .redirected = true});
         EXPECT_EQ(g.target(), "c2");
         g.end(id, AttemptStatus::unobserved, CacheStatus::none, 0, true);
     }
     EXPECT_EQ(g.router.sizes().open_requests, 0u);
 }
 
-TEST(Referred, AnUnseenEndTeachesNothing) {
+TEST(Redirected, AnUnobservedEndTeachesNothing) {
     auto settings = plain_settings();
     settings.direct = false;
-    Gateway told{settings, plain_fleet(3)};
-    Gateway not_told{settings, plain_fleet(3)};
+    TestRouter told{settings, plain_fleet(3)};
+    TestRouter not_told{settings, plain_fleet(3)};
     for (std::uint64_t i = 1; i <= 200; ++i) {
         const RequestId id{++told.ids};
-        told.tell(Request{.id = id, .object = ObjectId{i}, .deadline = told.now + 1s, .redirected = true});
+        told.notify(Request{.id = id, .object = ObjectId{i}, .deadline = told.now + 1s, .redirected = true});
         told.end(id, AttemptStatus::unobserved, CacheStatus::none, 0, true);
         not_told.ids = told.ids;
     }
     // Nobody is ejected, no room has shrunk, no retry was earned: both go the same ways from here.
     for (std::uint64_t i = 1000; i < 1040; ++i) {
-        const RequestId a = told.ask(i);
-        const RequestId b = not_told.ask(i);
+        const RequestId a = told.request(i);
+        const RequestId b = not_told.request(i);
         EXPECT_EQ(told.target(), not_told.target());
         EXPECT_EQ(told.source(), not_told.source());
         told.end(a, AttemptStatus::error);
--- a/tests/gateway.h
+++ b/tests/routing/router_fixture.h
@@ -58,14 +58,14 @@
     return list;
 }
 
-class Gateway {
+class TestRouter {
 public:
-    explicit Gateway(Settings settings = plain_settings(), const ServerList& fleet = plain_fleet())
+    explicit TestRouter(Settings settings = plain_settings(), const ServerList& fleet = plain_fleet())
         : router{std::move(settings), 7} {
-        tell(fleet);
+        notify(fleet);
     }
 
-    std::vector<Action> tell(const Event& event) {
+    std::vector<Action> notify(const Event& event) {
         return last = router.on(event, now);
     }
     void pass(Span span) {
@@ -73,28 +73,29 @@
     }
 
     // A new request; returns its id.
-    RequestId ask(std::uint64_t object, std::size_t class_index = 0, Span patience = 4s, GroupId group = {}) {
+    RequestId request(std::uint64_t object, std::size_t class_index = 0, Span patience = 4s,
+                      GroupId group = {}) {
         const RequestId id{++ids};
-        tell(Request{.id = id,
-                     .class_index = class_index,
-                     .object = ObjectId{object},
-                     .group = group,
-                     .deadline = now + patience});
+        notify(Request{.id = id,
+                       .class_index = class_index,
+                       .object = ObjectId{object},
+                       .group = group,
+                       .deadline = now + patience});
         return id;
     }
     std::vector<Action> end(RequestId id, AttemptStatus attempt_status,
                             CacheStatus cache_status = CacheStatus::none, std::uint32_t attempt = 0,
                             bool over = false) {
-        return tell(Outcome{.request = id,
-                            .attempt = attempt,
-                            .attempt_status = attempt_status,
-                            .duration = 50ms,
-                            .request_completed = over || attempt_status == AttemptStatus::success,
-                            .cache_status = cache_status});
+        return notify(Outcome{.request = id,
+                              .attempt = attempt,
+                              .attempt_status = attempt_status,
+                              .duration = 50ms,
+                              .request_completed = over || attempt_status == AttemptStatus::success,
+                              .cache_status = cache_status});
     }
     // Asks and has it served at once; returns the send, or nothing where it was not sent.
     std::optional<Send> serve(std::uint64_t object, CacheStatus cache_status = CacheStatus::hit) {
-        const RequestId id = ask(object);
+        const RequestId id = request(object);
         const auto send = find<Send>();
         if (send)
             end(id, AttemptStatus::success, cache_status);
@@ -113,7 +114,7 @@
     std::string source() const {
         return find<Send>() && find<Send>()->fill ? find<Send>()->fill->source.address : "";
     }
-    ListedServer in_fleet(const std::string& address, Condition condition) const {
+    ListedServer listed_server(const std::string& address, Condition condition) const {
         const bool cache = address[0] == 'c';
         auto entry = listed(address, cache ? "bay" : "hub",
                             cache               ? "cache"
@@ -123,12 +124,12 @@
         return entry;
     }
     void change(const std::string& address, Condition condition) {
-        tell(ServerList{.complete = false, .caches = {in_fleet(address, condition)}});
+        notify(ServerList{.complete = false, .caches = {listed_server(address, condition)}});
     }
     void restart(const std::string& address, Time since) {
-        auto entry = in_fleet(address, Condition::ready);
+        auto entry = listed_server(address, Condition::ready);
         entry.started_at = since;
-        tell(ServerList{.complete = false, .caches = {entry}});
+        notify(ServerList{.complete = false, .caches = {entry}});
     }
 
     Router router;
