--- a/tests/compatibility/support.h
+++ b/tests/compatibility/support.h
@@ -24,6 +24,8 @@
 #include <map>
 #include <memory>
 #include <mutex>
+#include <random>
+#include <set>
 #include <sstream>
 #include <string>
 #include <thread>
@@ -190,21 +192,35 @@
     return "127.0.0.1:" + std::to_string(port);
 }
 
-inline int listening_socket() {
+// Listening at that port, or at one that the system chooses (0). -1: the port is not to be had.
+inline int listen_at(unsigned short port) {
     const int socket = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     CHECK(socket >= 0);
-    const sockaddr_in address = loopback(0);
-    CHECK(::bind(socket, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0);
-    CHECK(::listen(socket, 64) == 0);
-    return socket;
+    const sockaddr_in address = loopback(port);
+    constexpr int kBacklog = 64;
+    if (::bind(socket, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0 &&
+        ::listen(socket, kBacklog) == 0)
+        return socket;
+    ::close(socket);
+    return -1;
 }
 
-// A port that was free a moment ago.
+// A port that nobody uses. Below those that the system gives to outgoing connections: one of these would be
+// taken by any other program on the machine before the router listens there. Each is given once.
 inline unsigned short free_port() {
-    const int socket = listening_socket();
-    const unsigned short port = port_of(socket);
-    ::close(socket);
-    return port;
+    constexpr unsigned kFirst = 10'000;
+    constexpr unsigned kCount = 20'000;
+    static std::mt19937 random{std::random_device{}()};
+    static std::set<unsigned short> given;
+    while (true) {
+        const auto port = static_cast<unsigned short>(kFirst + random() % kCount);
+        const int socket = listen_at(port);
+        if (socket < 0)
+            continue;
+        ::close(socket);
+        if (given.insert(port).second)
+            return port;
+    }
 }
 
 // A connected socket, or -1.
@@ -328,7 +344,7 @@
 class Listener {
 public:
     explicit Listener(std::function<void(int socket)> serve)
-        : serve_(std::move(serve)), listening_(listening_socket()), port_(port_of(listening_)) {
+        : serve_(std::move(serve)), listening_(listen_at(0)), port_(port_of(listening_)) {
         acceptor_ = std::thread{[this] {
             accept_all();
         }};
