--- a/src/app/bans_part.cpp
+++ b/src/app/bans_part.cpp
@@ -11,7 +11,7 @@
                    ReplicaPart* fleet)
     : engine_(engine), log_(log), timer_(io), fleet_(fleet) {
     if (fleet_)
-        fleet_->follow([this](const std::set<std::string>& keys) { heard(keys); });
+        fleet_->add_listener([this](const std::set<std::string>& keys) { heard(keys); });
     if (file.empty()) {
         log_.line("bans", "TMPDIR is not set: they are kept in this process only");
         return;
@@ -25,7 +25,7 @@
     if (file_)
         look();
     // Said before there was a fleet to tell. With a store of its own the fleet's word is the later one.
-    if (fleet_ && fleet_->fresh())
+    if (fleet_ && fleet_->started_empty())
         for (const auto& server : engine_.bans().ids())
             (void)fleet_->set(kKey + server.address, {});
 }
@@ -38,7 +38,7 @@
             if (!key.starts_with(kKey))
                 continue;
             const core::ServerId server{key.substr(kKey.size())};
-            if (!fleet_->in_force(key))
+            if (!fleet_->is_set(key))
                 bans.remove(server);
             else if (!bans.add(server))
                 log_.line("bans", "the fleet's ban of %s has no room here", server.address.c_str());
--- a/src/app/failover_part.h
+++ b/src/app/failover_part.h
@@ -16,7 +16,7 @@
     struct World {
         net::asio::io_context& io;
         core::Engine& engine;
-        PeersPart& peers;
+        MembershipPart& peers;
         ReplicaPart& shared;
         ReplicaPart& reports;
         const core::Clock& clock;
--- a/src/app/hearsay_part.h
+++ b/src/app/hearsay_part.h
@@ -14,7 +14,7 @@
     struct World {
         net::asio::io_context& io;
         core::Engine& engine;
-        PeersPart& peers;
+        MembershipPart& peers;
         ReplicaPart& reports;
         const core::Clock& clock;
         Log& log;
--- a/src/app/program.cpp
+++ b/src/app/program.cpp
@@ -15,8 +15,8 @@
 #include "app/endpoint.h"
 #include "app/failover_part.h"
 #include "app/hearsay_part.h"
+#include "app/membership_part.h"
 #include "app/overlap.h"
-#include "app/peers_part.h"
 #include "app/replica_part.h"
 #include "app/trace_part.h"
 #include "config/operator.h"
@@ -152,11 +152,11 @@
                                             settings_.trace));
         }
         front::admin::Fleet fleet;
-        PeersPart* peers = nullptr;
+        MembershipPart* peers = nullptr;
         ReplicaPart* replica = nullptr;
         if (settings_.peers.on()) {
             auto part =
-                std::make_unique<PeersPart>(io_, settings_.peers, config_.seed, clock_.unix_ms(), log_);
+                std::make_unique<MembershipPart>(io_, settings_.peers, config_.seed, clock_.unix_ms(), log_);
             peers = part.get();
             parts_.push_back(std::move(part));
             auto shared =
@@ -165,7 +165,7 @@
             replica = shared.get();
             parts_.push_back(std::move(shared));
             const ReplicaPart::World of_reports{io_, *peers, clock_, log_};
-            auto reports = std::make_unique<ReplicaPart>(of_reports, settings_.peers, ReplicaPart::Ageing{},
+            auto reports = std::make_unique<ReplicaPart>(of_reports, settings_.peers, ReplicaPart::Reports{},
                                                          config_.seed);
             if (settings_.peers.hearsay_ms > 0)
                 parts_.push_back(std::make_unique<HearsayPart>(
@@ -175,7 +175,7 @@
                 return peers->members();
             };
             fleet.replica = [replica] {
-                return replica->digest();
+                return replica->status();
             };
             if (!settings_.peers.failover.zones.empty()) {
                 auto failover = std::make_unique<FailoverPart>(
--- a/src/app/replica_part.cpp
+++ b/src/app/replica_part.cpp
@@ -1,136 +1,151 @@
 #include "app/replica_part.h"
 
+#include <algorithm>
 #include <filesystem>
+#include <utility>
 
 namespace silverrail::app {
 
 namespace {
 
-constexpr std::chrono::milliseconds kTick{50};
-
-cluster::ReplicaSettings settings_of(const config::PeersSettings& p) {
-    cluster::ReplicaSettings s;
-    s.interval = std::chrono::milliseconds{p.replica_ms};
-    s.quick = s.interval / 5;
-    s.tombstone_keep = p.tombstone_keep_ms;
-    return s;
+constexpr std::chrono::milliseconds kTickInterval{50};
+constexpr std::uint8_t kReportsChannel = 1;
+constexpr cluster::UnixMs kReportRetentionMs = 60'000;
+constexpr cluster::UnixMs kReportTombstoneRetentionMs = 120'000;
+
+// Each state machine draws its own numbers from the program's seed.
+constexpr std::uint64_t kStateSeed = 0x9e3779b97f4a7c15ULL;
+constexpr std::uint64_t kReportsSeed = 0xd1b54a32d192ed03ULL;
+
+cluster::ReplicaSettings state_settings(const config::PeersSettings& peers) {
+    cluster::ReplicaSettings out;
+    out.exchange_interval = std::chrono::milliseconds{peers.replica_ms};
+    out.fast_exchange_interval = out.exchange_interval / 5;
+    out.tombstone_retention = peers.tombstone_keep_ms;
+    return out;
 }
 
-// Reports age a minute after they were said; where they are used they count for less.
-cluster::ReplicaSettings ageing_of(const config::PeersSettings& p) {
-    cluster::ReplicaSettings s;
-    s.channel = 1;
-    s.interval = std::chrono::milliseconds{p.replica_ms};
-    s.quick = cluster::Time{0};  // reports are many, and one that is missed is one of several
-    s.value_keep = 60'000;
-    s.tombstone_keep = 120'000;
-    return s;
+cluster::ReplicaSettings report_settings(const config::PeersSettings& peers) {
+    cluster::ReplicaSettings out;
+    out.channel = kReportsChannel;
+    out.exchange_interval = std::chrono::milliseconds{peers.replica_ms};
+    out.fast_exchange_interval = cluster::Time{0};  // one that is missed is one of several
+    out.value_retention = kReportRetentionMs;
+    out.tombstone_retention = kReportTombstoneRetentionMs;
+    return out;
 }
 
 // An origin is a name and the time at which it was first used: whoever lost its store is another origin, so
-// that a number stands for one change only.
-std::string origin_of(const ReplicaPart::World& world, const config::PeersSettings& settings) {
+// that a version stands for one change only.
+std::string new_origin(const ReplicaPart::World& world, const config::PeersSettings& settings) {
     return settings.name + "@" + std::to_string(world.clock.unix_ms());
 }
 
+void set_aside(const std::string& file) {
+    std::error_code ignored;
+    std::filesystem::rename(file, file + ".refused", ignored);
+    std::filesystem::remove(file + "-wal", ignored);
+}
+
 }  // namespace
 
-ReplicaPart::Kept ReplicaPart::open(const std::string& file, const std::string& new_origin, Log& log) {
+ReplicaPart::Stored ReplicaPart::read_store(const std::string& file, const std::string& new_origin) {
+    Stored out;
+    out.store = std::make_unique<store::ReplicaStore>(file, new_origin);
+    out.entries = out.store->entries();
+    out.origins = out.store->origins();
+    out.origin = out.store->origin();
+    out.empty = out.origin == new_origin;
+    return out;
+}
+
+ReplicaPart::Stored ReplicaPart::open_store(const std::string& file, const std::string& new_origin,
+                                            Log& log) {
     if (file.empty()) {
-        log.line("replica", R"({"store":"none","why":"TMPDIR is not set"})");
+        log.line("replica-store-none", R"({"store":"none","why":"TMPDIR is not set"})");
         return {new_origin};
     }
-    const auto whole = [&] {
-        auto store = std::make_unique<store::ReplicaStore>(file, new_origin);
-        auto entries = store->entries();
-        auto origins = store->origins();
-        auto origin = store->origin();
-        const bool fresh = origin == new_origin;
-        return Kept{std::move(origin), fresh, std::move(store), std::move(entries), std::move(origins)};
-    };
     try {
-        return whole();
+        return read_store(file, new_origin);
     } catch (const store::ReplicaStore::Held& e) {
-        log.line("replica", R"({"store":"none","why":"%s"})", e.what());
+        log.line("replica-store-none", R"({"store":"none","why":"%s"})", e.what());
         return {new_origin};
     } catch (const std::exception& e) {
-        // Nothing of it is believed; the peers have what it held. Kept aside for whoever looks into it.
-        log.line("replica-refused", R"({"why":"%s","aside":"%s.refused"})", e.what(), file.c_str());
-        std::error_code ignored;
-        std::filesystem::rename(file, file + ".refused", ignored);
-        std::filesystem::remove(file + "-wal", ignored);
+        // Nothing of it is trusted; the peers have what it held.
+        log.line("replica-store-rejected", R"({"why":"%s","aside":"%s.refused"})", e.what(), file.c_str());
+        set_aside(file);
     }
     try {
-        return whole();
+        return read_store(file, new_origin);
     } catch (const std::exception& e) {
-        log.line("replica-refused", R"({"why":"%s"})", e.what());
+        log.line("replica-store-rejected", R"({"why":"%s"})", e.what());
         return {new_origin};
     }
 }
 
 ReplicaPart::ReplicaPart(World world, const config::PeersSettings& settings, const std::string& file,
                          std::uint64_t seed)
-    : ReplicaPart(world, settings, settings_of(settings), "replica", seed ^ 0x9e3779b97f4a7c15ULL,
-                  open(file, origin_of(world, settings), world.log)) {}
+    : ReplicaPart(world, settings, state_settings(settings), "replica", seed ^ kStateSeed,
+                  open_store(file, new_origin(world, settings), world.log)) {}
 
-ReplicaPart::ReplicaPart(World world, const config::PeersSettings& settings, Ageing, std::uint64_t seed)
-    : ReplicaPart(world, settings, ageing_of(settings), "reports", seed ^ 0xd1b54a32d192ed03ULL,
-                  Kept{origin_of(world, settings)}) {}
+ReplicaPart::ReplicaPart(World world, const config::PeersSettings& settings, Reports, std::uint64_t seed)
+    : ReplicaPart(world, settings, report_settings(settings), "reports", seed ^ kReportsSeed,
+                  Stored{new_origin(world, settings)}) {}
 
 ReplicaPart::ReplicaPart(World world, const config::PeersSettings& settings,
-                         const cluster::ReplicaSettings& replica, const char* figures, std::uint64_t seed,
-                         Kept kept)
+                         const cluster::ReplicaSettings& replica, const char* counter_prefix,
+                         std::uint64_t seed, Stored stored)
     : world_(world),
-      figures_(figures),
-      store_(std::move(kept.store)),
-      replica_(settings.name, settings.advertise.empty() ? settings.bind : settings.advertise, kept.origin,
+      counter_prefix_(counter_prefix),
+      store_(std::move(stored.store)),
+      replica_(settings.name, settings.advertise.empty() ? settings.bind : settings.advertise, stored.origin,
                replica, seed, cluster::Time{0}),
-      fresh_(kept.fresh),
+      started_empty_(stored.empty),
       timer_(world.io) {
     if (store_)
-        replica_.restore(std::move(kept.entries), std::move(kept.origins));
-    world_.peers.replicate(replica.channel, [this](const cluster::ReplicaMessage& message) {
+        replica_.restore(std::move(stored.entries), std::move(stored.origins));
+    world_.peers.set_replica_handler(replica.channel, [this](const cluster::ReplicaMessage& message) {
         auto out = net::Peer::sends(replica_.receive(message, world_.peers.now(), world_.clock.unix_ms()));
-        // What is not kept is not acknowledged either: the others ask again.
-        if (!keep())
+        // What is not stored is not acknowledged either: the peers ask again.
+        if (!store_changes())
             out.clear();
         return out;
     });
 }
 
 void ReplicaPart::start() {
-    world_.log.line("replica-start", R"({"of":"%s","origin":"%s","keys":%zu,"kept":%s})", figures_,
+    world_.log.line("replica-start", R"({"of":"%s","origin":"%s","keys":%zu,"kept":%s})", counter_prefix_,
                     replica_.origin().c_str(), replica_.entries().size(), store_ ? "true" : "false");
     tick();
 }
 
-// Writes down what has changed and tells who follows. False: it could not be written; the store is given up,
-// as what it holds from here on would have gaps.
-bool ReplicaPart::keep() {
-    const auto changes = replica_.take_changes();
-    bool kept = true;
+// Stores what has changed and tells the listeners. False: it could not be written; the store is given up, as
+// what it holds from here on would have gaps.
+bool ReplicaPart::store_changes() {
+    const auto changes = replica_.take_unsaved_changes();
+    bool stored = true;
     if (store_)
         try {
             store_->write(replica_, changes);
         } catch (const std::exception& e) {
             ++failed_writes_;
-            kept = false;
+            stored = false;
             store_.reset();
-            world_.log.line("replica-unkept", R"({"why":"%s"})", e.what());
+            world_.log.line("replica-store-failed", R"({"why":"%s"})", e.what());
         }
-    const auto touched = replica_.take_touched();
+    const auto touched = replica_.take_touched_keys();
     if (!touched.empty())
-        for (const auto& tell : touched_)
-            tell(touched);
-    return kept;
+        for (const auto& listener : listeners_)
+            listener(touched);
+    return stored;
 }
 
 void ReplicaPart::tick() {
-    auto sends =
-        net::Peer::sends(replica_.tick(world_.peers.now(), world_.clock.unix_ms(), world_.peers.alive()));
-    if (keep())
-        world_.peers.send(std::move(sends));
-    timer_.expires_after(kTick);
+    auto messages = net::Peer::sends(
+        replica_.tick(world_.peers.now(), world_.clock.unix_ms(), world_.peers.alive_addresses()));
+    if (store_changes())
+        world_.peers.send(std::move(messages));
+    timer_.expires_after(kTickInterval);
     timer_.async_wait([this](const net::error_code& error) {
         if (!error)
             tick();
@@ -138,13 +153,13 @@
 }
 
 bool ReplicaPart::set(const std::string& key, const std::string& value) {
-    const bool done = replica_.set(key, value, world_.clock.unix_ms());
-    return keep() && done;
+    const bool applied = replica_.set(key, value, world_.clock.unix_ms());
+    return store_changes() && applied;
 }
 
 bool ReplicaPart::clear(const std::string& key) {
-    const bool done = replica_.clear(key, world_.clock.unix_ms());
-    return keep() && done;
+    const bool applied = replica_.clear(key, world_.clock.unix_ms());
+    return store_changes() && applied;
 }
 
 void ReplicaPart::say(const std::string& reporter, const cluster::Voice::Say& say) {
@@ -154,39 +169,40 @@
     (void)(say.value ? set(key, *say.value) : clear(key));
 }
 
-std::string ReplicaPart::digest() const {
-    auto numbers = replica_.numbers();
-    for (const auto& [origin, number] : replica_.heard())
-        numbers.try_emplace(origin, 0);
+std::string ReplicaPart::status() const {
+    const auto& heard_versions = replica_.heard_versions();
+    auto versions = replica_.versions();
+    for (const auto& [origin, heard] : heard_versions)
+        versions.try_emplace(origin, 0);
     std::string out;
-    for (const auto& [origin, number] : numbers) {
-        const auto heard = replica_.heard().find(origin);
-        const auto newest = heard == replica_.heard().end() ? number : std::max(number, heard->second);
-        out += origin + " " + std::to_string(number) + " " + std::to_string(newest) + " " +
-               std::to_string(newest - number) + "\n";
+    for (const auto& [origin, version] : versions) {
+        const auto heard = heard_versions.find(origin);
+        const auto newest = heard == heard_versions.end() ? version : std::max(version, heard->second);
+        out += origin + " " + std::to_string(version) + " " + std::to_string(newest) + " " +
+               std::to_string(newest - version) + "\n";
     }
     return out + "--\n";
 }
 
 std::string ReplicaPart::counters() {
-    const auto& c = replica_.counts();
+    const auto& counters = replica_.counters();
     std::uint64_t lag = 0;
-    for (const auto& [origin, number] : replica_.heard()) {
-        const auto held = replica_.origins().find(origin);
-        lag += number - std::min(number, held == replica_.origins().end() ? 0 : held->second.number);
+    for (const auto& [origin, heard] : replica_.heard_versions()) {
+        const auto log = replica_.origins().find(origin);
+        lag += heard - std::min(heard, log == replica_.origins().end() ? 0 : log->second.version);
     }
-    return figure_lines(figures_, {{"keys", replica_.entries().size()},
-                                   {"origins", replica_.origins().size()},
-                                   {"applied", c.applied},
-                                   {"duplicates", c.duplicates},
-                                   {"ahead", c.ahead},
-                                   {"refused", c.refused},
-                                   {"rounds", c.rounds},
-                                   {"updates_sent", c.sent},
-                                   {"full_copies", c.full_copies},
-                                   {"forgotten", c.forgotten},
-                                   {"failed_writes", failed_writes_},
-                                   {"lag", lag}});
+    return figure_lines(counter_prefix_, {{"keys", replica_.entries().size()},
+                                          {"origins", replica_.origins().size()},
+                                          {"applied", counters.applied},
+                                          {"duplicates", counters.duplicates},
+                                          {"ahead", counters.ahead},
+                                          {"refused", counters.rejected},
+                                          {"rounds", counters.exchanges},
+                                          {"updates_sent", counters.updates_sent},
+                                          {"full_copies", counters.snapshots},
+                                          {"forgotten", counters.collected},
+                                          {"failed_writes", failed_writes_},
+                                          {"lag", lag}});
 }
 
 }  // namespace silverrail::app
--- a/src/cluster/failover.cpp
+++ b/src/cluster/failover.cpp
@@ -81,18 +81,18 @@
     return d;
 }
 
-Decision in_force(const Entry* entry) {
+Decision in_force(const ReplicatedEntry* entry) {
     Decision out;
     if (!entry)
         return out;
-    for (const auto& [origin, mark] : entry->marks) {
-        if (!mark.live())
+    for (const auto& [origin, write] : entry->writes) {
+        if (!write.is_live())
             continue;
-        auto d = decision_of(mark.value);
-        if (!d || d->epoch < out.epoch || (d->epoch == out.epoch && mark.stamp >= out.stamp))
+        auto d = decision_of(write.value);
+        if (!d || d->epoch < out.epoch || (d->epoch == out.epoch && write.timestamp >= out.stamp))
             continue;
         out = std::move(*d);
-        out.stamp = mark.stamp;
+        out.stamp = write.timestamp;
         out.by = origin;
     }
     return out;
@@ -161,7 +161,7 @@
     std::map<std::string, std::vector<std::pair<std::uint64_t, std::string>>> by_zone;
     for (const auto& [member, zone] : *in.alive)
         if (zones_.contains(zone))
-            by_zone[zone].emplace_back(fnv(fnv(kFnvBasis, zone), member), member);
+            by_zone[zone].emplace_back(fnv1a(fnv1a(kFnvOffsetBasis, zone), member), member);
     witnesses_.clear();
     for (auto& [name, z] : zones_) {
         z.alive = by_zone[name].size();
@@ -321,7 +321,7 @@
     std::vector<std::pair<std::uint64_t, std::string>> order;
     for (const auto& [member, its] : alive)
         if (region_of(its) == region_of(zone))
-            order.emplace_back(fnv(fnv(fnv(kFnvBasis, zone), epoch), member), member);
+            order.emplace_back(fnv1a(fnv1a(fnv1a(kFnvOffsetBasis, zone), epoch), member), member);
     return in_order(std::move(order));
 }
 
--- a/src/cluster/failover.h
+++ b/src/cluster/failover.h
@@ -60,7 +60,7 @@
 struct Decision {
     std::uint64_t epoch = 0;             // 0: never decided, all in zone
     std::map<std::string, int> targets;  // zone to per cent of the requests; the rest stays
-    Stamp stamp = 0;
+    HybridTimestamp stamp = 0;
     std::string by;  // its origin
     int out() const;
     bool same(const Decision& other) const {
@@ -72,7 +72,7 @@
 std::optional<Decision> decision_of(const std::string& text);
 // Of what may stand side by side after a cut: the highest epoch, of that the earliest, so that whoever comes
 // late with the same epoch changes nothing.
-Decision in_force(const Entry* entry);
+Decision in_force(const ReplicatedEntry* entry);
 
 enum class Pin { none, in, out };
 std::string zone_subject(const std::string& zone);  // what a report on its health is about
@@ -110,8 +110,8 @@
         UnixMs unix_now = 0;
         Health health{};                                            // of the own zone, as this router sees it
         const std::map<std::string, std::string>* alive = nullptr;  // member to its zone, ourselves too
-        const std::map<std::string, Entry>* reports = nullptr;
-        const std::map<std::string, Entry>* shared = nullptr;
+        const std::map<std::string, ReplicatedEntry>* reports = nullptr;
+        const std::map<std::string, ReplicatedEntry>* shared = nullptr;
         std::map<std::string, double> weights;  // of the listed servers, by zone
         // Other numbers whenever `alive` or `reports` may have changed; 0: not told, they are looked through
         // each time.
--- a/src/cluster/hash.h
+++ b/src/cluster/hash.h
@@ -1,5 +1,5 @@
-// FNV-1a (Fowler, Noll, Vo; 64 bits), the same in every build and on every machine: members compare what they
-// compute of their state. Not against an adversary.
+// FNV-1a (Fowler, Noll, Vo; 64 bits), the same in every build and on every machine: routers compare digests
+// of their state. It does not withstand an adversary.
 #pragma once
 
 #include <cstdint>
@@ -7,17 +7,27 @@
 
 namespace silverrail::cluster {
 
-inline constexpr std::uint64_t kFnvBasis = 14695981039346656037ULL;
+inline constexpr std::uint64_t kFnvOffsetBasis = 14695981039346656037ULL;
+inline constexpr std::uint64_t kFnvPrime = 1099511628211ULL;
 
-inline std::uint64_t fnv(std::uint64_t h, std::string_view bytes) {
-    for (const unsigned char c : bytes)
-        h = (h ^ c) * 1099511628211ULL;
-    return h;
+inline std::uint64_t fnv1a(std::uint64_t hash, std::string_view bytes) {
+    for (const unsigned char byte : bytes)
+        hash = (hash ^ byte) * kFnvPrime;
+    return hash;
 }
-inline std::uint64_t fnv(std::uint64_t h, std::uint64_t number) {
+
+// The number's eight bytes, least significant first.
+inline std::uint64_t fnv1a(std::uint64_t hash, std::uint64_t number) {
     for (int i = 0; i < 8; ++i)
-        h = (h ^ ((number >> (8 * i)) & 0xff)) * 1099511628211ULL;
-    return h;
+        hash = (hash ^ ((number >> (8 * i)) & 0xff)) * kFnvPrime;
+    return hash;
+}
+
+// Digests of state are kept by bucket, so that two routers exchange only the buckets that differ.
+inline constexpr std::size_t kDigestBuckets = 64;
+
+inline std::size_t digest_bucket(std::string_view name) {
+    return fnv1a(kFnvOffsetBasis, name) % kDigestBuckets;
 }
 
 }  // namespace silverrail::cluster
--- a/src/cluster/hearsay.cpp
+++ b/src/cluster/hearsay.cpp
@@ -23,7 +23,7 @@
       voice_({.refresh = Time{settings.age / 3}, .enough = settings.enough}, seed) {}
 
 Hearsay::Step Hearsay::tick(Time now, UnixMs unix_now, const std::vector<SeenServer>& servers,
-                            const std::map<std::string, Entry>& entries,
+                            const std::map<std::string, ReplicatedEntry>& entries,
                             const std::map<std::string, std::string>& alive) {
     Step step;
     const auto reports = reports_in(
--- a/src/cluster/hearsay.h
+++ b/src/cluster/hearsay.h
@@ -47,7 +47,8 @@
     };
     // `alive`: the members alive, this one or not, by name; their zones are not looked at.
     Step tick(Time now, UnixMs unix_now, const std::vector<SeenServer>& servers,
-              const std::map<std::string, Entry>& entries, const std::map<std::string, std::string>& alive);
+              const std::map<std::string, ReplicatedEntry>& entries,
+              const std::map<std::string, std::string>& alive);
 
     struct Counts {
         std::uint64_t said = 0, taken_back = 0, held_out = 0, let_in = 0, panics = 0;
--- /dev/null
+++ b/src/cluster/membership/membership_periodic.cpp
@@ -0,0 +1,230 @@
+// What a member does by the clock: probes, gossip, push-pull and the deadlines of its view.
+#include <algorithm>
+#include <utility>
+
+#include "cluster/membership/membership.h"
+
+namespace silverrail::cluster {
+
+Membership::Outgoing Membership::tick(Time now) {
+    Outgoing out;
+    if (has_left())
+        return out;
+    absorb_stall(now);
+    send_due_nacks(now, out);
+    expire_members(now);
+    request_indirect_probes(now, out);
+    run_probe_period(now, out);
+    notify_one_suspect(now, out);
+    send_gossip(now, out);
+    run_push_pull(now, out);
+    return out;
+}
+
+// While this process did not run it could hear nobody: what went unanswered says nothing of the others.
+void Membership::absorb_stall(Time now) {
+    const auto gap = now - std::exchange(last_tick_, now);
+    if (gap <= 2 * settings_.probe_interval)
+        return;
+    ++counters_.stalls;
+    worsen_local_health();
+    probe_.reset();
+    relayed_probes_.clear();
+    table_.postpone_suspicions(gap);
+    next_probe_ = std::max(next_probe_, now);
+}
+
+void Membership::send_due_nacks(Time now, Outgoing& out) {
+    for (auto it = relayed_probes_.begin(); it != relayed_probes_.end();) {
+        const auto& relayed = it->second;
+        if (relayed.deadline > now) {
+            ++it;
+            continue;
+        }
+        out.push_back({relayed.requester_address,
+                       make_message(MembershipMessage::Kind::nack, relayed.requester_sequence)});
+        it = relayed_probes_.erase(it);
+    }
+}
+
+void Membership::expire_members(Time now) {
+    for (const auto& name : table_.expired(now)) {
+        MemberRecord record = table_.find(name)->record;
+        if (record.state == MemberState::suspect) {
+            record.reported_by = self().identity.name;
+            declare_dead(std::move(record), now);
+        } else {
+            add_event(MembershipEvent::Kind::removed, record);
+            gossip_.remove(name);
+            table_.remove(name);
+        }
+    }
+}
+
+void Membership::request_indirect_probes(Time now, Outgoing& out) {
+    if (!probe_ || probe_->acked || probe_->asked_helpers ||
+        now < probe_->sent + stretched(settings_.probe_timeout))
+        return;
+    probe_->asked_helpers = true;
+    const auto helpers = random_alive_members(settings_.indirect_probes, probe_->target);
+    const auto* target = table_.find(probe_->target);
+    if (!target)
+        return;
+    for (const auto* helper : helpers) {
+        auto request = make_message(MembershipMessage::Kind::ping_req, probe_->sequence);
+        request.target = probe_->target;
+        request.target_address = target->record.identity.address;
+        piggyback_gossip(request);
+        out.push_back({helper->record.identity.address, std::move(request)});
+        ++counters_.indirect_probes;
+    }
+    probe_->nacks_expected = helpers.size();
+}
+
+void Membership::run_probe_period(Time now, Outgoing& out) {
+    if (now < next_probe_)
+        return;
+    end_probe(now);
+    start_probe(now, out);
+    next_probe_ = now + stretched(settings_.probe_interval);
+}
+
+void Membership::end_probe(Time now) {
+    const auto probe = std::exchange(probe_, std::nullopt);
+    if (!probe || probe->acked)
+        return;
+    // Helpers that did not even send a nack point at our own slowness, not the target's (Lifeguard).
+    if (probe->nacks < probe->nacks_expected)
+        worsen_local_health();
+    worsen_local_health();
+    if (!is_probeable(probe->target))
+        return;
+    // Of a suspect this is an independent confirmation (Lifeguard).
+    MemberRecord suspicion = table_.find(probe->target)->record;
+    suspicion.state = MemberState::suspect;
+    suspicion.reported_by = self().identity.name;
+    merge(std::move(suspicion), now, false);
+}
+
+bool Membership::is_probeable(const std::string& name) const {
+    const auto* member = table_.find(name);
+    return member &&
+           (member->record.state == MemberState::alive || member->record.state == MemberState::suspect);
+}
+
+// SWIM's round: every member once, in an order drawn anew each time.
+void Membership::start_probe_round() {
+    probe_round_.clear();
+    for (const auto& [name, member] : members())
+        if (is_probeable(name))
+            probe_round_.push_back(name);
+    std::shuffle(probe_round_.begin(), probe_round_.end(), random_);
+    next_in_round_ = 0;
+}
+
+void Membership::start_probe(Time now, Outgoing& out) {
+    while (next_in_round_ < probe_round_.size() && !is_probeable(probe_round_[next_in_round_]))
+        ++next_in_round_;
+    if (next_in_round_ >= probe_round_.size())
+        start_probe_round();
+    if (probe_round_.empty())
+        return;
+    const auto& target = table_.find(probe_round_[next_in_round_++])->record;
+    const auto sequence = ++last_sequence_;
+    auto ping = make_message(MembershipMessage::Kind::ping, sequence);
+    ping.target = target.identity.name;
+    // A suspect learns of it from the probe itself, and can refute at once (Lifeguard's buddy system).
+    if (target.state == MemberState::suspect)
+        ping.records.push_back(target);
+    piggyback_gossip(ping);
+    probe_ = Probe{.target = target.identity.name, .sequence = sequence, .sent = now};
+    ++counters_.probes;
+    out.push_back({target.identity.address, std::move(ping)});
+}
+
+// A refutation may have been missed here, and in a large fleet a round of probes is long: each period one
+// suspect is told of its suspicion, and its answer brings the refutation. Silence changes nothing.
+void Membership::notify_one_suspect(Time now, Outgoing& out) {
+    if (now < next_suspect_notice_)
+        return;
+    next_suspect_notice_ = now + settings_.probe_interval;
+    const auto suspects = table_.not_alive(MemberState::suspect);
+    if (suspects.empty())
+        return;
+    const MemberRecord& suspect = *suspects[random_() % suspects.size()];
+    auto ping = make_message(MembershipMessage::Kind::ping, ++last_sequence_);
+    ping.target = suspect.identity.name;
+    ping.records.push_back(suspect);
+    out.push_back({suspect.identity.address, std::move(ping)});
+}
+
+void Membership::send_gossip(Time now, Outgoing& out) {
+    if (now < next_gossip_)
+        return;
+    next_gossip_ = now + settings_.probe_interval / 5;
+    if (gossip_.empty())
+        return;
+    for (const auto* member : random_alive_members(settings_.gossip_fanout, "")) {
+        auto message = make_message(MembershipMessage::Kind::gossip, 0);
+        piggyback_gossip(message);
+        if (!message.records.empty())
+            out.push_back({member->record.identity.address, std::move(message)});
+    }
+}
+
+void Membership::run_push_pull(Time now, Outgoing& out) {
+    if (now < next_push_pull_)
+        return;
+    if (const auto alive = random_alive_members(1, ""); !alive.empty())
+        push_digest(alive.front()->record.identity.address, out);
+    else if (!seeds_.empty())
+        push_digest(seeds_[random_() % seeds_.size()], out);
+    // After a partition both halves hold the other dead: one of those is asked too.
+    if (const auto dead = table_.not_alive(MemberState::dead); !dead.empty())
+        push_digest(dead[random_() % dead.size()]->identity.address, out);
+    // While alone, again soon: the seed may not have answered.
+    const auto interval = members().empty() ? settings_.probe_interval : settings_.push_pull_interval;
+    next_push_pull_ = now + interval * 3 / 4 + random_delay(random_, interval / 2);
+}
+
+void Membership::push_digest(const std::string& address, Outgoing& out) {
+    if (address == self().identity.address)
+        return;
+    auto push = make_message(MembershipMessage::Kind::push, ++last_sequence_);
+    push.digest = digest();
+    ++counters_.pushes;
+    out.push_back({address, std::move(push)});
+}
+
+// Somebody new or back is seldom alone (a rollout, a healed partition): the next push-pull comes within one
+// and a half probe intervals, so that all views are complete after about log n of them.
+void Membership::hasten_push_pull(Time now) {
+    const auto interval = settings_.probe_interval;
+    next_push_pull_ = std::min(next_push_pull_, now + interval / 2 + random_delay(random_, interval));
+}
+
+// At most `count` different members alive, drawn at random, without `except`.
+std::vector<const Member*> Membership::random_alive_members(std::size_t count, const std::string& except) {
+    std::vector<const Member*> out;
+    const auto add = [&](const std::string& name) {
+        const auto* member = table_.find(name);
+        if (member && name != except && member->record.state == MemberState::alive &&
+            std::find(out.begin(), out.end(), member) == out.end())
+            out.push_back(member);
+    };
+    // A few draws from the probe round find enough, as a rule, without going through all members.
+    for (std::size_t draws = 0; draws < 4 * count && !probe_round_.empty() && out.size() < count; ++draws)
+        add(probe_round_[random_() % probe_round_.size()]);
+    if (out.size() >= count)
+        return out;
+    std::vector<const std::string*> names;
+    for (const auto& [name, member] : members())
+        if (member.record.state == MemberState::alive)
+            names.push_back(&name);
+    std::shuffle(names.begin(), names.end(), random_);
+    for (std::size_t i = 0; i < names.size() && out.size() < count; ++i)
+        add(*names[i]);
+    return out;
+}
+
+}  // namespace silverrail::cluster
--- /dev/null
+++ b/src/cluster/replicated_state/origin_log.h
@@ -0,0 +1,27 @@
+// What a replica holds of one origin: which key each of its versions changed.
+#pragma once
+
+#include <cstdint>
+#include <map>
+#include <string>
+
+#include "cluster/replicated_state/hybrid_timestamp.h"
+
+namespace silverrail::cluster {
+
+struct OriginLog {
+    std::uint64_t version = 0;                             // the highest held
+    std::uint64_t collected_version = 0;                   // the highest whose key was garbage-collected here
+    std::map<std::uint64_t, std::string> keys_by_version;  // the last change of each key by this origin
+    std::map<std::string, std::uint64_t> versions_by_key;  // the same, by key
+    UnixMs advanced = 0;                                   // about when `version` last rose here; not stored
+
+    bool empty() const {
+        return keys_by_version.empty();
+    }
+    // Notes the last change of a key. False: a later one of that key is held.
+    bool add(std::uint64_t change_version, const std::string& key);
+    void remove(const std::string& key);
+};
+
+}  // namespace silverrail::cluster
--- /dev/null
+++ b/src/cluster/replicated_state/replica.cpp
@@ -0,0 +1,173 @@
+#include "cluster/replicated_state/replica.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace silverrail::cluster {
+
+Replica::Replica(std::string name, std::string address, std::string origin, const ReplicaSettings& settings,
+                 std::uint64_t random_seed, Time now)
+    : name_(std::move(name)),
+      address_(std::move(address)),
+      origin_(std::move(origin)),
+      settings_(settings),
+      random_(random_seed),
+      next_exchange_(now + random_delay(random_, settings.exchange_interval)) {
+    origins_[origin_];
+}
+
+void Replica::restore(Entries entries, OriginLogs origins) {
+    entries_ = std::move(entries);
+    origins_ = std::move(origins);
+    origins_[origin_];
+    recompute_digest();
+    for (const auto& [key, entry] : entries_) {
+        clock_.observe(entry.changed);
+        touch(key);
+    }
+}
+
+bool Replica::is_set(const std::string& key) const {
+    return value(key) != nullptr;
+}
+
+const std::string* Replica::value(const std::string& key) const {
+    const auto found = entries_.find(key);
+    if (found == entries_.end())
+        return nullptr;
+    const auto* write = found->second.winner();
+    return write ? &write->value : nullptr;
+}
+
+Replica::UnsavedChanges Replica::take_unsaved_changes() {
+    return std::exchange(unsaved_, {});
+}
+
+std::set<std::string> Replica::take_touched_keys() {
+    return std::exchange(touched_keys_, {});
+}
+
+bool Replica::set(const std::string& key, const std::string& value, UnixMs unix_now) {
+    ReplicatedEntry entry;
+    if (const auto found = entries_.find(key); found != entries_.end())
+        entry = found->second;
+    for (auto& [origin, write] : entry.writes)
+        write.clear();
+    entry.changed = clock_.next(unix_now);
+    auto& own = entry.writes[origin_];
+    own = {origins_[origin_].version + 1, own.cleared_version, entry.changed, value};
+    return commit_local_change(key, entry);
+}
+
+bool Replica::clear(const std::string& key, UnixMs unix_now) {
+    const auto found = entries_.find(key);
+    if (found == entries_.end() || !found->second.is_set())
+        return true;  // nothing to clear
+    ReplicatedEntry entry = found->second;
+    entry.changed = clock_.next(unix_now);
+    for (auto& [origin, write] : entry.writes)
+        write.clear();
+    return commit_local_change(key, entry);
+}
+
+bool Replica::commit_local_change(const std::string& key, const ReplicatedEntry& entry) {
+    if (!is_valid(key, entry) || !merge(key, entry).held)
+        return false;
+    const auto version = origins_[origin_].version + 1;
+    record_version(origin_, version, key, false);
+    pending_gossip_.push_back({origin_, version, key, entries_.at(key)});
+    return true;
+}
+
+Replica::MergeResult Replica::merge(const std::string& key, const ReplicatedEntry& incoming) {
+    MergeResult out;
+    clock_.observe(incoming.changed);
+    const auto found = entries_.find(key);
+    const auto* held = found == entries_.end() ? nullptr : &found->second;
+    ReplicatedEntry entry = incoming;
+    out.partial = drop_collected_writes(entry, held);
+    if (entry.writes.empty())
+        return out;
+    ReplicatedEntry joined = held ? join(*held, entry) : std::move(entry);
+    if (joined.writes.size() > kMaxWrites || (!held && entries_.size() >= settings_.max_entries)) {
+        out.held = false;
+        return out;
+    }
+    if (held && joined == *held)
+        return out;
+    entries_[key] = std::move(joined);
+    unsaved_.keys.insert(key);
+    touch(key);
+    heard_change_ = true;
+    out.changed = true;
+    return out;
+}
+
+// Leaves out what was cleared and collected here: its version was seen, and no write of its origin is held.
+// True if there was such a write.
+bool Replica::drop_collected_writes(ReplicatedEntry& incoming, const ReplicatedEntry* held) const {
+    const auto dropped = std::erase_if(incoming.writes, [&](const auto& item) {
+        const auto& [origin, write] = item;
+        return is_version_held(origin, std::max(write.set_version, write.cleared_version)) &&
+               (!held || !held->writes.contains(origin));
+    });
+    return dropped > 0;
+}
+
+bool Replica::is_version_held(const std::string& origin, std::uint64_t version) const {
+    const auto found = origins_.find(origin);
+    return found != origins_.end() && version <= found->second.version;
+}
+
+void Replica::touch(const std::string& key) {
+    touched_keys_.insert(key);
+    ++revision_;
+}
+
+// `partial`: less is held of the key than the change said, so it can't be passed on from here.
+void Replica::record_version(const std::string& origin, std::uint64_t version, const std::string& key,
+                             bool partial) {
+    auto& log = origins_[origin];
+    auto& bucket = digest_[digest_bucket(origin)];
+    bucket ^= digest_part(origin, log);
+    add_to_log(origin, log, version, key, partial);
+    bucket ^= digest_part(origin, log);
+}
+
+void Replica::add_to_log(const std::string& origin, OriginLog& log, std::uint64_t version,
+                         const std::string& key, bool partial) {
+    const bool removed = !entries_.contains(key);
+    if (removed || partial) {
+        log.collected_version = std::max(log.collected_version, version);
+        unsaved_.origins.insert(origin);
+    }
+    if (!removed) {
+        if (!log.add(version, key))
+            return;
+        unsaved_.log_items.emplace(origin, key);
+    }
+    advance(origin, log, version);
+}
+
+void Replica::advance(const std::string& origin, OriginLog& log, std::uint64_t version) {
+    if (version <= log.version)
+        return;
+    log.version = version;
+    log.advanced = unix_ms_of(clock_.latest());
+    unsaved_.origins.insert(origin);
+}
+
+std::uint64_t Replica::digest_part(const std::string& origin, const OriginLog& log) const {
+    const bool aged_out = settings_.value_retention > 0 && log.empty();
+    if (aged_out || log.version == 0)
+        return 0;
+    return fnv1a(fnv1a(kFnvOffsetBasis, origin), log.version);
+}
+
+void Replica::recompute_digest() {
+    digest_ = {};
+    for (const auto& [origin, log] : origins_)
+        digest_[digest_bucket(origin)] ^= digest_part(origin, log);
+}
+
+}  // namespace silverrail::cluster
--- /dev/null
+++ b/src/cluster/replicated_state/replica.h
@@ -0,0 +1,230 @@
+// The state that the routers share: keys with values, the same on every router in the end, whatever the order
+// in which changes arrive.
+//
+// A state machine without I/O, clocks or threads, as src/cluster/membership is: time comes in with every call
+// (steady for periods, Unix for timestamps), randomness from a seed; every call returns messages to send.
+// What a call changed is to be stored (take_unsaved_changes) before its messages go out: so an answer is an
+// acknowledgement.
+//
+// Sources: van Renesse, Dumitriu, Gough, Thomas, "Efficient Reconciliation and Flow Control for Anti-Entropy
+// Protocols" (LADIS 2008): each origin gives its updates versions, peers compare the highest version held of
+// each origin and send what lies above.
+//
+// How copies are merged (docs/design/replication.md): an entry holds one write for each origin that set the
+// key, with that change's version. Whoever sets or clears a key clears the writes that it has seen, and no
+// other: what was set elsewhere meanwhile stays set, as an operator's ban must. Copies are joined write by
+// write, the higher version of each; of several live writes the one with the highest timestamp counts. So
+// every order of delivery ends in one state. A write that is not held although its version was seen has been
+// cleared and collected: an old copy does not bring it back (as in the optimised observed-remove set of
+// Bieniusa et al., 2012).
+#pragma once
+
+#include <cstdint>
+#include <map>
+#include <optional>
+#include <random>
+#include <set>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "cluster/replicated_state/hybrid_timestamp.h"
+#include "cluster/replicated_state/origin_log.h"
+#include "cluster/replicated_state/replica_message.h"
+#include "cluster/replicated_state/replicated_entry.h"
+#include "cluster/time.h"
+
+namespace silverrail::cluster {
+
+struct ReplicaSettings {
+    std::uint8_t channel = 0;
+    Time exchange_interval{1000};  // of anti-entropy with one member
+    // The interval for a while after a change was heard of: whoever missed its gossip is found soon. 0: no
+    // faster than ever.
+    Time fast_exchange_interval{200};
+    UnixMs tombstone_retention = 86'400'000;  // the longest absence that catches up by updates alone
+    // Values set longer ago than this are collected too; 0: never. Above 0 every run of a router is an origin
+    // of its own (nothing is stored), so an origin of which nothing is held any more does not count in the
+    // digest, and is removed after origin_retention.
+    UnixMs value_retention = 0;
+    UnixMs origin_retention = 600'000;
+    UnixMs max_clock_skew = 10'000;             // a timestamp further ahead of our clock is rejected
+    std::size_t max_exchange_bytes = 64 << 10;  // of updates in one message
+    std::size_t max_entries = 20'000;
+    std::size_t max_origins = 4'096;
+    std::size_t gossip_fanout = 3;
+};
+
+struct ReplicaCounters {
+    std::uint64_t applied = 0;
+    std::uint64_t duplicates = 0;
+    std::uint64_t ahead = 0;  // from further in the future than clocks may differ
+    std::uint64_t rejected = 0;
+    std::uint64_t snapshots = 0;
+    std::uint64_t exchanges = 0;
+    std::uint64_t updates_sent = 0;
+    std::uint64_t collected = 0;
+};
+
+class Replica {
+public:
+    using Outgoing = std::vector<OutgoingReplicaMessage>;
+    using Entries = std::map<std::string, ReplicatedEntry>;  // by key
+    using OriginLogs = std::map<std::string, OriginLog>;     // by origin
+
+    // `origin`: this router's, never used by another, nor by a run that lost what it had given versions to.
+    Replica(std::string name, std::string address, std::string origin, const ReplicaSettings& settings,
+            std::uint64_t random_seed, Time now);
+    // Takes up what was stored, before anything else is called.
+    void restore(Entries entries, OriginLogs origins);
+
+    // A change made here. False: out of bounds, or full; nothing was changed.
+    bool set(const std::string& key, const std::string& value, UnixMs unix_now);
+    bool clear(const std::string& key, UnixMs unix_now);
+
+    // Does what is due. `peers`: addresses of the other members alive.
+    Outgoing tick(Time now, UnixMs unix_now, const std::vector<std::string>& peers);
+    // Takes in a peer's message. One that breaks a rule is rejected whole, and counted.
+    Outgoing receive(const ReplicaMessage& message, Time now, UnixMs unix_now);
+
+    const Entries& entries() const {
+        return entries_;
+    }
+    bool is_set(const std::string& key) const;
+    // Null: the key is not set.
+    const std::string* value(const std::string& key) const;
+    // Another number whenever the value of a key may have changed; never 0.
+    std::uint64_t revision() const {
+        return revision_;
+    }
+    const std::string& origin() const {
+        return origin_;
+    }
+    const OriginLogs& origins() const {
+        return origins_;
+    }
+    const ReplicaDigest& digest() const {
+        return digest_;
+    }
+    VersionVector versions() const;
+    // The highest version heard of each origin, held or not: the difference is the lag.
+    const VersionVector& heard_versions() const {
+        return heard_versions_;
+    }
+    const ReplicaCounters& counters() const {
+        return counters_;
+    }
+
+    // What has to be stored since the last call.
+    struct UnsavedChanges {
+        std::set<std::string> keys;                               // removed, if no longer held
+        std::set<std::string> origins;                            // versions of
+        std::set<std::pair<std::string, std::string>> log_items;  // origin and key: the version of that key
+        bool everything = false;  // a snapshot was installed: what is stored and not held any more is removed
+    };
+    UnsavedChanges take_unsaved_changes();
+    // Keys whose value may have changed since the last call.
+    std::set<std::string> take_touched_keys();
+
+private:
+    struct MergeResult {
+        bool held = true;      // false: there was no room
+        bool changed = false;  // what is held is not what it was
+        bool partial = false;  // part of it was cleared and collected here, and was left out
+    };
+    // A snapshot that is being fetched, page by page.
+    struct SnapshotTransfer {
+        std::string sender{};
+        std::string cursor{};
+        VersionVector versions{};
+        VersionVector collected_versions{};
+        std::vector<ReplicaUpdate> updates{};
+        Time last_page{};
+    };
+    struct OriginBehind;
+
+    // Changes and their versions (replica.cpp).
+    bool commit_local_change(const std::string& key, const ReplicatedEntry& entry);
+    MergeResult merge(const std::string& key, const ReplicatedEntry& incoming);
+    bool drop_collected_writes(ReplicatedEntry& incoming, const ReplicatedEntry* held) const;
+    void record_version(const std::string& origin, std::uint64_t version, const std::string& key,
+                        bool partial);
+    void add_to_log(const std::string& origin, OriginLog& log, std::uint64_t version, const std::string& key,
+                    bool partial);
+    void advance(const std::string& origin, OriginLog& log, std::uint64_t version);
+    bool is_version_held(const std::string& origin, std::uint64_t version) const;
+    void touch(const std::string& key);
+    std::uint64_t digest_part(const std::string& origin, const OriginLog& log) const;
+    void recompute_digest();
+
+    // Anti-entropy and gossip (replica_exchange.cpp).
+    void hasten_exchange_after_change(Time now);
+    void send_gossip(const std::vector<ReplicaUpdate>& updates, const std::vector<std::string>& peers,
+                     Outgoing& out);
+    void start_exchange(Time now, const std::vector<std::string>& peers, Outgoing& out);
+    bool acceptable(const ReplicaMessage& message) const;
+    void note_heard_versions(const VersionVector& versions);
+    void on_digest(const ReplicaMessage& message, Outgoing& out);
+    void on_versions(const ReplicaMessage& message, Time now, Outgoing& out);
+    void on_delta_exchange(const ReplicaMessage& message, Time now, UnixMs unix_now, Outgoing& out);
+    void on_delta(const ReplicaMessage& message, Time now, UnixMs unix_now, Outgoing& out);
+    ReplicaMessage make_message(ReplicaMessage::Kind kind) const;
+    void reply(const ReplicaMessage& to, ReplicaMessage answer, Outgoing& out);
+    VersionVector versions_in(std::uint64_t bucket_mask) const;
+    // Fills a delta with what the sender of `request` lacks, in the buckets of its mask.
+    void add_missing_updates(const ReplicaMessage& request, ReplicaMessage& delta) const;
+    std::vector<OriginBehind> origins_behind(const ReplicaMessage& request, bool& snapshot_needed) const;
+    std::vector<ReplicaUpdate> updates_after(const std::string& origin, const OriginLog& log,
+                                             std::uint64_t version) const;
+
+    // Updates from peers (replica_apply.cpp).
+    void apply_updates(const ReplicaMessage& message, UnixMs unix_now);
+    bool is_rejected_or_duplicate(const ReplicaUpdate& update);
+    std::optional<MergeResult> apply_update(const ReplicaUpdate& update, UnixMs unix_now);
+    bool follows_held_versions(const ReplicaUpdate& update, const VersionVector& base_versions) const;
+    bool is_too_far_ahead(const ReplicatedEntry& entry, UnixMs unix_now) const;
+
+    // Garbage collection (replica_collect.cpp).
+    void collect_garbage_if_due(UnixMs unix_now);
+    void collect_garbage(UnixMs unix_now);
+    bool is_collectable(const std::string& origin, const OriginWrite& write, const ReplicatedEntry& entry,
+                        UnixMs unix_now) const;
+    void mark_collected(const std::string& key, bool key_removed);
+    void remove_idle_origins(UnixMs unix_now);
+
+    // Snapshots (replica_snapshot.cpp).
+    void request_snapshot_if_needed(const ReplicaMessage& message, Time now, Outgoing& out);
+    ReplicaMessage snapshot_page(const std::string& cursor) const;
+    std::vector<ReplicaUpdate> snapshot_updates(const std::string& key, const ReplicatedEntry& entry) const;
+    void on_snapshot_page(const ReplicaMessage& page, Time now, UnixMs unix_now, Outgoing& out);
+    bool add_page(const ReplicaMessage& page, UnixMs unix_now);
+    void install_snapshot(const SnapshotTransfer& snapshot);
+    std::set<std::string> merge_snapshot(const SnapshotTransfer& snapshot);
+    void remove_what_snapshot_lacks(const SnapshotTransfer& snapshot);
+    void raise_versions(const VersionVector& versions);
+    void record_snapshot_versions(const SnapshotTransfer& snapshot, const std::set<std::string>& partial);
+    void remove_log_items_without_entry(const VersionVector& collected_versions);
+
+    std::string name_;
+    std::string address_;
+    std::string origin_;
+    ReplicaSettings settings_;
+    std::mt19937_64 random_;
+    Entries entries_;
+    OriginLogs origins_;
+    ReplicaDigest digest_{};
+    HybridClock clock_;
+    Time next_exchange_;
+    Time fast_exchanges_until_{};
+    bool heard_change_ = false;
+    UnixMs next_collection_ = 0;
+    std::vector<ReplicaUpdate> pending_gossip_;
+    std::optional<SnapshotTransfer> snapshot_;
+    VersionVector heard_versions_;
+    UnsavedChanges unsaved_;
+    std::set<std::string> touched_keys_;
+    std::uint64_t revision_ = 1;
+    ReplicaCounters counters_;
+};
+
+}  // namespace silverrail::cluster
--- /dev/null
+++ b/src/cluster/replicated_state/replica_apply.cpp
@@ -0,0 +1,79 @@
+// Updates that come from peers.
+#include <utility>
+
+#include "cluster/replicated_state/replica.h"
+
+namespace silverrail::cluster {
+
+namespace {
+
+constexpr std::size_t kMaxPendingGossip = 256;
+
+}  // namespace
+
+// A version counts as held only if nothing between it and what is held was left out.
+void Replica::apply_updates(const ReplicaMessage& message, UnixMs unix_now) {
+    std::set<std::string> blocked_origins;  // no further version of these counts as held
+    std::vector<std::pair<const ReplicaUpdate*, MergeResult>> held;
+    for (const auto& update : message.updates) {
+        if (is_rejected_or_duplicate(update) || blocked_origins.contains(update.origin))
+            continue;
+        const auto result = apply_update(update, unix_now);
+        if (!result) {
+            blocked_origins.insert(update.origin);
+        } else if (message.kind == ReplicaMessage::Kind::gossip) {
+            if (result->changed && pending_gossip_.size() < kMaxPendingGossip)
+                pending_gossip_.push_back(update);
+        } else if (follows_held_versions(update, message.base_versions)) {
+            held.emplace_back(&update, *result);
+        } else {
+            blocked_origins.insert(update.origin);
+        }
+    }
+    // Only now: until all of an origin's changes are in, its versions vouch for none of them.
+    for (const auto& [update, result] : held)
+        record_version(update->origin, update->version, update->key, result.partial);
+}
+
+bool Replica::is_rejected_or_duplicate(const ReplicaUpdate& update) {
+    const auto known = origins_.find(update.origin);
+    if (known == origins_.end() && origins_.size() >= settings_.max_origins) {
+        ++counters_.rejected;
+        return true;
+    }
+    // A replay: what was held once may have been cleared and collected since.
+    if (known != origins_.end() && update.version <= known->second.version) {
+        ++counters_.duplicates;
+        return true;
+    }
+    return false;
+}
+
+// Empty: it was not taken in, and is sent again in a later exchange.
+std::optional<Replica::MergeResult> Replica::apply_update(const ReplicaUpdate& update, UnixMs unix_now) {
+    if (is_too_far_ahead(update.entry, unix_now)) {
+        ++counters_.ahead;
+        return std::nullopt;
+    }
+    const auto result = merge(update.key, update.entry);
+    if (!result.held) {
+        ++counters_.rejected;
+        return std::nullopt;
+    }
+    ++counters_.applied;
+    return result;
+}
+
+bool Replica::follows_held_versions(const ReplicaUpdate& update, const VersionVector& base_versions) const {
+    const auto base = base_versions.find(update.origin);
+    if (base == base_versions.end())
+        return false;
+    const auto known = origins_.find(update.origin);
+    return base->second <= (known == origins_.end() ? 0 : known->second.version);
+}
+
+bool Replica::is_too_far_ahead(const ReplicatedEntry& entry, UnixMs unix_now) const {
+    return unix_ms_of(entry.changed) > unix_now + settings_.max_clock_skew;
+}
+
+}  // namespace silverrail::cluster
--- /dev/null
+++ b/src/cluster/replicated_state/replica_collect.cpp
@@ -0,0 +1,88 @@
+// Garbage collection: tombstones, and where values age out, values, go after their retention time.
+#include <algorithm>
+#include <iterator>
+
+#include "cluster/replicated_state/replica.h"
+
+namespace silverrail::cluster {
+
+namespace {
+
+constexpr UnixMs kMaxCollectionIntervalMs = 60'000;
+
+}  // namespace
+
+void Replica::collect_garbage_if_due(UnixMs unix_now) {
+    if (unix_now < next_collection_)
+        return;
+    collect_garbage(unix_now);
+    const auto interval = std::min(settings_.tombstone_retention / 20, kMaxCollectionIntervalMs);
+    next_collection_ = unix_now + std::max<UnixMs>(1, interval);
+}
+
+void Replica::collect_garbage(UnixMs unix_now) {
+    for (auto it = entries_.begin(); it != entries_.end();) {
+        const auto& key = it->first;
+        auto& entry = it->second;
+        bool any_removed = false;
+        bool tombstone_removed = false;
+        std::erase_if(entry.writes, [&](const auto& item) {
+            const auto& [origin, write] = item;
+            if (!is_collectable(origin, write, entry, unix_now))
+                return false;
+            any_removed = true;
+            tombstone_removed |= !write.is_live();
+            return true;
+        });
+        if (any_removed) {
+            unsaved_.keys.insert(key);
+            touch(key);
+        }
+        const bool key_removed = entry.writes.empty();
+        if (key_removed || tombstone_removed)
+            mark_collected(key, key_removed);
+        counters_.collected += key_removed ? 1 : 0;
+        it = key_removed ? entries_.erase(it) : std::next(it);
+    }
+    if (settings_.value_retention > 0)
+        remove_idle_origins(unix_now);
+}
+
+// A value that ages out goes by every router's clock. A tombstone goes only once its set was seen here:
+// coming later, that would be live again; where values age out it would be past its time.
+bool Replica::is_collectable(const std::string& origin, const OriginWrite& write,
+                             const ReplicatedEntry& entry, UnixMs unix_now) const {
+    const bool values_age = settings_.value_retention > 0;
+    if (write.is_live())
+        return values_age && unix_now - unix_ms_of(write.timestamp) > settings_.value_retention;
+    const auto age = unix_now - unix_ms_of(entry.changed);
+    return age > settings_.tombstone_retention && (is_version_held(origin, write.cleared_version) ||
+                                                   (values_age && age > settings_.value_retention));
+}
+
+// Whoever has not seen the versions that the key had is given a snapshot instead of a gap.
+void Replica::mark_collected(const std::string& key, bool key_removed) {
+    for (auto& [origin, log] : origins_) {
+        const auto version = log.versions_by_key.find(key);
+        if (version == log.versions_by_key.end())
+            continue;
+        log.collected_version = std::max(log.collected_version, version->second);
+        if (key_removed) {
+            unsaved_.log_items.emplace(origin, key);
+            log.remove(key);
+        }
+        unsaved_.origins.insert(origin);
+    }
+}
+
+// The runs that ended: nothing else would ever remove them.
+void Replica::remove_idle_origins(UnixMs unix_now) {
+    std::erase_if(origins_, [&](const auto& item) {
+        const auto& [origin, log] = item;
+        return origin != origin_ && log.empty() && unix_now - log.advanced > settings_.origin_retention;
+    });
+    std::erase_if(heard_versions_, [this](const auto& item) { return !origins_.contains(item.first); });
+    recompute_digest();
+}
+
+}  // namespace silverrail::cluster
--- /dev/null
+++ b/src/cluster/replicated_state/replica_exchange.cpp
@@ -0,0 +1,275 @@
+// Anti-entropy: periodic exchanges of digests, versions and missing updates with one peer at a time; and
+// gossip of changes just made.
+#include <algorithm>
+#include <iterator>
+#include <utility>
+
+#include "cluster/replicated_state/replica.h"
+
+namespace silverrail::cluster {
+
+namespace {
+
+constexpr Time kFastExchangesFor{2000};
+// Of one origin's updates in a message; well below what a frame holds.
+constexpr std::size_t kMaxOriginBytes = 512 << 10;
+// A snapshot is given up after so many exchange intervals without a page.
+constexpr int kSnapshotTimeoutIntervals = 10;
+
+bool is_valid_update(const ReplicaUpdate& update, ReplicaMessage::Kind kind) {
+    const bool has_version = !update.origin.empty() && update.version > 0;
+    // In a snapshot a key may stand without an origin.
+    return is_valid(update.key, update.entry) && update.origin.size() <= kMaxOriginLength &&
+           (has_version || kind == ReplicaMessage::Kind::snapshot_page);
+}
+
+bool are_valid_versions(const VersionVector& versions) {
+    return versions.size() <= ReplicaMessage::kMaxVersions &&
+           std::all_of(versions.begin(), versions.end(), [](const auto& item) {
+               return !item.first.empty() && item.first.size() <= kMaxOriginLength;
+           });
+}
+
+std::uint64_t version_of(const VersionVector& versions, const std::string& origin) {
+    const auto found = versions.find(origin);
+    return found == versions.end() ? 0 : found->second;
+}
+
+bool covers(std::uint64_t bucket_mask, const std::string& origin) {
+    return (bucket_mask >> digest_bucket(origin) & 1) != 0;
+}
+
+}  // namespace
+
+// An origin of which a peer lacks updates.
+struct Replica::OriginBehind {
+    HybridTimestamp newest_change = 0;
+    const std::string* origin = nullptr;
+    const OriginLog* log = nullptr;
+    std::uint64_t peer_version = 0;
+};
+
+Replica::Outgoing Replica::tick(Time now, UnixMs unix_now, const std::vector<std::string>& peers) {
+    Outgoing out;
+    collect_garbage_if_due(unix_now);
+    hasten_exchange_after_change(now);
+    const auto gossip = std::exchange(pending_gossip_, {});
+    if (peers.empty())
+        return out;
+    send_gossip(gossip, peers, out);
+    if (snapshot_ && now - snapshot_->last_page > kSnapshotTimeoutIntervals * settings_.exchange_interval)
+        snapshot_.reset();
+    start_exchange(now, peers, out);
+    return out;
+}
+
+void Replica::hasten_exchange_after_change(Time now) {
+    if (!std::exchange(heard_change_, false) || settings_.fast_exchange_interval == Time{0})
+        return;
+    fast_exchanges_until_ = now + kFastExchangesFor;
+    next_exchange_ = std::min(next_exchange_, now + random_delay(random_, settings_.fast_exchange_interval));
+}
+
+// Each update to a few peers, drawn anew; whoever is missed is reached by the exchanges.
+void Replica::send_gossip(const std::vector<ReplicaUpdate>& updates, const std::vector<std::string>& peers,
+                          Outgoing& out) {
+    for (const auto& update : updates) {
+        std::set<std::size_t> receivers;
+        for (std::size_t i = 0; i < settings_.gossip_fanout; ++i)
+            receivers.insert(random_() % peers.size());
+        for (const auto receiver : receivers) {
+            auto message = make_message(ReplicaMessage::Kind::gossip);
+            message.updates.push_back(update);
+            out.push_back({peers[receiver], std::move(message)});
+        }
+    }
+}
+
+void Replica::start_exchange(Time now, const std::vector<std::string>& peers, Outgoing& out) {
+    if (now < next_exchange_)
+        return;
+    const auto interval = now < fast_exchanges_until_
+                              ? std::min(settings_.fast_exchange_interval, settings_.exchange_interval)
+                              : settings_.exchange_interval;
+    next_exchange_ = now + interval;
+    ++counters_.exchanges;
+    auto message = make_message(ReplicaMessage::Kind::digest);
+    message.digest = digest_;
+    out.push_back({peers[random_() % peers.size()], std::move(message)});
+}
+
+ReplicaMessage Replica::make_message(ReplicaMessage::Kind kind) const {
+    ReplicaMessage out;
+    out.kind = kind;
+    out.channel = settings_.channel;
+    out.sender = name_;
+    out.sender_address = address_;
+    return out;
+}
+
+void Replica::reply(const ReplicaMessage& to, ReplicaMessage answer, Outgoing& out) {
+    counters_.updates_sent += answer.updates.size();
+    out.push_back({to.sender_address, std::move(answer)});
+}
+
+bool Replica::acceptable(const ReplicaMessage& message) const {
+    if (message.channel != settings_.channel || message.sender.empty() || message.sender == name_)
+        return false;
+    if (message.sender.size() > kMaxNameLength || message.sender_address.size() > kMaxAddressLength ||
+        message.cursor.size() > kMaxKeyLength || message.updates.size() > ReplicaMessage::kMaxUpdates)
+        return false;
+    return are_valid_versions(message.versions) && are_valid_versions(message.base_versions) &&
+           std::all_of(message.updates.begin(), message.updates.end(),
+                       [&](const ReplicaUpdate& update) { return is_valid_update(update, message.kind); });
+}
+
+void Replica::note_heard_versions(const VersionVector& versions) {
+    for (const auto& [origin, version] : versions) {
+        if (heard_versions_.size() >= settings_.max_origins && !heard_versions_.contains(origin))
+            continue;
+        auto& highest = heard_versions_[origin];
+        highest = std::max(highest, version);
+    }
+}
+
+Replica::Outgoing Replica::receive(const ReplicaMessage& message, Time now, UnixMs unix_now) {
+    Outgoing out;
+    if (!acceptable(message)) {
+        ++counters_.rejected;
+        return out;
+    }
+    note_heard_versions(message.versions);
+    switch (message.kind) {
+        case ReplicaMessage::Kind::digest:
+            on_digest(message, out);
+            break;
+        case ReplicaMessage::Kind::versions:
+            on_versions(message, now, out);
+            break;
+        case ReplicaMessage::Kind::delta_exchange:
+            on_delta_exchange(message, now, unix_now, out);
+            break;
+        case ReplicaMessage::Kind::delta:
+            on_delta(message, now, unix_now, out);
+            break;
+        case ReplicaMessage::Kind::gossip:
+            apply_updates(message, unix_now);
+            break;
+        case ReplicaMessage::Kind::snapshot_request:
+            reply(message, snapshot_page(message.cursor), out);
+            break;
+        case ReplicaMessage::Kind::snapshot_page:
+            on_snapshot_page(message, now, unix_now, out);
+            break;
+    }
+    return out;
+}
+
+void Replica::on_digest(const ReplicaMessage& message, Outgoing& out) {
+    auto answer = make_message(ReplicaMessage::Kind::versions);
+    for (std::size_t i = 0; i < kDigestBuckets; ++i)
+        if (message.digest[i] != digest_[i])
+            answer.bucket_mask |= std::uint64_t{1} << i;
+    if (answer.bucket_mask == 0)
+        return;
+    answer.versions = versions_in(answer.bucket_mask);
+    reply(message, std::move(answer), out);
+}
+
+void Replica::on_versions(const ReplicaMessage& message, Time now, Outgoing& out) {
+    auto answer = make_message(ReplicaMessage::Kind::delta_exchange);
+    add_missing_updates(message, answer);
+    answer.bucket_mask = message.bucket_mask;
+    answer.versions = versions_in(message.bucket_mask);
+    if (!answer.complete)
+        next_exchange_ = now;
+    reply(message, std::move(answer), out);
+}
+
+void Replica::on_delta_exchange(const ReplicaMessage& message, Time now, UnixMs unix_now, Outgoing& out) {
+    apply_updates(message, unix_now);
+    auto answer = make_message(ReplicaMessage::Kind::delta);
+    add_missing_updates(message, answer);
+    if (!answer.updates.empty() || answer.snapshot_needed)
+        reply(message, std::move(answer), out);
+    request_snapshot_if_needed(message, now, out);
+}
+
+void Replica::on_delta(const ReplicaMessage& message, Time now, UnixMs unix_now, Outgoing& out) {
+    apply_updates(message, unix_now);
+    if (!message.complete)
+        next_exchange_ = now;
+    request_snapshot_if_needed(message, now, out);
+}
+
+VersionVector Replica::versions() const {
+    return versions_in(~std::uint64_t{0});
+}
+
+VersionVector Replica::versions_in(std::uint64_t bucket_mask) const {
+    VersionVector out;
+    for (const auto& [origin, log] : origins_)
+        if (log.version > 0 && covers(bucket_mask, origin))
+            out.emplace(origin, log.version);
+    return out;
+}
+
+// The origins with the newest changes first, as many as the message holds, at least one. An origin goes whole
+// or not at all: a change whose key the origin changed again later stands at the later version only, so that
+// half of the versions would claim what was not sent.
+void Replica::add_missing_updates(const ReplicaMessage& request, ReplicaMessage& delta) const {
+    std::size_t delta_bytes = 0;
+    for (const auto& behind : origins_behind(request, delta.snapshot_needed)) {
+        auto updates = updates_after(*behind.origin, *behind.log, behind.peer_version);
+        std::size_t bytes = 0;
+        for (const auto& update : updates)
+            bytes += approximate_size(update);
+        if (updates.size() > ReplicaMessage::kMaxUpdates || bytes > kMaxOriginBytes) {
+            delta.snapshot_needed = true;
+            continue;
+        }
+        const bool too_much = delta_bytes + bytes > settings_.max_exchange_bytes ||
+                              delta.updates.size() + updates.size() > ReplicaMessage::kMaxUpdates;
+        if (!delta.updates.empty() && too_much) {
+            delta.complete = false;
+            return;
+        }
+        delta_bytes += bytes;
+        delta.base_versions[*behind.origin] = behind.peer_version;
+        std::move(updates.begin(), updates.end(), std::back_inserter(delta.updates));
+    }
+}
+
+std::vector<Replica::OriginBehind> Replica::origins_behind(const ReplicaMessage& request,
+                                                           bool& snapshot_needed) const {
+    std::vector<OriginBehind> out;
+    for (const auto& [origin, log] : origins_) {
+        if (!covers(request.bucket_mask, origin))
+            continue;
+        const auto peer_version = version_of(request.versions, origin);
+        if (peer_version >= log.version)
+            continue;
+        // Where values age out, the peer's copies of what is gone here end by the clock.
+        if (settings_.value_retention > 0 && log.empty())
+            continue;
+        if (peer_version < log.collected_version)
+            snapshot_needed = true;
+        else if (!log.empty())
+            out.push_back(
+                {entries_.at(log.keys_by_version.rbegin()->second).changed, &origin, &log, peer_version});
+    }
+    std::sort(out.begin(), out.end(), [](const OriginBehind& a, const OriginBehind& b) {
+        return a.newest_change != b.newest_change ? a.newest_change > b.newest_change : *a.origin < *b.origin;
+    });
+    return out;
+}
+
+std::vector<ReplicaUpdate> Replica::updates_after(const std::string& origin, const OriginLog& log,
+                                                  std::uint64_t version) const {
+    std::vector<ReplicaUpdate> out;
+    for (auto it = log.keys_by_version.upper_bound(version); it != log.keys_by_version.end(); ++it)
+        out.push_back({origin, it->first, it->second, entries_.at(it->second)});
+    return out;
+}
+
+}  // namespace silverrail::cluster
--- /dev/null
+++ b/src/cluster/replicated_state/replicated_entry.h
@@ -0,0 +1,51 @@
+// The value of one key of the replicated state, with what is needed to merge it with another copy.
+#pragma once
+
+#include <cstdint>
+#include <map>
+#include <string>
+
+#include "cluster/membership/member_record.h"
+#include "cluster/replicated_state/hybrid_timestamp.h"
+
+namespace silverrail::cluster {
+
+inline constexpr std::size_t kMaxKeyLength = 192;
+inline constexpr std::size_t kMaxValueLength = 128;
+inline constexpr std::size_t kMaxWrites = 32;  // of one key
+inline constexpr std::size_t kMaxOriginLength = kMaxNameLength + 24;
+
+// The last write of one origin to a key, by the versions that the origin gave its changes.
+struct OriginWrite {
+    std::uint64_t set_version = 0;      // of its last set
+    std::uint64_t cleared_version = 0;  // its sets up to this one are cleared
+    HybridTimestamp timestamp = 0;      // of the set
+    std::string value;
+
+    bool is_live() const {
+        return set_version > cleared_version;
+    }
+    // Clears the set; only the versions are left, as a tombstone.
+    void clear();
+    bool operator==(const OriginWrite&) const = default;
+};
+
+struct ReplicatedEntry {
+    std::map<std::string, OriginWrite> writes;  // by origin
+    HybridTimestamp changed = 0;                // the last change of any kind
+
+    // The live write with the highest timestamp, then origin; null: the key is not set.
+    const OriginWrite* winner() const;
+    bool is_set() const {
+        return winner() != nullptr;
+    }
+    bool operator==(const ReplicatedEntry&) const = default;
+};
+
+// The merge of two copies of one key: commutative, associative, idempotent.
+ReplicatedEntry join(const ReplicatedEntry& a, const ReplicatedEntry& b);
+
+// True if key and entry keep to the bounds above and are consistent in themselves.
+bool is_valid(const std::string& key, const ReplicatedEntry& entry);
+
+}  // namespace silverrail::cluster
--- a/src/cluster/voice.cpp
+++ b/src/cluster/voice.cpp
@@ -4,25 +4,25 @@
 
 std::string report_key(const std::string& subject, const std::string& reporter) {
     if (subject.empty() || reporter.empty() || subject.find('\t') != std::string::npos ||
-        subject.size() + 1 + reporter.size() > kLongestKey)
+        subject.size() + 1 + reporter.size() > kMaxKeyLength)
         return {};
     return subject + '\t' + reporter;
 }
 
-Reports reports_in(const std::map<std::string, Entry>& entries, const std::string& prefix, UnixMs unix_now,
-                   UnixMs age, const std::function<bool(const std::string&)>& counts) {
+Reports reports_in(const std::map<std::string, ReplicatedEntry>& entries, const std::string& prefix,
+                   UnixMs unix_now, UnixMs age, const std::function<bool(const std::string&)>& counts) {
     Reports out;
     for (auto it = entries.lower_bound(prefix); it != entries.end() && it->first.starts_with(prefix); ++it) {
         const auto tab = it->first.find('\t');
-        const auto* mark = it->second.winner();
-        if (!mark || tab == std::string::npos)
+        const auto* write = it->second.winner();
+        if (!write || tab == std::string::npos)
             continue;
-        if (age > 0 && unix_now - unix_of(mark->stamp) > age)
+        if (age > 0 && unix_now - unix_ms_of(write->timestamp) > age)
             continue;
         auto reporter = it->first.substr(tab + 1);
         if (counts(reporter))
             out[it->first.substr(0, tab)].emplace(std::move(reporter),
-                                                  Report{mark->value, unix_of(mark->stamp)});
+                                                  Report{write->value, unix_ms_of(write->timestamp)});
     }
     return out;
 }
@@ -42,7 +42,7 @@
         Said& said = at->second;
         if (fresh || said.value != value) {
             said.value = value;
-            said.due = now + (settings_.spread > Time{0} ? within(random_, settings_.spread) : Time{0});
+            said.due = now + (settings_.spread > Time{0} ? random_delay(random_, settings_.spread) : Time{0});
         }
         if (now < said.due)
             continue;
--- a/src/cluster/voice.h
+++ b/src/cluster/voice.h
@@ -15,7 +15,7 @@
 #include <string>
 #include <vector>
 
-#include "cluster/replica.h"
+#include "cluster/replicated_state/replica.h"
 
 namespace silverrail::cluster {
 
@@ -31,8 +31,9 @@
 
 // The reports in force whose subject starts with `prefix`, said no longer than `age` ago (0: at any time), of
 // reporters that `counts` holds for.
-Reports reports_in(const std::map<std::string, Entry>& entries, const std::string& prefix, UnixMs unix_now,
-                   UnixMs age, const std::function<bool(const std::string& reporter)>& counts);
+Reports reports_in(const std::map<std::string, ReplicatedEntry>& entries, const std::string& prefix,
+                   UnixMs unix_now, UnixMs age,
+                   const std::function<bool(const std::string& reporter)>& counts);
 
 // What this router has to say: told when it changes, and again before it ages.
 class Voice {
--- a/src/cluster/wire.cpp
+++ b/src/cluster/wire.cpp
@@ -7,16 +7,17 @@
 
 namespace {
 
-constexpr std::size_t kDigestBytes = (kBuckets + 1) * 8;
+constexpr std::size_t kDigestBytes = (kDigestBuckets + 1) * 8;
 
 // msgpack-cxx refuses, while it reads, any array, map or string over these: an oversize count in a small
 // datagram can't make it allocate.
 msgpack::unpack_limit limits(bool stream) {
-    static_assert(ReplicaMessage::kMostUpdates <= Message::kMostRecords &&
-                  ReplicaMessage::kMostNumbers <= Message::kMostRecords && kLongestKey >= kLongestAddress &&
-                  kLongestKey >= kLongestValue && kLongestKey >= kLongestOrigin);
-    const std::size_t records = stream ? Message::kMostRecords : kMostDatagramRecords;
-    return msgpack::unpack_limit(records + 16, 0, kLongestKey + 1, kDigestBytes, 0, 6);
+    static_assert(ReplicaMessage::kMaxUpdates <= MembershipMessage::kMaxRecords &&
+                  ReplicaMessage::kMaxVersions <= MembershipMessage::kMaxRecords &&
+                  kMaxKeyLength >= kMaxAddressLength && kMaxKeyLength >= kMaxValueLength &&
+                  kMaxKeyLength >= kMaxOriginLength);
+    const std::size_t records = stream ? MembershipMessage::kMaxRecords : kMostDatagramRecords;
+    return msgpack::unpack_limit(records + 16, 0, kMaxKeyLength + 1, kDigestBytes, 0, 6);
 }
 
 struct Bad {
@@ -43,33 +44,33 @@
     return o.via.u64;
 }
 
-void pack_record(msgpack::packer<msgpack::sbuffer>& p, const Record& r) {
+void pack_record(msgpack::packer<msgpack::sbuffer>& p, const MemberRecord& r) {
     p.pack_array(8);
-    p.pack(r.who.name);
-    p.pack(r.who.address);
-    p.pack(r.who.zone);
-    p.pack(r.who.region);
+    p.pack(r.identity.name);
+    p.pack(r.identity.address);
+    p.pack(r.identity.zone);
+    p.pack(r.identity.region);
     p.pack(r.start);
     p.pack(r.incarnation);
     p.pack(static_cast<std::uint8_t>(r.state));
-    p.pack(r.by);
+    p.pack(r.reported_by);
 }
 
-Record record_of(const msgpack::object& o) {
+MemberRecord record_of(const msgpack::object& o) {
     if (o.type != msgpack::type::ARRAY || o.via.array.size != 8)
         throw Bad{Trouble::undecodable};
-    Record r;
-    r.who.name = text(at(o, 0), kLongestName);
-    r.who.address = text(at(o, 1), kLongestAddress);
-    r.who.zone = text(at(o, 2), kLongestPlace);
-    r.who.region = text(at(o, 3), kLongestPlace);
+    MemberRecord r;
+    r.identity.name = text(at(o, 0), kMaxNameLength);
+    r.identity.address = text(at(o, 1), kMaxAddressLength);
+    r.identity.zone = text(at(o, 2), kMaxZoneLength);
+    r.identity.region = text(at(o, 3), kMaxZoneLength);
     r.start = whole(at(o, 4));
     r.incarnation = whole(at(o, 5));
     const auto state = whole(at(o, 6));
-    if (state > static_cast<std::uint64_t>(State::left))
+    if (state > static_cast<std::uint64_t>(MemberState::left))
         throw Bad{Trouble::undecodable};
-    r.state = static_cast<State>(state);
-    r.by = text(at(o, 7), kLongestName);
+    r.state = static_cast<MemberState>(state);
+    r.reported_by = text(at(o, 7), kMaxNameLength);
     return r;
 }
 
@@ -93,12 +94,12 @@
     return out;
 }
 
-std::optional<Digest> digest_of(const msgpack::object& o) {
+std::optional<MembershipDigest> digest_of(const msgpack::object& o) {
     if (o.type == msgpack::type::NIL)
         return std::nullopt;
-    const auto words = words_of<kBuckets + 1>(o);
-    Digest out;
-    out.roster = words[0];
+    const auto words = words_of<kDigestBuckets + 1>(o);
+    MembershipDigest out;
+    out.members = words[0];
     std::copy(words.begin() + 1, words.end(), out.buckets.begin());
     return out;
 }
@@ -122,67 +123,67 @@
         take(o.via.array.ptr[i]);
 }
 
-void pack_numbers(msgpack::packer<msgpack::sbuffer>& p, const Numbers& numbers) {
-    p.pack_array(static_cast<std::uint32_t>(numbers.size()));
-    for (const auto& [origin, number] : numbers) {
+void pack_versions(msgpack::packer<msgpack::sbuffer>& p, const VersionVector& versions) {
+    p.pack_array(static_cast<std::uint32_t>(versions.size()));
+    for (const auto& [origin, version] : versions) {
         p.pack_array(2);
         p.pack(origin);
-        p.pack(number);
+        p.pack(version);
     }
 }
 
-Numbers numbers_of(const msgpack::object& o) {
-    Numbers out;
-    each(o, ReplicaMessage::kMostNumbers, [&out](const msgpack::object& item) {
+VersionVector versions_of(const msgpack::object& o) {
+    VersionVector out;
+    each(o, ReplicaMessage::kMaxVersions, [&out](const msgpack::object& item) {
         if (item.type != msgpack::type::ARRAY || item.via.array.size != 2)
             throw Bad{Trouble::undecodable};
-        out.emplace(text(at(item, 0), kLongestOrigin), whole(at(item, 1)));
+        out.emplace(text(at(item, 0), kMaxOriginLength), whole(at(item, 1)));
     });
     return out;
 }
 
-// Two items: when it was changed, and its marks.
-void pack_entry(msgpack::packer<msgpack::sbuffer>& p, const Entry& entry) {
+// Two items: when it was changed, and its writes.
+void pack_entry(msgpack::packer<msgpack::sbuffer>& p, const ReplicatedEntry& entry) {
     p.pack(entry.changed);
-    p.pack_array(static_cast<std::uint32_t>(entry.marks.size()));
-    for (const auto& [origin, mark] : entry.marks) {
+    p.pack_array(static_cast<std::uint32_t>(entry.writes.size()));
+    for (const auto& [origin, write] : entry.writes) {
         p.pack_array(5);
         p.pack(origin);
-        p.pack(mark.set);
-        p.pack(mark.cleared);
-        p.pack(mark.stamp);
-        p.pack(mark.value);
+        p.pack(write.set_version);
+        p.pack(write.cleared_version);
+        p.pack(write.timestamp);
+        p.pack(write.value);
     }
 }
 
-Entry entry_of(const msgpack::object& changed, const msgpack::object& marks) {
-    Entry entry;
+ReplicatedEntry entry_of(const msgpack::object& changed, const msgpack::object& writes) {
+    ReplicatedEntry entry;
     entry.changed = whole(changed);
-    each(marks, kMostMarks, [&entry](const msgpack::object& item) {
+    each(writes, kMaxWrites, [&entry](const msgpack::object& item) {
         if (item.type != msgpack::type::ARRAY || item.via.array.size != 5)
             throw Bad{Trouble::undecodable};
-        entry.marks.emplace(text(at(item, 0), kLongestOrigin),
-                            Mark{whole(at(item, 1)), whole(at(item, 2)), whole(at(item, 3)),
-                                 text(at(item, 4), kLongestValue)});
+        entry.writes.emplace(text(at(item, 0), kMaxOriginLength),
+                             OriginWrite{whole(at(item, 1)), whole(at(item, 2)), whole(at(item, 3)),
+                                         text(at(item, 4), kMaxValueLength)});
     });
     return entry;
 }
 
-void pack_update(msgpack::packer<msgpack::sbuffer>& p, const Update& u) {
+void pack_update(msgpack::packer<msgpack::sbuffer>& p, const ReplicaUpdate& u) {
     p.pack_array(5);
     p.pack(u.origin);
-    p.pack(u.number);
+    p.pack(u.version);
     p.pack(u.key);
     pack_entry(p, u.entry);
 }
 
-Update update_of(const msgpack::object& o) {
+ReplicaUpdate update_of(const msgpack::object& o) {
     if (o.type != msgpack::type::ARRAY || o.via.array.size != 5)
         throw Bad{Trouble::undecodable};
-    Update u;
-    u.origin = text(at(o, 0), kLongestOrigin);
-    u.number = whole(at(o, 1));
-    u.key = text(at(o, 2), kLongestKey);
+    ReplicaUpdate u;
+    u.origin = text(at(o, 0), kMaxOriginLength);
+    u.version = whole(at(o, 1));
+    u.key = text(at(o, 2), kMaxKeyLength);
     u.entry = entry_of(at(o, 3), at(o, 4));
     return u;
 }
@@ -192,25 +193,25 @@
         throw Bad{Trouble::undecodable};
     ReplicaMessage m;
     const auto kind = whole(at(o, 1)) - kReplicaKinds;
-    if (kind > static_cast<std::uint64_t>(ReplicaMessage::Kind::page))
+    if (kind > static_cast<std::uint64_t>(ReplicaMessage::Kind::snapshot_page))
         throw Bad{Trouble::undecodable};
     m.kind = static_cast<ReplicaMessage::Kind>(kind);
     const auto channel = whole(at(o, 2));
     if (channel > 255)
         throw Bad{Trouble::out_of_bounds};
     m.channel = static_cast<std::uint8_t>(channel);
-    m.from = text(at(o, 3), kLongestName);
-    m.from_address = text(at(o, 4), kLongestAddress);
+    m.sender = text(at(o, 3), kMaxNameLength);
+    m.sender_address = text(at(o, 4), kMaxAddressLength);
     if (at(o, 5).type != msgpack::type::NIL)
-        m.summary = words_of<kBuckets>(at(o, 5));
-    m.mask = whole(at(o, 6));
-    m.numbers = numbers_of(at(o, 7));
-    each(at(o, 8), stream ? ReplicaMessage::kMostUpdates : kMostDatagramRecords,
+        m.digest = words_of<kDigestBuckets>(at(o, 5));
+    m.bucket_mask = whole(at(o, 6));
+    m.versions = versions_of(at(o, 7));
+    each(at(o, 8), stream ? ReplicaMessage::kMaxUpdates : kMostDatagramRecords,
          [&m](const msgpack::object& item) { m.updates.push_back(update_of(item)); });
-    m.after = numbers_of(at(o, 9));
-    m.cursor = text(at(o, 10), kLongestKey);
-    m.too_old = yes(at(o, 11));
-    m.last = yes(at(o, 12));
+    m.base_versions = versions_of(at(o, 9));
+    m.cursor = text(at(o, 10), kMaxKeyLength);
+    m.snapshot_needed = yes(at(o, 11));
+    m.complete = yes(at(o, 12));
     return m;
 }
 
@@ -230,23 +231,23 @@
     return "?";
 }
 
-std::string encode(const Message& m) {
+std::string encode(const MembershipMessage& m) {
     msgpack::sbuffer buffer;
     msgpack::packer<msgpack::sbuffer> p{buffer};
     p.pack_array(10);
     p.pack(kVersion);
     p.pack(static_cast<std::uint8_t>(m.kind));
-    p.pack(m.from);
-    p.pack(m.from_start);
-    p.pack(m.from_address);
-    p.pack(m.seq);
+    p.pack(m.sender);
+    p.pack(m.sender_start);
+    p.pack(m.sender_address);
+    p.pack(m.sequence);
     p.pack(m.target);
     p.pack(m.target_address);
     p.pack_array(static_cast<std::uint32_t>(m.records.size()));
     for (const auto& r : m.records)
         pack_record(p, r);
     if (m.digest) {
-        std::array<std::uint64_t, kBuckets + 1> words{m.digest->roster};
+        std::array<std::uint64_t, kDigestBuckets + 1> words{m.digest->members};
         std::copy(m.digest->buckets.begin(), m.digest->buckets.end(), words.begin() + 1);
         pack_words(p, words.data(), words.size());
     } else {
@@ -262,25 +263,25 @@
     p.pack(kVersion);
     p.pack(static_cast<std::uint8_t>(kReplicaKinds + static_cast<std::uint8_t>(m.kind)));
     p.pack(m.channel);
-    p.pack(m.from);
-    p.pack(m.from_address);
-    if (m.kind == ReplicaMessage::Kind::sum)
-        pack_words(p, m.summary.data(), m.summary.size());
+    p.pack(m.sender);
+    p.pack(m.sender_address);
+    if (m.kind == ReplicaMessage::Kind::digest)
+        pack_words(p, m.digest.data(), m.digest.size());
     else
         p.pack_nil();
-    p.pack(m.mask);
-    pack_numbers(p, m.numbers);
+    p.pack(m.bucket_mask);
+    pack_versions(p, m.versions);
     p.pack_array(static_cast<std::uint32_t>(m.updates.size()));
     for (const auto& u : m.updates)
         pack_update(p, u);
-    pack_numbers(p, m.after);
+    pack_versions(p, m.base_versions);
     p.pack(m.cursor);
-    p.pack(m.too_old);
-    p.pack(m.last);
+    p.pack(m.snapshot_needed);
+    p.pack(m.complete);
     return {buffer.data(), buffer.size()};
 }
 
-std::variant<Message, ReplicaMessage, Trouble> decode(std::string_view bytes, bool stream) {
+std::variant<MembershipMessage, ReplicaMessage, Trouble> decode(std::string_view bytes, bool stream) {
     if (bytes.size() > (stream ? kMostFrame : kMostDatagram))
         return Trouble::oversize;
     try {
@@ -299,20 +300,20 @@
             return replica_of(o, stream);
         if (o.via.array.size != 10)
             return Trouble::undecodable;
-        Message m;
-        if (kind > static_cast<std::uint64_t>(Message::Kind::gossip))
+        MembershipMessage m;
+        if (kind > static_cast<std::uint64_t>(MembershipMessage::Kind::gossip))
             return Trouble::undecodable;
-        m.kind = static_cast<Message::Kind>(kind);
-        m.from = text(at(o, 2), kLongestName);
-        m.from_start = whole(at(o, 3));
-        m.from_address = text(at(o, 4), kLongestAddress);
-        const auto seq = whole(at(o, 5));
-        if (seq > UINT32_MAX)
+        m.kind = static_cast<MembershipMessage::Kind>(kind);
+        m.sender = text(at(o, 2), kMaxNameLength);
+        m.sender_start = whole(at(o, 3));
+        m.sender_address = text(at(o, 4), kMaxAddressLength);
+        const auto sequence = whole(at(o, 5));
+        if (sequence > UINT32_MAX)
             return Trouble::out_of_bounds;
-        m.seq = static_cast<std::uint32_t>(seq);
-        m.target = text(at(o, 6), kLongestName);
-        m.target_address = text(at(o, 7), kLongestAddress);
-        each(at(o, 8), stream ? Message::kMostRecords : kMostDatagramRecords,
+        m.sequence = static_cast<std::uint32_t>(sequence);
+        m.target = text(at(o, 6), kMaxNameLength);
+        m.target_address = text(at(o, 7), kMaxAddressLength);
+        each(at(o, 8), stream ? MembershipMessage::kMaxRecords : kMostDatagramRecords,
              [&m](const msgpack::object& item) { m.records.push_back(record_of(item)); });
         m.digest = digest_of(at(o, 9));
         return m;
@@ -325,7 +326,7 @@
     }
 }
 
-std::string encode(const Entry& entry) {
+std::string encode(const ReplicatedEntry& entry) {
     msgpack::sbuffer buffer;
     msgpack::packer<msgpack::sbuffer> p{buffer};
     p.pack_array(2);
@@ -333,7 +334,7 @@
     return {buffer.data(), buffer.size()};
 }
 
-std::optional<Entry> decode_entry(std::string_view bytes) {
+std::optional<ReplicatedEntry> decode_entry(std::string_view bytes) {
     try {
         std::size_t offset = 0;
         const auto handle =
--- a/src/config/operator.cpp
+++ b/src/config/operator.cpp
@@ -89,7 +89,7 @@
     if (!s.present())
         return f;
     const auto fits = [](const std::string& name) {
-        return !name.empty() && name.size() <= cluster::kLongestPlace &&
+        return !name.empty() && name.size() <= cluster::kMaxZoneLength &&
                std::all_of(name.begin(), name.end(),
                            [](char c) { return c > ' ' && c < '\x7f' && c != '='; });
     };
--- a/src/lab/failover_sim.cpp
+++ b/src/lab/failover_sim.cpp
@@ -33,9 +33,9 @@
         nodes.resize(o.members);
         cl::ReplicaSettings shared, reports;
         reports.channel = 1;
-        reports.quick = cl::Time{0};
-        reports.value_keep = 60'000;
-        reports.tombstone_keep = 120'000;
+        reports.fast_exchange_interval = cl::Time{0};
+        reports.value_retention = 60'000;
+        reports.tombstone_retention = 120'000;
         for (std::size_t i = 0; i < o.members; ++i) {
             auto& n = nodes[i];
             const auto name = std::to_string(i);
@@ -112,7 +112,7 @@
         int health = 100;
         double noise = 0;  // chance that a router finds a server bad in a second
     };
-    void send(std::size_t from, std::vector<cl::ReplicaSend> sends) {
+    void send(std::size_t from, std::vector<cl::OutgoingReplicaMessage> sends) {
         for (auto& s : sends) {
             bytes += cl::wire::encode(s.message).size();
             net.send(from, static_cast<std::size_t>(std::stoul(s.address)), std::move(s.message), s.stream(),
@@ -167,10 +167,10 @@
         }
         send(i, n.shared->tick(now, unix_now, peers));
         send(i, n.reports->tick(now, unix_now, peers));
-        (void)n.shared->take_changes();
-        (void)n.reports->take_changes();
-        (void)n.shared->take_touched();
-        (void)n.reports->take_touched();
+        (void)n.shared->take_unsaved_changes();
+        (void)n.reports->take_unsaved_changes();
+        (void)n.shared->take_touched_keys();
+        (void)n.reports->take_touched_keys();
     }
     void step() {
         while (auto a = net.next(now)) {
--- a/src/lab/fleet_sim.cpp
+++ b/src/lab/fleet_sim.cpp
@@ -68,7 +68,7 @@
                 while (now_ < began + o_.most &&
                        std::any_of(
                            nodes_.begin(), nodes_.end(),
-                           [](const Node& n) { return n.up && n.members->rumours() > 0; }))
+                           [](const Node& n) { return n.up && n.members->pending_gossip() > 0; }))
                     run_until(now_ + milliseconds{1000});
                 began = now_;
                 messages_ = bytes_ = 0;
@@ -126,13 +126,14 @@
 
 private:
     struct Node {
-        std::unique_ptr<cl::Members> members;
+        std::unique_ptr<cl::Membership> members;
         bool up = false;
         milliseconds stopped_until{0};
         milliseconds next_tick{0};
         milliseconds streams_since{0};
         std::size_t streams = 0;
-        std::vector<std::pair<std::size_t, cl::Message>> queued;  // what waits in a stopped member's sockets
+        std::vector<std::pair<std::size_t, cl::MembershipMessage>>
+            queued;  // what waits in a stopped member's sockets
     };
 
     static std::string name(std::size_t i) {
@@ -144,8 +145,8 @@
         auto& node = nodes_[i];
         std::vector<std::string> seeds;
         seeds.push_back(name(i == 0 ? nodes_.size() - 1 : 0));
-        node.members = std::make_unique<cl::Members>(
-            cl::Identity{name(i), name(i), std::string{"z"}.append(name(i % 3)), "r1"},
+        node.members = std::make_unique<cl::Membership>(
+            cl::MemberIdentity{name(i), name(i), std::string{"z"}.append(name(i % 3)), "r1"},
             static_cast<std::uint64_t>(1'000 + now_.count()), o_.settings,
             o_.seed * 1'000'003 + i + starts_++, std::move(seeds), now_);
         node.up = true;
@@ -157,7 +158,7 @@
         return node.up && node.stopped_until <= now_;
     }
 
-    void send(std::size_t from, std::vector<cl::Send> sends) {
+    void send(std::size_t from, std::vector<cl::OutgoingMembershipMessage> sends) {
         for (auto& s : sends) {
             ++messages_;
             bytes_ += cl::wire::encode(s.message).size();
@@ -168,18 +169,19 @@
 
     void take_events(Node& node) {
         for (const auto& e : node.members->take_events()) {
-            const auto about = static_cast<std::size_t>(std::stoul(e.name));
+            const auto about = static_cast<std::size_t>(std::stoul(e.member));
             const bool across =
                 net_.side(about) != net_.side(static_cast<std::size_t>(&node - nodes_.data()));
             const bool at_fault = hit_ == about || across || !nodes_[about].up;
-            if (e.kind == cl::Event::Kind::suspect) {
+            if (e.kind == cl::MembershipEvent::Kind::suspect) {
                 if (hit_ == about && row_.suspected_ms < 0)
                     row_.suspected_ms = (now_ - fault_at_).count();
                 // One suspicion told to all is one, whatever number of views it reaches.
                 if (!at_fault && suspected_.insert({about, e.incarnation}).second)
                     ++row_.false_suspicions;
             }
-            if (e.kind == cl::Event::Kind::dead && (!at_fault || (hit_ == about && nodes_[about].up)))
+            if (e.kind == cl::MembershipEvent::Kind::dead &&
+                (!at_fault || (hit_ == about && nodes_[about].up)))
                 ++row_.false_deaths;
         }
     }
@@ -209,9 +211,9 @@
         now_ += kStep;
     }
 
-    void receive(std::size_t to, const cl::Message& message) {
+    void receive(std::size_t to, const cl::MembershipMessage& message) {
         auto& node = nodes_[to];
-        if (message.kind == cl::Message::Kind::push && message.digest) {
+        if (message.kind == cl::MembershipMessage::Kind::push && message.digest) {
             // The transport takes so many streams at a time and turns the others away.
             if (now_ - node.streams_since > o_.settings.probe_interval / 10) {
                 node.streams_since = now_;
@@ -232,14 +234,15 @@
 
     // Every running member holds the running ones, and only those, for alive, each at the same incarnation.
     bool agreed() const {
-        const cl::Members* first = nullptr;
+        const cl::Membership* first = nullptr;
         std::size_t up = 0;
         for (const auto& node : nodes_)
             up += node.up ? 1 : 0;
         for (const auto& node : nodes_) {
             if (!node.up)
                 continue;
-            if (node.members->count(cl::State::alive) != up || node.members->count(cl::State::suspect) != 0)
+            if (node.members->count(cl::MemberState::alive) != up ||
+                node.members->count(cl::MemberState::suspect) != 0)
                 return false;
             if (!first)
                 first = node.members.get();
@@ -263,7 +266,7 @@
     }
 
     const FleetSimOptions& o_;
-    SimNet<cl::Message> net_;
+    SimNet<cl::MembershipMessage> net_;
     std::vector<Node> nodes_;
     milliseconds now_{0};
     milliseconds fault_at_{0};
--- a/src/lab/fleet_sim.h
+++ b/src/lab/fleet_sim.h
@@ -1,6 +1,6 @@
-// The fleet's view at any size: the state machines of src/cluster/members on a simulated network in simulated
-// time, through joins, calm, a crash, a stall, loss, a partition and its healing, and a restart. The
-// experiment tool behind the tables in docs/design/fleet-view.md (`silverrail lab fleet`).
+// The fleet's view at any size: the state machines of src/cluster/membership on a simulated network in
+// simulated time, through joins, calm, a crash, a stall, loss, a partition and its healing, and a restart.
+// The experiment tool behind the tables in docs/design/fleet-view.md (`silverrail lab fleet`).
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "cluster/members.h"
+#include "cluster/membership/membership.h"
 
 namespace silverrail::lab {
 
@@ -21,7 +21,7 @@
     std::size_t members = 30;
     std::uint64_t seed = 1;
     std::vector<Fault> faults = all_faults();  // join is always played, first
-    cluster::Settings settings{};
+    cluster::MembershipSettings settings{};
     std::size_t streams = 8;      // a member takes in so many pushes a probe interval, as the transport does
     double loss = 0.05;           // in the scenario `loss`
     cluster::Time most{600'000};  // a scenario that has not settled by then is told as such
--- a/src/lab/replica_sim.cpp
+++ b/src/lab/replica_sim.cpp
@@ -18,8 +18,8 @@
 constexpr cl::UnixMs kEpoch = 1'800'000'000'000;  // what the simulated wall clock shows at the start
 
 struct Stored {
-    std::map<std::string, cl::Entry> entries;
-    std::map<std::string, cl::Replica::Origin> origins;
+    std::map<std::string, cl::ReplicatedEntry> entries;
+    std::map<std::string, cl::OriginLog> origins;
 };
 
 // Replicas on a simulated network, each ticked in its own place of the period.
@@ -47,7 +47,7 @@
                                                      seed_ * 1'000'003 + i + 7919 * ++starts_, now);
         node.replica->restore(node.stored.entries, node.stored.origins);
         node.up = true;
-        (void)node.replica->take_touched();
+        (void)node.replica->take_touched_keys();
     }
 
     cl::UnixMs wall(const Node& node) const {
@@ -56,8 +56,8 @@
 
     // Written down before anything of it goes out: what is sent is what would be found again after a crash.
     void commit(Node& node) {
-        const auto changes = node.replica->take_changes();
-        if (changes.all) {
+        const auto changes = node.replica->take_unsaved_changes();
+        if (changes.everything) {
             node.stored = {node.replica->entries(), node.replica->origins()};
             return;
         }
@@ -72,7 +72,7 @@
             node.stored.origins[origin] = node.replica->origins().at(origin);
     }
 
-    void send(std::size_t from, std::vector<cl::ReplicaSend> sends) {
+    void send(std::size_t from, std::vector<cl::OutgoingReplicaMessage> sends) {
         commit(nodes[from]);
         for (auto& s : sends) {
             const auto to = static_cast<std::size_t>(std::stoul(s.address));
@@ -111,12 +111,13 @@
     }
 
     // What is in force: what each has still to forget is its own affair.
-    static std::map<std::string, std::map<std::string, cl::Mark>> live(const cl::Replica& replica) {
-        std::map<std::string, std::map<std::string, cl::Mark>> out;
+    static std::map<std::string, std::map<std::string, cl::OriginWrite>> live(const cl::Replica& replica) {
+        std::map<std::string, std::map<std::string, cl::OriginWrite>> out;
         for (const auto& [key, entry] : replica.entries())
-            for (const auto& [origin, mark] : entry.marks)
-                if (mark.live())
-                    out[key].emplace(origin, cl::Mark{mark.set, 0, mark.stamp, mark.value});
+            for (const auto& [origin, write] : entry.writes)
+                if (write.is_live())
+                    out[key].emplace(origin,
+                                     cl::OriginWrite{write.set_version, 0, write.timestamp, write.value});
         return out;
     }
     // All running copies hold the same numbers and, `deep`, the same in force.
@@ -127,7 +128,7 @@
                 continue;
             if (!first)
                 first = node.replica.get();
-            if (node.replica->summary() != first->summary())
+            if (node.replica->digest() != first->digest())
                 return false;
             if (deep && live(*node.replica) != live(*first))
                 return false;
@@ -166,11 +167,11 @@
         return dice() % n;
     };
     cl::ReplicaSettings settings;
-    settings.interval = milliseconds{500};
-    settings.tombstone_keep = check.tombstone_keep;
+    settings.exchange_interval = milliseconds{500};
+    settings.tombstone_retention = check.tombstone_keep;
     if (check.learned)
-        settings.value_keep = check.tombstone_keep;
-    settings.round_bytes = 600;  // a few updates: rounds are cut short often
+        settings.value_retention = check.tombstone_keep;
+    settings.max_exchange_bytes = 600;  // a few updates: rounds are cut short often
     ReplicaNet fleet{check.members, check.seed, settings};
     SimLink rough;
     rough.loss = 0.2;
@@ -181,7 +182,7 @@
         node.skew = static_cast<cl::UnixMs>(under(4'000)) - 2'000;
 
     // Each change that was acknowledged: stored by its author before anyone was told.
-    std::map<std::string, cl::Entry> acknowledged;
+    std::map<std::string, cl::ReplicatedEntry> acknowledged;
     while (fleet.now.count() < check.trouble_ms) {
         fleet.run(milliseconds{100 + static_cast<std::int64_t>(under(300))});
         const auto i = under(check.members);
@@ -220,24 +221,25 @@
     if (out.converged_ms < 0)
         out.wrong = "copies differ after " + std::to_string(check.most_ms) + " ms";
     for (const auto& node : fleet.nodes) {
-        out.full_copies += node.replica->counts().full_copies;
-        out.forgotten += node.replica->counts().forgotten;
-        out.ahead += node.replica->counts().ahead;
+        out.full_copies += node.replica->counters().snapshots;
+        out.forgotten += node.replica->counters().collected;
+        out.ahead += node.replica->counters().ahead;
         for (const auto& [key, sum] : acknowledged) {
             const auto at = node.replica->entries().find(key);
             const bool held = at != node.replica->entries().end();
-            // Mark by mark: what no one undid is in force, and nothing that someone undid. What is learned
+            // Write by write: what no one undid is in force, and nothing that someone undid. What is learned
             // may be past its time.
-            for (const auto& [origin, mark] : sum.marks) {
-                const cl::Mark* here = nullptr;
+            for (const auto& [origin, write] : sum.writes) {
+                const cl::OriginWrite* here = nullptr;
                 if (held)
-                    if (const auto m = at->second.marks.find(origin); m != at->second.marks.end())
+                    if (const auto m = at->second.writes.find(origin); m != at->second.writes.end())
                         here = &m->second;
-                const bool aged = check.learned && cl::unix_of(mark.stamp) + check.tombstone_keep <
+                const bool aged = check.learned && cl::unix_ms_of(write.timestamp) + check.tombstone_keep <
                                                        kEpoch + fleet.now.count() + 4'000;
-                if (mark.live() && !aged && (!here || !here->live() || here->set < mark.set))
+                if (write.is_live() && !aged &&
+                    (!here || !here->is_live() || here->set_version < write.set_version))
                     out.wrong = "an acknowledged set of " + key + " is lost";
-                if (!mark.live() && here && here->live())
+                if (!write.is_live() && here && here->is_live())
                     out.wrong = key + " came back after it was cleared";
             }
         }
@@ -258,10 +260,9 @@
                              .append(".")
                              .append(std::to_string(k % 250));
         auto& o = full.origins[origin];
-        o.log[++o.number] = key;
-        o.where[key] = o.number;
-        const auto at = static_cast<cl::Stamp>(kEpoch - 60'000) << 16 | (k & 0xffff);
-        full.entries[key] = {{{origin, {o.number, 0, at, ""}}}, at};
+        o.add(++o.version, key);
+        const auto at = cl::hybrid_timestamp(kEpoch - 60'000) | (k & 0xffff);
+        full.entries[key] = {{{origin, {o.version, 0, at, ""}}}, at};
     }
     for (std::size_t i = 0; i < scale.members; ++i) {
         fleet.nodes[i].stored = full;
@@ -305,7 +306,7 @@
     out.catch_up_ms = fleet.until_equal(120'000);
     out.catch_up_bytes = away.bytes_in;
     for (const auto& node : fleet.nodes)
-        out.full_copies += node.replica->counts().full_copies;
+        out.full_copies += node.replica->counters().snapshots;
     return out;
 }
 
--- a/src/lab/replica_sim.h
+++ b/src/lab/replica_sim.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "cluster/replica.h"
+#include "cluster/replicated_state/replica.h"
 
 namespace silverrail::lab {
 
--- a/src/net/peer.cpp
+++ b/src/net/peer.cpp
@@ -79,7 +79,7 @@
 
 std::optional<Peer::Message> Peer::taken(std::string_view bytes, bool stream) {
     auto decoded = cw::decode(bytes, stream);
-    if (auto* m = std::get_if<cluster::Message>(&decoded))
+    if (auto* m = std::get_if<cluster::MembershipMessage>(&decoded))
         return std::move(*m);
     if (auto* m = std::get_if<cluster::ReplicaMessage>(&decoded))
         return std::move(*m);
@@ -120,9 +120,9 @@
     }
     // Gossip rides along where there is room: records are let go from the end until the datagram fits.
     std::string bytes = encoded(s.message);
-    if (const auto* view = std::get_if<cluster::Message>(&s.message);
+    if (const auto* view = std::get_if<cluster::MembershipMessage>(&s.message);
         view && bytes.size() > cw::kMostDatagram) {
-        cluster::Message m = *view;
+        cluster::MembershipMessage m = *view;
         while (bytes.size() > cw::kMostDatagram && !m.records.empty()) {
             m.records.pop_back();
             bytes = cw::encode(m);
--- a/src/net/peer.h
+++ b/src/net/peer.h
@@ -1,7 +1,8 @@
 // The peers' transport: datagrams for probes and gossip, a stream for push-pull, both at one address and
-// port. It carries cluster::Message as cluster/wire encodes it and decides nothing: what comes in goes to the
-// handler, what the handler returns goes out. Bounded: one datagram buffer, at most `streams` streams each
-// way, each within `stream_time` and kMostFrame bytes. Addresses are numeric: nothing is looked up.
+// port. It carries cluster::MembershipMessage as cluster/wire encodes it and decides nothing: what comes in
+// goes to the handler, what the handler returns goes out. Bounded: one datagram buffer, at most `streams`
+// streams each way, each within `stream_time` and kMostFrame bytes. Addresses are numeric: nothing is looked
+// up.
 #pragma once
 
 #include <array>
@@ -9,7 +10,7 @@
 #include <memory>
 #include <set>
 
-#include "cluster/members.h"
+#include "cluster/membership/membership_message.h"
 #include "cluster/wire.h"
 #include "log/log.h"
 #include "net/asio.h"
@@ -32,7 +33,7 @@
 
 class Peer {
 public:
-    using Message = std::variant<cluster::Message, cluster::ReplicaMessage>;
+    using Message = std::variant<cluster::MembershipMessage, cluster::ReplicaMessage>;
     struct Send {
         std::string address;
         Message message;
--- a/src/store/replica_store.h
+++ b/src/store/replica_store.h
@@ -1,5 +1,5 @@
-// What a router has applied of the replicated state, on disk: written before it is acknowledged, taken up
-// again by a restart. SQLite, one file with its write-ahead log beside it, held by one process at a time.
+// The replicated state on disk: written before it is acknowledged, restored by a restart. SQLite, one file
+// with its write-ahead log beside it, held by one process at a time.
 //
 // A kill at any moment leaves the last commit whole (the log's frames are checksummed, a torn one is left
 // out). After a loss of power the last commits may be missing, but what is there is whole:
@@ -13,7 +13,7 @@
 #include <stdexcept>
 #include <string>
 
-#include "cluster/replica.h"
+#include "cluster/replicated_state/replica.h"
 
 struct sqlite3;
 
@@ -21,30 +21,36 @@
 
 class ReplicaStore {
 public:
-    // The file is held by another process: this one goes without.
+    // The file is held by another process.
     struct Held : std::runtime_error {
         using std::runtime_error::runtime_error;
     };
-    // Opens or makes it; `origin` is kept in a new one. Throws std::runtime_error, which names the file,
-    // where it is damaged, somebody else's or of another version; nothing in it is changed then.
+    // Opens the file or makes it; `origin` is written to a new one. Throws std::runtime_error, which names
+    // the file, where it is damaged, somebody else's or of another version; nothing in it is changed then.
     ReplicaStore(std::string file, const std::string& origin);
     ~ReplicaStore();
     ReplicaStore(const ReplicaStore&) = delete;
     ReplicaStore& operator=(const ReplicaStore&) = delete;
 
-    // The origin under which this store's changes are numbered.
+    // The origin under which this store's changes have their versions.
     const std::string& origin() const {
         return origin_;
     }
-    // Everything in it. Throws as the constructor does.
-    std::map<std::string, cluster::Entry> entries();
-    std::map<std::string, cluster::Replica::Origin> origins();
-    // One commit; on return it is kept. Throws std::runtime_error, with the file's name, if it is not.
-    void write(const cluster::Replica& replica, const cluster::Replica::Changes& changes);
+    // All that is stored. Throw as the constructor does.
+    cluster::Replica::Entries entries();
+    cluster::Replica::OriginLogs origins();
+    // One commit; on return it is stored. Throws std::runtime_error, with the file's name, if it is not.
+    void write(const cluster::Replica& replica, const cluster::Replica::UnsavedChanges& changes);
 
 private:
     class Statement;
+    class Writer;
+    void open_and_lock();
+    void verify();
+    void initialise(const std::string& origin);
     void run(const char* sql);
+    // The first column of the first row; empty: there is none.
+    std::string query(const char* sql) const;
     [[noreturn]] void fail(const std::string& what) const;
 
     std::string file_;
--- a/tests/cluster/failover_test.cpp
+++ b/tests/cluster/failover_test.cpp
@@ -23,7 +23,7 @@
 
 // The replicated state and the view, as all routers of the tests see them.
 struct World {
-    std::map<std::string, Entry> reports, shared;
+    std::map<std::string, ReplicatedEntry> reports, shared;
     std::map<std::string, std::string> alive;
     std::map<std::string, double> weights{{"a", 40}, {"b", 40}, {"c", 40}};
     UnixMs unix_now = kNow;
@@ -36,10 +36,10 @@
         for (const char* zone : {"a", "b", "c"})
             health(zone, 100);
     }
-    void put(std::map<std::string, Entry>& in, const std::string& key, const std::string& origin,
+    void put(std::map<std::string, ReplicatedEntry>& in, const std::string& key, const std::string& origin,
              const std::string& value) {
-        const auto stamp = static_cast<Stamp>(unix_now) << 16 | (numbers & 0xffff);
-        Entry entry{{{origin, {++numbers, 0, stamp, value}}}, stamp};
+        const auto stamp = hybrid_timestamp(unix_now) | (numbers & 0xffff);
+        ReplicatedEntry entry{{{origin, {++numbers, 0, stamp, value}}}, stamp};
         in[key] = entry;
     }
     void report(const std::string& router, int health, int warm = 100) {
@@ -84,10 +84,11 @@
             CHECK(text_of(*d) == c.text);
     }
     // Side by side after a cut: the highest epoch; of one epoch the first that was written.
-    Entry e{{{"x@1", {1, 0, 20, "4 b=100"}}, {"y@1", {1, 0, 10, "4 c=100"}}, {"z@1", {1, 0, 30, "3"}}}, 30};
+    ReplicatedEntry e{
+        {{"x@1", {1, 0, 20, "4 b=100"}}, {"y@1", {1, 0, 10, "4 c=100"}}, {"z@1", {1, 0, 30, "3"}}}, 30};
     CHECK(in_force(&e).epoch == 4 && in_force(&e).by == "y@1" && targets(in_force(&e)) == "c=100");
-    e.marks["q@1"] = {2, 2, 0, ""};  // undone
-    e.marks["r@1"] = {1, 0, 5, "no decision"};
+    e.writes["q@1"] = {2, 2, 0, ""};  // undone
+    e.writes["r@1"] = {1, 0, 5, "no decision"};
     CHECK(in_force(&e).by == "y@1" && in_force(nullptr).epoch == 0);
 }
 
--- a/tests/cluster/hearsay_test.cpp
+++ b/tests/cluster/hearsay_test.cpp
@@ -13,8 +13,8 @@
 
 constexpr UnixMs kNow = 1'800'000'000'000;
 
-Entry said(const std::string& value, UnixMs at) {
-    const auto stamp = static_cast<Stamp>(at) << 16;
+ReplicatedEntry said(const std::string& value, UnixMs at) {
+    const auto stamp = hybrid_timestamp(at);
     return {{{"o@1", {1, 0, stamp, value}}}, stamp};
 }
 
@@ -107,7 +107,7 @@
     };
     for (const auto& c : kCases) {
         Hearsay h{"me", {}, 3};
-        std::map<std::string, Entry> entries;
+        std::map<std::string, ReplicatedEntry> entries;
         for (const auto& [server, who, what, age] : c.reports)
             entries[report_key(std::string{"box/"} + server, who)] = said(what, kNow - age);
         const auto step = h.tick(0ms, kNow, c.servers, entries, {{"me", ""}, {"r1", ""}, {"r2", ""}});
@@ -135,19 +135,20 @@
            std::map<std::string, std::optional<std::string>>{{"box/a", "out"}, {"box/b", "drain 9"}}));
     run(1000ms, {{"a", "z"}, {"b", "z", 9, false, true}});
     CHECK(!said_of["box/a"] && said_of["box/b"] == "drain 9");
-    CHECK(report_key(std::string(kLongestKey, 'k'), "me").empty() && report_key("", "me").empty());
+    CHECK(report_key(std::string(kMaxKeyLength, 'k'), "me").empty() && report_key("", "me").empty());
 }
 
 // Runs that ended leave nothing behind in a replica whose values age.
 void check_origins_end() {
-    ReplicaSettings s{.channel = 1, .tombstone_keep = 120'000, .value_keep = 60'000, .origin_keep = 600'000};
+    ReplicaSettings s{
+        .channel = 1, .tombstone_retention = 120'000, .value_retention = 60'000, .origin_retention = 600'000};
     Replica a{"a", "a", "a@1", s, 1, 0ms}, b{"b", "b", "b@1", s, 2, 0ms};
     const auto round = [&](Time at) {
         const auto unix_now = kNow + at.count();
         for (auto* from : {&a, &b}) {
-            std::vector<ReplicaSend> out = from->tick(at, unix_now, {from == &a ? "b" : "a"});
+            std::vector<OutgoingReplicaMessage> out = from->tick(at, unix_now, {from == &a ? "b" : "a"});
             for (int hops = 0; !out.empty() && hops < 20; ++hops) {
-                std::vector<ReplicaSend> next;
+                std::vector<OutgoingReplicaMessage> next;
                 for (const auto& m : out)
                     for (auto& r : (m.address == "a" ? a : b).receive(m.message, at, unix_now))
                         next.push_back(std::move(r));
@@ -158,19 +159,19 @@
     CHECK(a.set("box/x\ta", "out", kNow));
     for (Time t = 0ms; t < 5s; t += 500ms)
         round(t);
-    CHECK(b.in_force("box/x\ta") && b.origins().contains("a@1") && a.summary() == b.summary());
+    CHECK(b.is_set("box/x\ta") && b.origins().contains("a@1") && a.digest() == b.digest());
     // Aged: gone from both, and from the summary; later the origin goes too.
     for (Time t = 5s; t < 100s; t += 1s)
         round(t);
-    CHECK(!b.in_force("box/x\ta") && b.entries().empty() && b.summary() == Summary{});
+    CHECK(!b.is_set("box/x\ta") && b.entries().empty() && b.digest() == ReplicaDigest{});
     for (Time t = 100s; t < 800s; t += 5s)
         round(t);
-    CHECK(!b.origins().contains("a@1") && b.heard().empty());
+    CHECK(!b.origins().contains("a@1") && b.heard_versions().empty());
     // It speaks again under the same origin, and is heard.
     CHECK(a.set("box/y\ta", "out", kNow + 800'000));
     for (Time t = 800s; t < 805s; t += 500ms)
         round(t);
-    CHECK(b.in_force("box/y\ta") && a.summary() == b.summary());
+    CHECK(b.is_set("box/y\ta") && a.digest() == b.digest());
 }
 
 }  // namespace
--- a/tests/cluster/replica_test.cpp
+++ b/tests/cluster/replica_test.cpp
@@ -1,6 +1,6 @@
-// The replicated state: the rule for copies that differ by a table, what an origin's numbers vouch for,
-// replays and bad updates, full copies; then the model check over seeds (src/lab/replica_sim).
-#include "cluster/replica.h"
+// The replicated state: merging of copies by a table, which versions count as held, replays and malformed
+// updates, snapshots; then the model check over seeds (src/lab/replica_sim).
+#include "cluster/replicated_state/replica.h"
 
 #include <algorithm>
 #include <cstdio>
@@ -16,7 +16,7 @@
 
 constexpr UnixMs kNow = 1'800'000'000'000;
 
-Replica replica(const std::string& name, ReplicaSettings settings = {}) {
+Replica make_replica(const std::string& name, const ReplicaSettings& settings = {}) {
     return Replica{name, name, name + "@1", settings, 7, 0ms};
 }
 
@@ -24,12 +24,12 @@
 void exchange(Replica& a, Replica& b, UnixMs unix_now = kNow) {
     static Time at{0};
     at += 10'000ms;  // a round is due
-    std::vector<ReplicaSend> to_b;
+    std::vector<OutgoingReplicaMessage> to_b;
     for (auto& s : a.tick(at, unix_now, {"b"}))
-        if (s.message.kind == ReplicaMessage::Kind::sum)
+        if (s.message.kind == ReplicaMessage::Kind::digest)
             to_b.push_back(std::move(s));
     for (int hops = 0; !to_b.empty() && hops < 50; ++hops) {
-        std::vector<ReplicaSend> to_a;
+        std::vector<OutgoingReplicaMessage> to_a;
         for (const auto& s : to_b)
             for (auto& r : b.receive(s.message, at, unix_now))
                 to_a.push_back(std::move(r));
@@ -40,21 +40,22 @@
     }
 }
 
-Mark set(std::uint64_t n, Stamp stamp, std::string value = "") {
-    return {n, 0, stamp, std::move(value)};
+OriginWrite set(std::uint64_t n, HybridTimestamp timestamp, std::string value = "") {
+    return {n, 0, timestamp, std::move(value)};
 }
-Mark cleared(std::uint64_t n) {
+OriginWrite cleared(std::uint64_t n) {
     return {n, n, 0, {}};
 }
 
-// The join of two copies, both ways round and with itself.
-void check_join() {
-    const struct {
-        const char* what;
-        Entry a, b;
-        bool in_force;
-        const char* value;
-    } kCases[] = {
+struct JoinCase {
+    const char* what;
+    ReplicatedEntry a, b;
+    bool is_set;
+    const char* value;
+};
+
+std::vector<JoinCase> join_cases() {
+    return {
         {"set and nothing", {{{"a", set(1, 10, "x")}}, 10}, {{}, 0}, true, "x"},
         {"set, and cleared by who saw it",
          {{{"a", set(1, 10, "x")}}, 10},
@@ -84,146 +85,177 @@
          "z"},
         {"two clears", {{{"a", cleared(1)}}, 20}, {{{"a", cleared(2)}}, 15}, false, ""},
     };
-    for (const auto& c : kCases) {
-        const auto ab = join(c.a, c.b), ba = join(c.b, c.a);
-        const auto* w = ab.winner();
-        if (!(ab == ba) || !(join(ab, ab) == ab) || !(join(ab, c.a) == ab) || ab.in_force() != c.in_force ||
-            (w && w->value != c.value)) {
+}
+
+// Both ways round and with itself.
+void joining_two_copies_follows_the_table() {
+    for (const auto& c : join_cases()) {
+        const auto ab = join(c.a, c.b);
+        const auto ba = join(c.b, c.a);
+        const auto* winner = ab.winner();
+        if (!(ab == ba) || !(join(ab, ab) == ab) || !(join(ab, c.a) == ab) || ab.is_set() != c.is_set ||
+            (winner && winner->value != c.value)) {
             std::fprintf(stderr, "%s\n", c.what);
             CHECK(false);
         }
     }
-    // Associative: every grouping of three copies ends in one.
-    for (const auto& x : kCases)
-        for (const auto& y : kCases)
+}
+
+void every_grouping_of_three_copies_joins_to_one() {
+    const auto cases = join_cases();
+    for (const auto& x : cases)
+        for (const auto& y : cases)
             CHECK(join(join(x.a, x.b), y.a) == join(x.a, join(x.b, y.a)));
 }
 
-// Concurrent bans and unbans, clocks seconds apart: the ban that an unban had not seen holds.
-void check_ban_and_unban() {
-    auto a = replica("a"), b = replica("b");
+// With clocks seconds apart.
+void a_clear_undoes_only_the_sets_it_has_seen() {
+    auto a = make_replica("a"), b = make_replica("b");
     CHECK(a.set("ban/x", "", kNow));
     exchange(a, b);
-    CHECK(b.in_force("ban/x"));
+    CHECK(b.is_set("ban/x"));
     // Apart: a takes it back by a clock five seconds ahead, b bans again by one five behind.
     CHECK(a.clear("ban/x", kNow + 5'000));
     CHECK(b.set("ban/x", "", kNow - 5'000));
-    CHECK(!a.in_force("ban/x") && b.in_force("ban/x"));
+    CHECK(!a.is_set("ban/x") && b.is_set("ban/x"));
     exchange(a, b);
-    CHECK(a.in_force("ban/x") && b.in_force("ban/x"));
+    CHECK(a.is_set("ban/x") && b.is_set("ban/x"));
     // Seen by both, one takes it back: gone from both.
     CHECK(a.clear("ban/x", kNow));
     exchange(b, a);
-    CHECK(!a.in_force("ban/x") && !b.in_force("ban/x"));
-    CHECK(a.summary() == b.summary() && a.numbers() == b.numbers());
+    CHECK(!a.is_set("ban/x") && !b.is_set("ban/x"));
+    CHECK(a.digest() == b.digest() && a.versions() == b.versions());
+}
+
+ReplicaUpdate update(const std::string& origin, std::uint64_t number, const std::string& key, UnixMs at) {
+    const auto timestamp = hybrid_timestamp(at);
+    return {origin, number, key, {{{origin, set(number, timestamp, "v")}}, timestamp}};
+}
+
+ReplicaMessage delta(std::vector<ReplicaUpdate> updates, VersionVector base_versions) {
+    ReplicaMessage message;
+    message.kind = ReplicaMessage::Kind::delta_exchange;
+    message.sender = message.sender_address = std::string(1, 'x');
+    message.updates = std::move(updates);
+    message.base_versions = std::move(base_versions);
+    return message;
 }
 
-Update update(const std::string& origin, std::uint64_t number, const std::string& key, UnixMs at) {
-    const auto stamp = static_cast<Stamp>(at) << 16;
-    return {origin, number, key, {{{origin, set(number, stamp, "v")}}, stamp}};
+// The replica "a", that holds the first change of the origin "x@1".
+Replica replica_with_first_change() {
+    auto replica = make_replica("a");
+    replica.receive(delta({update("x@1", 1, "k1", kNow)}, {{"x@1", 0}}), 0ms, kNow);
+    CHECK(replica.is_set("k1") && replica.versions().at("x@1") == 1);
+    return replica;
 }
 
-ReplicaMessage give(std::vector<Update> updates, Numbers after) {
-    ReplicaMessage m;
-    m.kind = ReplicaMessage::Kind::give;
-    m.from = m.from_address = std::string(1, 'x');
-    m.updates = std::move(updates);
-    m.after = std::move(after);
-    return m;
+void a_repeated_update_is_a_duplicate() {
+    auto replica = replica_with_first_change();
+    replica.receive(delta({update("x@1", 1, "k1", kNow)}, {{"x@1", 0}}), 0ms, kNow);
+    CHECK(replica.counters().duplicates == 1 && replica.counters().applied == 1);
 }
 
-// What is not applied, and what is applied without being vouched for.
-void check_bad_and_stale() {
-    auto a = replica("a");
-    a.receive(give({update("x@1", 1, "k1", kNow)}, {{"x@1", 0}}), 0ms, kNow);
-    CHECK(a.in_force("k1") && a.numbers().at("x@1") == 1);
-    // The same again: a duplicate.
-    a.receive(give({update("x@1", 1, "k1", kNow)}, {{"x@1", 0}}), 0ms, kNow);
-    CHECK(a.counts().duplicates == 1 && a.counts().applied == 1);
-    // After a gap: applied, as it can't hurt, but not vouched for.
-    a.receive(give({update("x@1", 5, "k5", kNow)}, {{"x@1", 4}}), 0ms, kNow);
-    CHECK(a.in_force("k5") && a.numbers().at("x@1") == 1);
-    // From the future by more than clocks differ: not applied; taken once our clock is there.
-    a.receive(give({update("x@1", 2, "k2", kNow + 60'000)}, {{"x@1", 1}}), 0ms, kNow);
-    CHECK(!a.in_force("k2") && a.counts().ahead == 1 && a.numbers().at("x@1") == 1);
-    a.receive(give({update("x@1", 2, "k2", kNow + 60'000)}, {{"x@1", 1}}), 0ms, kNow + 55'000);
-    CHECK(a.in_force("k2") && a.numbers().at("x@1") == 2);
-    // Malformed: the whole message is refused, the good update in it with it.
-    const auto good = update("x@1", 3, "k3", kNow);
-    auto long_key = update("x@1", 4, std::string(kLongestKey + 1, 'k'), kNow);
+void an_update_after_a_gap_is_applied_but_its_version_is_not_held() {
+    auto replica = replica_with_first_change();
+    replica.receive(delta({update("x@1", 5, "k5", kNow)}, {{"x@1", 4}}), 0ms, kNow);
+    CHECK(replica.is_set("k5") && replica.versions().at("x@1") == 1);
+}
+
+void an_update_from_the_future_is_taken_once_our_clock_is_there() {
+    auto replica = replica_with_first_change();
+    replica.receive(delta({update("x@1", 2, "k2", kNow + 60'000)}, {{"x@1", 1}}), 0ms, kNow);
+    CHECK(!replica.is_set("k2") && replica.counters().ahead == 1 && replica.versions().at("x@1") == 1);
+    replica.receive(delta({update("x@1", 2, "k2", kNow + 60'000)}, {{"x@1", 1}}), 0ms, kNow + 55'000);
+    CHECK(replica.is_set("k2") && replica.versions().at("x@1") == 2);
+}
+
+std::vector<ReplicaUpdate> malformed_updates() {
+    auto long_key = update("x@1", 4, std::string(kMaxKeyLength + 1, 'k'), kNow);
     auto long_value = update("x@1", 4, "k4", kNow);
-    long_value.entry.marks.at("x@1").value = std::string(kLongestValue + 1, 'v');
+    long_value.entry.writes.at("x@1").value = std::string(kMaxValueLength + 1, 'v');
     auto no_origin = update("", 4, "k4", kNow);
-    auto no_number = update("x@1", 0, "k4", kNow);
-    auto later_mark = update("x@1", 4, "k4", kNow);
-    later_mark.entry.marks.at("x@1").stamp += 1;  // a mark after the entry's last change
-    auto many = update("x@1", 4, "k4", kNow);
-    for (std::size_t i = 0; i <= kMostMarks; ++i)
-        many.entry.marks[std::string{"o"}.append(std::to_string(i))] = set(1, 1);
-    std::uint64_t refused = a.counts().refused;
-    for (const auto& bad : {long_key, long_value, no_origin, no_number, later_mark, many}) {
-        a.receive(give({good, bad}, {{"x@1", 2}}), 0ms, kNow);
-        CHECK(a.counts().refused == ++refused && !a.in_force("k3") && !a.in_force("k4"));
+    auto no_version = update("x@1", 0, "k4", kNow);
+    auto write_after_last_change = update("x@1", 4, "k4", kNow);
+    write_after_last_change.entry.writes.at("x@1").timestamp += 1;
+    auto too_many_writes = update("x@1", 4, "k4", kNow);
+    for (std::size_t i = 0; i <= kMaxWrites; ++i)
+        too_many_writes.entry.writes[std::string{"o"}.append(std::to_string(i))] = set(1, 1);
+    return {long_key, long_value, no_origin, no_version, write_after_last_change, too_many_writes};
+}
+
+void a_message_with_a_malformed_update_is_rejected_whole() {
+    auto replica = replica_with_first_change();
+    const auto good = update("x@1", 2, "k3", kNow);
+    std::uint64_t rejected = replica.counters().rejected;
+    for (const auto& bad : malformed_updates()) {
+        replica.receive(delta({good, bad}, {{"x@1", 1}}), 0ms, kNow);
+        CHECK(replica.counters().rejected == ++rejected && !replica.is_set("k3") && !replica.is_set("k4"));
     }
-    // Another channel's message, and one from ourselves.
-    auto other = give({good}, {{"x@1", 2}});
-    other.channel = 3;
-    a.receive(other, 0ms, kNow);
-    auto own = give({good}, {{"x@1", 2}});
-    own.from = "a";
-    a.receive(own, 0ms, kNow);
-    CHECK(a.counts().refused == refused + 2 && !a.in_force("k3"));
-    // Bounded: what has no room is refused and not vouched for.
+}
+
+void a_message_of_another_channel_or_from_ourselves_is_rejected() {
+    auto replica = replica_with_first_change();
+    const auto good = update("x@1", 2, "k3", kNow);
+    auto other_channel = delta({good}, {{"x@1", 1}});
+    other_channel.channel = 3;
+    replica.receive(other_channel, 0ms, kNow);
+    auto from_ourselves = delta({good}, {{"x@1", 1}});
+    from_ourselves.sender = "a";
+    replica.receive(from_ourselves, 0ms, kNow);
+    CHECK(replica.counters().rejected == 2 && !replica.is_set("k3"));
+}
+
+void a_full_replica_takes_no_new_key() {
     ReplicaSettings small;
-    small.most_entries = 2;
-    auto full = replica("a", small);
+    small.max_entries = 2;
+    auto full = make_replica("a", small);
     full.receive(
-        give({update("x@1", 1, "k1", kNow), update("x@1", 2, "k2", kNow), update("x@1", 3, "k3", kNow)},
-             {{"x@1", 0}}),
+        delta({update("x@1", 1, "k1", kNow), update("x@1", 2, "k2", kNow), update("x@1", 3, "k3", kNow)},
+              {{"x@1", 0}}),
         0ms, kNow);
-    CHECK(full.entries().size() == 2 && full.numbers().at("x@1") == 2 && full.counts().refused == 1);
+    CHECK(full.entries().size() == 2 && full.versions().at("x@1") == 2 && full.counters().rejected == 1);
     CHECK(!full.set("k9", "", kNow));
 }
 
-// A replay of what was cleared and forgotten does not bring it back; who was away takes a full copy.
-void check_forgetting() {
+// Whoever was away for longer than tombstones are held takes a snapshot.
+void what_was_collected_does_not_come_back_by_a_replay_or_an_absent_router() {
     ReplicaSettings settings;
-    settings.tombstone_keep = 1'000;
-    auto a = replica("a", settings), b = replica("b", settings), away = replica("c", settings);
+    settings.tombstone_retention = 1'000;
+    auto a = make_replica("a", settings), b = make_replica("b", settings), away = make_replica("c", settings);
     CHECK(a.set("ban/x", "", kNow) && a.set("ban/y", "", kNow));
     exchange(a, b);
     exchange(a, away);
-    CHECK(away.in_force("ban/x"));
+    CHECK(away.is_set("ban/x"));
     CHECK(b.clear("ban/x", kNow));
     exchange(b, a);
     const auto later = kNow + 100'000;
     a.tick(200'000ms, later, {});
     b.tick(200'000ms, later, {});
-    CHECK(!a.entries().contains("ban/x") && a.counts().forgotten == 1);
-    a.receive(give({update("a@1", 1, "ban/x", kNow)}, {{"a@1", 0}}), 200'000ms, later);
-    CHECK(!a.in_force("ban/x"));
-    CHECK(away.set("ban/z", "", later));  // its own, said while away
+    CHECK(!a.entries().contains("ban/x") && a.counters().collected == 1);
+    a.receive(delta({update("a@1", 1, "ban/x", kNow)}, {{"a@1", 0}}), 200'000ms, later);
+    CHECK(!a.is_set("ban/x"));
+    CHECK(away.set("ban/z", "", later));  // its own, set while away
     exchange(away, a, later);
     exchange(away, a, later);
-    CHECK(away.counts().full_copies == 1);
-    CHECK(!away.in_force("ban/x") && away.in_force("ban/y") && away.in_force("ban/z"));
-    CHECK(a.in_force("ban/z") && a.summary() == away.summary());
-    // Who was away for less fetches updates, no copy.
+    CHECK(away.counters().snapshots == 1);
+    CHECK(!away.is_set("ban/x") && away.is_set("ban/y") && away.is_set("ban/z"));
+    CHECK(a.is_set("ban/z") && a.digest() == away.digest());
+    // Whoever was away for less fetches updates, no snapshot.
     CHECK(a.set("ban/w", "", later));
     exchange(away, a, later);
-    CHECK(away.in_force("ban/w") && away.counts().full_copies == 1);
+    CHECK(away.is_set("ban/w") && away.counters().snapshots == 1);
 }
 
-// Whoever looks through the entries again only when the revision is another one misses nothing.
-void check_revision() {
+// Whoever looks through the entries again only at another revision misses nothing.
+void the_revision_changes_whenever_a_value_does() {
     ReplicaSettings ageing;
-    ageing.value_keep = 60'000;
-    auto a = replica("a", ageing), b = replica("b", ageing);
+    ageing.value_retention = 60'000;
+    auto a = make_replica("a", ageing), b = make_replica("b", ageing);
     const auto values = [](const Replica& r) {
         std::map<std::string, std::string> out;
         for (const auto& [key, entry] : r.entries())
-            if (const auto* mark = entry.winner())
-                out.emplace(key, mark->value);
+            if (const auto* write = entry.winner())
+                out.emplace(key, write->value);
         return out;
     };
     auto unix_now = kNow;
@@ -255,29 +287,28 @@
         look();
     }
     CHECK(changes >= 5 && seen.empty() && values(b).empty());
-    auto again = replica("a");
+    auto again = make_replica("a");
     const auto before = again.revision();
     again.restore(a.entries(), a.origins());
     CHECK(again.revision() != before);
 }
 
-// What is stored and taken up again is the same replica.
-void check_restore() {
-    auto a = replica("a"), b = replica("b");
+void a_restored_replica_is_the_same_and_goes_on_with_its_versions() {
+    auto a = make_replica("a"), b = make_replica("b");
     for (int i = 0; i < 20; ++i)
         CHECK(a.set(std::string{"k"}.append(std::to_string(i % 7)), std::to_string(i), kNow));
     CHECK(a.clear("k3", kNow));
-    const auto changes = a.take_changes();
-    CHECK(changes.keys.size() == 7 && changes.origins.contains("a@1") && !changes.all);
-    auto again = replica("a");
+    const auto changes = a.take_unsaved_changes();
+    CHECK(changes.keys.size() == 7 && changes.origins.contains("a@1") && !changes.everything);
+    auto again = make_replica("a");
     again.restore(a.entries(), a.origins());
-    CHECK(again.summary() == a.summary() && again.take_touched().size() == 7);
-    CHECK(again.set("k9", "", kNow) && again.numbers().at("a@1") == 22);  // numbers go on
+    CHECK(again.digest() == a.digest() && again.take_touched_keys().size() == 7);
+    CHECK(again.set("k9", "", kNow) && again.versions().at("a@1") == 22);
     exchange(again, b);
-    CHECK(b.in_force("k9") && !b.in_force("k3") && *b.value("k6") == "13" && *b.value("k5") == "19");
+    CHECK(b.is_set("k9") && !b.is_set("k3") && *b.value("k6") == "13" && *b.value("k5") == "19");
 }
 
-void check_model() {
+void all_copies_end_equal_over_a_thousand_seeds() {
     std::int64_t worst = 0;
     std::uint64_t full = 0, changes = 0;
     const struct {
@@ -310,14 +341,20 @@
 }  // namespace
 
 int main() {
-    check_join();
-    check_ban_and_unban();
-    check_bad_and_stale();
-    check_forgetting();
-    check_restore();
-    check_revision();
-    check_model();
+    joining_two_copies_follows_the_table();
+    every_grouping_of_three_copies_joins_to_one();
+    a_clear_undoes_only_the_sets_it_has_seen();
+    a_repeated_update_is_a_duplicate();
+    an_update_after_a_gap_is_applied_but_its_version_is_not_held();
+    an_update_from_the_future_is_taken_once_our_clock_is_there();
+    a_message_with_a_malformed_update_is_rejected_whole();
+    a_message_of_another_channel_or_from_ourselves_is_rejected();
+    a_full_replica_takes_no_new_key();
+    what_was_collected_does_not_come_back_by_a_replay_or_an_absent_router();
+    a_restored_replica_is_the_same_and_goes_on_with_its_versions();
+    the_revision_changes_whenever_a_value_does();
+    all_copies_end_equal_over_a_thousand_seeds();
     std::puts(
-        "replica: one state in every order of delivery, nothing acknowledged lost, nothing undone comes "
+        "replica: one state in every order of delivery, nothing acknowledged lost, nothing cleared comes "
         "back");
 }
--- a/tests/cluster/wire_test.cpp
+++ b/tests/cluster/wire_test.cpp
@@ -12,20 +12,20 @@
 
 namespace {
 
-Message sample(std::size_t records) {
-    Message m;
-    m.kind = Message::Kind::ping_req;
-    m.from = "r-17";
-    m.from_start = 1'796'000'000'123;
-    m.from_address = "127.0.0.17:7946";
-    m.seq = 4'000'000'000u;
+MembershipMessage sample(std::size_t records) {
+    MembershipMessage m;
+    m.kind = MembershipMessage::Kind::ping_req;
+    m.sender = "r-17";
+    m.sender_start = 1'796'000'000'123;
+    m.sender_address = "127.0.0.17:7946";
+    m.sequence = 4'000'000'000u;
     m.target = "r-3";
     m.target_address = "127.0.0.3:7946";
     for (std::size_t i = 0; i < records; ++i)
         m.records.push_back({{"r-" + std::to_string(i), "127.0.0.1:" + std::to_string(7000 + i), "z2", "r1"},
                              1'796'000'000'000 + i,
                              i * 3,
-                             static_cast<State>(i % 4),
+                             static_cast<MemberState>(i % 4),
                              i % 2 ? "r-1" : ""});
     return m;
 }
@@ -34,17 +34,17 @@
     ReplicaMessage m;
     m.kind = kind;
     m.channel = 1;
-    m.from = "r-17";
-    m.from_address = "127.0.0.17:7946";
-    if (kind == ReplicaMessage::Kind::sum)
-        for (std::size_t i = 0; i < kBuckets; ++i)
-            m.summary[i] = 0x0123456789abcdefULL * (i + 1);
-    m.mask = 0xfedcba9876543210ULL;
-    m.numbers = {{"a@1", 3}, {"b@2", 70'000}};
-    m.after = {{"a@1", 2}};
+    m.sender = "r-17";
+    m.sender_address = "127.0.0.17:7946";
+    if (kind == ReplicaMessage::Kind::digest)
+        for (std::size_t i = 0; i < kDigestBuckets; ++i)
+            m.digest[i] = 0x0123456789abcdefULL * (i + 1);
+    m.bucket_mask = 0xfedcba9876543210ULL;
+    m.versions = {{"a@1", 3}, {"b@2", 70'000}};
+    m.base_versions = {{"a@1", 2}};
     m.cursor = "ban/x";
-    m.too_old = true;
-    m.last = false;
+    m.snapshot_needed = true;
+    m.complete = false;
     for (std::uint64_t i = 1; i < 4; ++i)
         m.updates.push_back({"a@1",
                              i,
@@ -65,21 +65,21 @@
         const auto m = sample(n);
         const auto bytes = wire::encode(m);
         const auto back = wire::decode(bytes, false);
-        CHECK(std::holds_alternative<Message>(back) && std::get<Message>(back) == m);
+        CHECK(std::holds_alternative<MembershipMessage>(back) && std::get<MembershipMessage>(back) == m);
     }
     auto push = sample(2);
-    push.kind = Message::Kind::push;
-    push.digest.emplace().roster = 77;
-    for (std::size_t i = 0; i < kBuckets; ++i)
+    push.kind = MembershipMessage::Kind::push;
+    push.digest.emplace().members = 77;
+    for (std::size_t i = 0; i < kDigestBuckets; ++i)
         push.digest->buckets[i] = 0x0123456789abcdefULL * (i + 1);
-    CHECK(std::get<Message>(wire::decode(wire::encode(push), true)) == push);
+    CHECK(std::get<MembershipMessage>(wire::decode(wire::encode(push), true)) == push);
     // A whole view goes on a stream, not in a datagram.
     const auto view = sample(600);
     const auto bytes = wire::encode(view);
     CHECK(bytes.size() > wire::kMostDatagram && bytes.size() < wire::kMostFrame);
-    CHECK(std::get<Message>(wire::decode(bytes, true)) == view);
+    CHECK(std::get<MembershipMessage>(wire::decode(bytes, true)) == view);
     CHECK(refused_as(bytes, false, wire::Trouble::oversize));
-    for (std::uint8_t k = 0; k <= static_cast<std::uint8_t>(ReplicaMessage::Kind::page); ++k) {
+    for (std::uint8_t k = 0; k <= static_cast<std::uint8_t>(ReplicaMessage::Kind::snapshot_page); ++k) {
         const auto m = replica_sample(static_cast<ReplicaMessage::Kind>(k));
         CHECK(std::get<ReplicaMessage>(wire::decode(wire::encode(m), true)) == m);
         const auto encoded = wire::encode(m);
@@ -91,24 +91,24 @@
                 b[at] = static_cast<char>(b[at] ^ (1 << bit));
                 const auto got = wire::decode(b, true);
                 if (const auto* r = std::get_if<ReplicaMessage>(&got))
-                    CHECK(r->updates.size() <= 3 && r->cursor.size() <= kLongestKey);
+                    CHECK(r->updates.size() <= 3 && r->cursor.size() <= kMaxKeyLength);
             }
     }
-    // Over the bounds of a datagram, of a key, of a value, of an entry's marks.
-    auto big = replica_sample(ReplicaMessage::Kind::news);
+    // Over the bounds of a datagram, of a key, of a value, of an entry's writes.
+    auto big = replica_sample(ReplicaMessage::Kind::gossip);
     while (big.updates.size() <= wire::kMostDatagramRecords)
         big.updates.push_back(big.updates.front());
     CHECK(refused_as(wire::encode(big), false, wire::Trouble::out_of_bounds) ||
           refused_as(wire::encode(big), false, wire::Trouble::oversize));
-    big = replica_sample(ReplicaMessage::Kind::give);
-    big.updates[0].key = std::string(kLongestKey + 1, 'k');
+    big = replica_sample(ReplicaMessage::Kind::delta_exchange);
+    big.updates[0].key = std::string(kMaxKeyLength + 1, 'k');
     CHECK(refused_as(wire::encode(big), true, wire::Trouble::out_of_bounds));
-    big = replica_sample(ReplicaMessage::Kind::give);
-    big.updates[0].entry.marks.begin()->second.value = std::string(kLongestValue + 1, 'v');
+    big = replica_sample(ReplicaMessage::Kind::delta_exchange);
+    big.updates[0].entry.writes.begin()->second.value = std::string(kMaxValueLength + 1, 'v');
     CHECK(refused_as(wire::encode(big), true, wire::Trouble::out_of_bounds));
-    big = replica_sample(ReplicaMessage::Kind::give);
-    for (std::size_t i = 0; i <= kMostMarks; ++i)
-        big.updates[0].entry.marks[std::string{"o"}.append(std::to_string(i))] = {1, 0, 1, ""};
+    big = replica_sample(ReplicaMessage::Kind::delta_exchange);
+    for (std::size_t i = 0; i <= kMaxWrites; ++i)
+        big.updates[0].entry.writes[std::string{"o"}.append(std::to_string(i))] = {1, 0, 1, ""};
     CHECK(refused_as(wire::encode(big), true, wire::Trouble::out_of_bounds));
     const unsigned char header[4] = {0x00, 0x01, 0x02, 0x03};
     CHECK(wire::frame_length(header) == 0x010203u);
@@ -122,12 +122,12 @@
     other_version[1] = 2;  // [10-array, version 1, ...]: the version is the second byte
     std::string long_name = wire::encode([] {
         auto m = sample(1);
-        m.records[0].who.name = std::string(65, 'n');
+        m.records[0].identity.name = std::string(65, 'n');
         return m;
     }());
     std::string long_address = wire::encode([] {
         auto m = sample(0);
-        m.from_address = std::string(65, 'a');
+        m.sender_address = std::string(65, 'a');
         return m;
     }());
     const struct {
@@ -160,7 +160,7 @@
              auto m = sample(1);
              std::string b = wire::encode(m);
              // The record's state sits just before its last string ("" here: 0xa0) and the message's nil.
-             CHECK(b[b.size() - 3] == static_cast<char>(State::alive));
+             CHECK(b[b.size() - 3] == static_cast<char>(MemberState::alive));
              b[b.size() - 3] = 9;
              return b;
          }(),
@@ -181,10 +181,10 @@
             std::string b = good;
             b[at] = static_cast<char>(b[at] ^ (1 << bit));
             const auto got = wire::decode(b, false);
-            if (const auto* m = std::get_if<Message>(&got)) {
-                CHECK(m->records.size() <= wire::kMostDatagramRecords && m->from.size() <= kLongestName);
+            if (const auto* m = std::get_if<MembershipMessage>(&got)) {
+                CHECK(m->records.size() <= wire::kMostDatagramRecords && m->sender.size() <= kMaxNameLength);
                 for (const auto& r : m->records)
-                    CHECK(r.who.address.size() <= kLongestAddress);
+                    CHECK(r.identity.address.size() <= kMaxAddressLength);
             }
         }
 }
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -276,7 +276,8 @@
     std::ofstream{file} << std::string(20'000, 'x');
     fleet.start(2);
     CHECK(fleet.wait_until([&] { return all_out(fleet, 3); }, 5s));
-    CHECK(fleet.wait_until([&] { return fleet.log(2).find("replica-refused") != std::string::npos; }, 2s));
+    CHECK(fleet.wait_until([&] { return fleet.log(2).find("replica-store-rejected") != std::string::npos; },
+                           2s));
     CHECK(fleet.log(2).find(file.string()) != std::string::npos);
     CHECK(std::filesystem::exists(file.string() + ".refused"));
     CHECK(fleet.call(2, "HEALTH").rfind("ACK", 0) == 0);
@@ -303,10 +304,10 @@
     const auto news = [&](const std::string& origin, std::uint64_t number, const std::string& key,
                           long long when) {
         cluster::ReplicaMessage m;
-        m.kind = cluster::ReplicaMessage::Kind::news;
-        m.from = "x";
-        m.from_address = "127.0.0.1:9";
-        const auto stamp = static_cast<cluster::Stamp>(when) << 16;
+        m.kind = cluster::ReplicaMessage::Kind::gossip;
+        m.sender = "x";
+        m.sender_address = "127.0.0.1:9";
+        const auto stamp = cluster::hybrid_timestamp(when);
         m.updates.push_back({origin, number, key, {{{origin, {number, 0, stamp, ""}}}, stamp}});
         return m;
     };
@@ -440,18 +441,18 @@
     asio::io_context io;
     const auto at = *net::Peer::endpoint_of(fleet.peer_address(0));
     asio::ip::udp::socket u{io, asio::ip::udp::endpoint{asio::ip::make_address("127.0.0.1"), 0}};
-    cluster::Message forged;
-    forged.kind = cluster::Message::Kind::ping;
-    forged.from = "m1";
-    forged.from_address = fleet.relay().address(1);
+    cluster::MembershipMessage forged;
+    forged.kind = cluster::MembershipMessage::Kind::ping;
+    forged.sender = "m1";
+    forged.sender_address = fleet.relay().address(1);
     forged.target = "m0";
     const auto m0 = fleet.view(0)["m0"];
     forged.records.push_back(
-        {{"m0", fleet.relay().address(0), "z0", "r1"}, m0.start, 99, cluster::State::alive, ""});
+        {{"m0", fleet.relay().address(0), "z0", "r1"}, m0.start, 99, cluster::MemberState::alive, ""});
     const std::string forged_bytes = cluster::wire::encode(forged);
-    cluster::Message replay = forged;
+    cluster::MembershipMessage replay = forged;
     replay.records.clear();
-    replay.seq = 12345;
+    replay.sequence = 12345;
     const std::string replayed = cluster::wire::encode(replay);
     const std::string sends[] = {"garbage",
                                  forged_bytes.substr(0, forged_bytes.size() / 2),
--- a/tests/store/replica_store_test.cpp
+++ b/tests/store/replica_store_test.cpp
@@ -1,5 +1,5 @@
 // The replicated state's store: what is written is there again, cut at every write nothing acknowledged is
-// lost, and what is damaged or somebody else's is refused by name and left alone.
+// lost, and what is damaged or somebody else's is rejected by name and left alone.
 #include "store/replica_store.h"
 
 #include <unistd.h>
@@ -44,21 +44,22 @@
     std::ofstream{file, std::ios::binary} << bytes;
 }
 
-bool same(const Replica::Origin& a, const Replica::Origin& b) {
-    return a.number == b.number && a.forgotten == b.forgotten && a.log == b.log && a.where == b.where;
+bool same(const OriginLog& a, const OriginLog& b) {
+    return a.version == b.version && a.collected_version == b.collected_version &&
+           a.keys_by_version == b.keys_by_version && a.versions_by_key == b.versions_by_key;
 }
 
 bool holds(ReplicaStore& store, const Replica& replica) {
     const auto origins = store.origins();
-    for (const auto& [name, origin] : replica.origins()) {
-        const auto found = origins.find(name);
-        if (found == origins.end() ? origin.number > 0 : !same(found->second, origin))
+    for (const auto& [origin, log] : replica.origins()) {
+        const auto found = origins.find(origin);
+        if (found == origins.end() ? log.version > 0 : !same(found->second, log))
             return false;
     }
     return store.entries() == replica.entries();
 }
 
-std::optional<std::string> refusal(const std::string& file) {
+std::optional<std::string> rejection(const std::string& file) {
     try {
         ReplicaStore store{file, "new@1"};
         (void)store.entries();
@@ -69,7 +70,7 @@
     return std::nullopt;
 }
 
-void check_round_trip(const Folder& folder) {
+void what_was_written_is_restored_and_removed_when_gone(const Folder& folder) {
     const auto file = folder.file("whole");
     Replica a{"a", "a", "a@1", {}, 1, 0ms};
     {
@@ -79,7 +80,7 @@
             CHECK(a.set("ban/" + std::to_string(i % 9), std::to_string(i), kNow + i));
             if (i % 4 == 3)
                 CHECK(a.clear("ban/" + std::to_string(i % 9), kNow + i));
-            store.write(a, a.take_changes());
+            store.write(a, a.take_unsaved_changes());
             CHECK(holds(store, a));
         }
         // One process at a time.
@@ -96,19 +97,19 @@
     CHECK(store.origin() == "a@1" && holds(store, a));
     Replica again{"a", "a", store.origin(), {}, 1, 0ms};
     again.restore(store.entries(), store.origins());
-    CHECK(again.summary() == a.summary());
-    CHECK(again.set("ban/new", "", kNow) && again.numbers().at("a@1") == a.numbers().at("a@1") + 1);
+    CHECK(again.digest() == a.digest());
+    CHECK(again.set("ban/new", "", kNow) && again.versions().at("a@1") == a.versions().at("a@1") + 1);
     // Forgotten, and replaced by a full copy: what is gone is gone from the file too.
     Replica empty{"a", "a", "a@1", {}, 1, 0ms};
-    Replica::Changes all;
-    all.all = true;
+    Replica::UnsavedChanges all;
+    all.everything = true;
     store.write(empty, all);
     CHECK(store.entries().empty() && holds(store, empty));
 }
 
 // A kill leaves the log of writes cut anywhere in the last commit: all commits before it are there, and it is
 // there whole or not at all.
-void check_cut_at_every_write(const Folder& folder) {
+void a_log_cut_anywhere_holds_the_last_commit_whole_or_not_at_all(const Folder& folder) {
     const auto file = folder.file("cut");
     Replica a{"a", "a", "a@1", {}, 1, 0ms};
     ReplicaStore store{file, "a@1"};
@@ -117,7 +118,7 @@
         const auto before_log = read(file + "-wal");
         const auto entries_before = a.entries();
         CHECK(i % 5 == 4 ? a.clear("ban/1", kNow + i) : a.set("ban/" + std::to_string(i % 4), "x", kNow + i));
-        store.write(a, a.take_changes());
+        store.write(a, a.take_unsaved_changes());
         const auto main_file = read(file), log = read(file + "-wal");
         CHECK(log.size() > before_log.size());
         for (std::size_t at = before_log.size(); at <= log.size(); at += at + 97 < log.size() ? 97 : 1) {
@@ -141,51 +142,51 @@
     std::printf("%zu cuts\n", cuts);
 }
 
-void check_refused(const Folder& folder) {
+void a_damaged_or_foreign_file_is_rejected_by_name_and_left_alone(const Folder& folder) {
     const auto good = folder.file("good");
     {
         ReplicaStore store{good, "a@1"};
         Replica a{"a", "a", "a@1", {}, 1, 0ms};
         for (int i = 0; i < 200; ++i)
             CHECK(a.set("ban/" + std::to_string(i), std::string(100, 'v'), kNow));
-        store.write(a, a.take_changes());
+        store.write(a, a.take_unsaved_changes());
     }
     const auto bytes = read(good);
-    CHECK(bytes.size() > 8'192 && !refusal(good));
+    CHECK(bytes.size() > 8'192 && !rejection(good));
     const auto bad = folder.file("bad");
     // Nobody's database, and one cut in the middle of its pages.
-    std::size_t refused = 0;
+    std::size_t rejected = 0;
     for (const auto& damaged : {std::string(10'000, 'x'), std::string("not a store"), bytes.substr(0, 4'096),
                                 bytes.substr(0, bytes.size() - 5'000)}) {
         write(bad, damaged);
-        const auto why = refusal(bad);
+        const auto why = rejection(bad);
         CHECK(why && why->find(bad) != std::string::npos);
         CHECK(read(bad) == damaged);  // left as it was
-        ++refused;
+        ++rejected;
     }
-    // Bytes overwritten anywhere: refused, or it reads; never a crash.
+    // Bytes overwritten anywhere: rejected, or it reads; never a crash.
     for (std::size_t at = 0; at + 64 < bytes.size(); at += 509) {
         auto damaged = bytes;
         for (std::size_t i = 0; i < 64; ++i)
             damaged[at + i] = static_cast<char>(damaged[at + i] ^ 0x5a);
         write(bad, damaged);
-        if (const auto why = refusal(bad)) {
+        if (const auto why = rejection(bad)) {
             CHECK(why->find(bad) != std::string::npos);
-            ++refused;
+            ++rejected;
         }
         fs::remove(bad + "-wal");
         fs::remove(bad + "-journal");
     }
-    CHECK(refused > 10);
-    std::printf("%zu refused\n", refused);
+    CHECK(rejected > 10);
+    std::printf("%zu rejected\n", rejected);
 }
 
 }  // namespace
 
 int main() {
     const Folder folder;
-    check_round_trip(folder);
-    check_cut_at_every_write(folder);
-    check_refused(folder);
-    std::puts("replica store: what is acknowledged is kept, what is damaged is refused by name");
+    what_was_written_is_restored_and_removed_when_gone(folder);
+    a_log_cut_anywhere_holds_the_last_commit_whole_or_not_at_all(folder);
+    a_damaged_or_foreign_file_is_rejected_by_name_and_left_alone(folder);
+    std::puts("replica store: what is acknowledged is kept, what is damaged is rejected by name");
 }
