--- a/src/app/endpoint.h
+++ b/src/app/endpoint.h
@@ -1,4 +1,4 @@
-// A place to listen at or to connect to, as settings name it.
+// Addresses in settings as socket endpoints.
 #pragma once
 
 #include "config/config.h"
@@ -6,12 +6,12 @@
 
 namespace silverrail::app {
 
-// address:port; throws config::ConfigError.
+// Parses "ADDRESS:PORT"; throws config::ConfigError.
 inline net::tcp::endpoint endpoint_of(const std::string& text) {
-    const auto e = config::parse_endpoint(text);
-    if (!e)
+    const auto endpoint = config::parse_endpoint(text);
+    if (!endpoint)
         throw config::ConfigError("not an address and a port: " + text);
-    return {net::asio::ip::make_address(e->host), e->port};
+    return {net::asio::ip::make_address(endpoint->host), endpoint->port};
 }
 
 }  // namespace silverrail::app
--- /dev/null
+++ b/src/app/network_counters.cpp
@@ -0,0 +1,40 @@
+#include "app/network_counters.h"
+
+#include "app/part.h"
+
+namespace silverrail::app {
+
+std::string client_counters(const net::HttpServer& server) {
+    const auto& counters = server.counters();
+    const auto& listener = server.accepts();
+    std::string out = figure_lines("clients", {{"violations", counters.violations()},
+                                               {"closed_unanswered", counters.closed_unanswered},
+                                               {"second_answers", counters.second_answers},
+                                               {"left_before_taken", counters.left_before_taken},
+                                               {"full_of_early_bytes", counters.full_of_early_bytes},
+                                               {"accepted", listener.taken},
+                                               {"accept_aborted", listener.aborted},
+                                               {"accept_pauses", listener.pauses}});
+    for (std::size_t i = 0; i < net::kCloseReasons; ++i) {
+        const auto reason = static_cast<net::CloseReason>(i);
+        const std::string name = "closed_" + std::string{net::name_of(reason)};
+        out += figure_lines("clients", {{name.c_str(), counters.closed[i]}});
+    }
+    return out;
+}
+
+std::string event_loop_counters(const net::HttpServer& server) {
+    const auto& loop = server.loop();
+    const auto longest_ms = std::chrono::floor<std::chrono::milliseconds>(loop.longest_pause()).count();
+    return figure_lines(
+        "loop", {{"pauses", loop.pauses()}, {"longest_pause_ms", static_cast<std::uint64_t>(longest_ms)}});
+}
+
+std::string discovery_counters(const net::DiscoveryWatch::Counters& counters) {
+    return figure_lines("bulletin", {{"connects", counters.connects},
+                                     {"unreadable", counters.unreadable},
+                                     {"gaps", counters.gaps},
+                                     {"slow", counters.slow}});
+}
+
+}  // namespace silverrail::app
--- a/src/app/part.h
+++ b/src/app/part.h
@@ -1,4 +1,4 @@
-// An optional subsystem, as the program starts and ends it. One that is off is not made at all.
+// An optional subsystem, as the program starts and ends it. One that is turned off is never made.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 namespace silverrail::app {
 
-// Figures as counters() gives them: "PREFIX.NAME VALUE", one a line.
+// Counters as text, "PREFIX.NAME VALUE", one a line.
 inline std::string figure_lines(const std::string& prefix,
                                 std::initializer_list<std::pair<const char*, std::uint64_t>> figures) {
     std::string out;
@@ -17,17 +17,22 @@
     return out;
 }
 
-// An optional subsystem that is on.
+// All calls come on the event loop's thread, in the order start, stop, end.
 class Part {
 public:
     virtual ~Part() = default;
-    virtual void start() = 0;  // before the first call; throws what makes a start impossible
-    virtual void stop() = 0;   // nothing comes in any more; what is open is finished elsewhere
-    virtual void end() {}      // everything has been answered
-    virtual void dump() {}     // SIGUSR2
+    // Before the first request. Throws what makes a start impossible.
+    virtual void start() = 0;
+    // Nothing new may enter from now on; requests that are open are finished elsewhere.
+    virtual void stop() = 0;
+    // Every request has been answered.
+    virtual void end() {}
+    // SIGUSR2: writes out what is kept for diagnosis.
+    virtual void dump() {}
+    // One "name value" a line.
     virtual std::string counters() {
         return {};
-    }  // one "name value" a line
+    }
 };
 
 }  // namespace silverrail::app
--- a/src/app/program.h
+++ b/src/app/program.h
@@ -1,26 +1,71 @@
-// The router as a program: reads its settings, starts its parts, follows its phases and signals.
+// The router as one object: every module wired together on one event loop and one thread.
 #pragma once
 
-#include <string>
+#include <optional>
+
+#include "app/config_reload.h"
+#include "app/graceful_shutdown.h"
+#include "app/optional_parts.h"
+#include "app/overlap.h"
+#include "app/settings_sources.h"
+#include "app/signals.h"
+#include "core/engine.h"
+#include "front/platform/platform.h"
+#include "lifecycle.h"
+#include "net/clock.h"
+#include "net/discovery_watch.h"
+#include "net/http_server.h"
+#include "net/upstream.h"
 
 namespace silverrail::app {
 
-// Where settings come from: EDGE_CONFIG, EDGE_LISTEN, EDGE_CONTROL, SILVERRAIL_SETTINGS.
-struct Sources {
-    std::string config;
-    std::string listen;           // stands before the file's, where it is given
-    std::string control;          // the same
-    std::string settings;         // the operator's file
-    std::string folder;           // TMPDIR: files that the processes of one router share; empty: none
-    bool settings_named = false;  // by the variable: then it must exist
-};
-Sources sources_of_environment();
+class Program {
+public:
+    // Binds the listeners. Throws what makes a start impossible: config::ConfigError, or a system error.
+    // The files that `sources` names are read again on SIGHUP.
+    Program(SettingsSources sources, config::Config config, const config::OperatorSettings& settings);
+    Program(const Program&) = delete;
+    Program& operator=(const Program&) = delete;
+
+    // Accepts clients from now on. Throws what makes a start impossible, for a moment or permanently.
+    void start();
+    // Serves until it is told to end by SIGTERM or SIGINT, and shuts down gracefully.
+    void run();
 
-// Serves until it is told to end. Returns the program's exit code.
-int serve(const Sources& sources);
+private:
+    OptionalParts::Dependencies part_dependencies();
+    SignalActions signal_actions();
+    GracefulShutdown::Dependencies shutdown_dependencies();
 
-// Reads everything that `serve` would read and says what is wrong, one line each with its path, on standard
-// output. Exit code 0, or 2 if anything is.
-int check(const Sources& sources);
+    void start_discovery();
+    void on_process_count(std::size_t processes);
+    void on_phase(Lifecycle::Phase phase);
+    bool on_discovery_data(std::string_view data);
+    bool apply_event(const Json::Value& json, core::Span max_age);
+    void free_descriptors();
+
+    std::string module_counters();
+    void print_counters();
+
+    const SettingsSources sources_;
+    const config::Config config_;
+    const config::OperatorSettings settings_;
+    Log log_;
+    net::asio::io_context io_{1};
+    Overlap overlap_;
+    members::Shares shares_;
+    net::SystemClock clock_;
+    net::TimerQueue timers_;
+    net::Upstream upstream_;
+    Lifecycle lifecycle_;
+    core::Engine engine_;
+    front::Platform platform_;
+    net::HttpServer server_;
+    OptionalParts parts_;
+    SignalDispatcher signals_;
+    GracefulShutdown shutdown_;
+    ConfigReloader reloader_;
+    std::optional<net::DiscoveryWatch> discovery_;
+};
 
 }  // namespace silverrail::app
--- /dev/null
+++ b/src/app/resource_limits.cpp
@@ -0,0 +1,59 @@
+#include "app/resource_limits.h"
+
+#include <algorithm>
+#include <cctype>
+
+#include "net/dns_server.h"
+
+namespace silverrail::app {
+
+namespace {
+
+constexpr std::size_t kBytesPerMegabyte = 1024 * 1024;
+constexpr std::size_t kDnsListeners = 3;  // UDP, TCP and TLS
+
+}  // namespace
+
+members::Whole total_resources(const config::Config& config, const config::OperatorSettings& settings) {
+    return {.sockets = config.sockets,
+            .memory_bytes = config.memory_mb * kBytesPerMegabyte,
+            .control = !config.control.empty(),
+            .others = settings.dns.on() ? net::DnsLimits{}.connections + kDnsListeners : 0};
+}
+
+net::UpstreamLimits upstream_limits(const config::Config& config, const members::Shares& shares) {
+    net::UpstreamLimits limits;
+    limits.sockets = shares.servers;
+    if (config.connect_timeout > routing::Span{})
+        limits.connect_timeout = config.connect_timeout;
+    // Well before the server closes it: a request sent on a connection that is closing would be lost.
+    if (config.conn_idle > routing::Span{})
+        limits.idle = config.conn_idle * 2 / 3;
+    return limits;
+}
+
+net::HttpLimits client_limits(const config::Config& config, const members::Shares& shares) {
+    net::HttpLimits limits;
+    limits.connections = shares.clients;
+    // With a control address an operator can check a new process beside the old one, so both may listen.
+    if (!config.control.empty())
+        limits.port = net::Listener::Port::shared;
+    return limits;
+}
+
+copies::Limits cache_limits(const config::Config& config, const members::Shares& shares) {
+    return {
+        .bytes = shares.copies_bytes,
+        .link = {.flow_bytes_per_s = config.flow_bytes_per_s, .link_bytes_per_s = config.link_bytes_per_s}};
+}
+
+std::string shared_file_path(const std::string& folder, const std::string& clients_address,
+                             const std::string& extension) {
+    if (folder.empty())
+        return {};
+    std::string name = clients_address;
+    std::replace_if(name.begin(), name.end(), [](unsigned char c) { return std::isalnum(c) == 0; }, '-');
+    return folder + "/silverrail-" + name + "." + extension;
+}
+
+}  // namespace silverrail::app
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,5 +1,5 @@
 // The command line. Without a sub-command the program serves, as deploy/balancer.toml starts it.
-#include "app/program.h"
+#include "app/commands.h"
 #include "cli/lab.h"
 #include "cli/trace.h"
 
@@ -12,13 +12,13 @@
     const auto* serve = line.add_subcommand("serve", "serves, as EDGE_CONFIG says");
     auto* check = line.add_subcommand(
         "check", "reads all settings and says what is wrong, by path; exit 2 if anything is");
-    auto sources = app::sources_of_environment();
-    check->add_option("--config", sources.config, "the platform's file, instead of EDGE_CONFIG");
+    auto sources = app::settings_sources_from_environment();
+    check->add_option("--config", sources.config_file, "the platform's file, instead of EDGE_CONFIG");
     check->add_option_function<std::string>(
         "--settings",
         [&sources](const std::string& file) {
-            sources.settings = file;
-            sources.settings_named = true;
+            sources.operator_file = file;
+            sources.operator_file_required = true;
         },
         "the operator's file, instead of SILVERRAIL_SETTINGS");
     silverrail::cli::add_trace(line, code);
