--- a/src/app/failover_part.cpp
+++ b/src/app/failover_part.cpp
@@ -1,25 +1,55 @@
 #include "app/failover_part.h"
 
 #include <algorithm>
+#include <chrono>
+#include <set>
+#include <utility>
 
-#include "cluster/hearsay.h"
+#include "cluster/failover/failover_codec.h"
+#include "cluster/failover/failover_planner.h"
+#include "cluster/outliers/server_report.h"
 
 namespace silverrail::app {
 
 namespace {
-constexpr std::chrono::milliseconds kTick{50};
-constexpr cluster::Time kProbeEvery{500};
-// Well below the minute after which a report ages.
-constexpr cluster::Time kRefresh{20'000};
+
+constexpr std::chrono::milliseconds kTickInterval{50};
+constexpr cluster::Time kProbeInterval{500};
+// Well below the time after which a report ages.
+constexpr cluster::Time kReportRefreshInterval{20'000};
+// Each state machine draws its own numbers from the program's seed.
+constexpr std::uint64_t kSeed = 0xe7037ed1a0b428dbULL;
+
+std::size_t no_other_reporters(const std::string&) {
+    return 0;
+}
+
+std::string targets_text(const cluster::FailoverDecision& decision) {
+    std::string out;
+    for (const auto& [zone, percent] : decision.targets)
+        out += (out.empty() ? "" : ",") + zone + "=" + std::to_string(percent);
+    return out.empty() ? "-" : out;
+}
+
+std::string override_text(cluster::FailoverOverride value) {
+    return value == cluster::FailoverOverride::none ? "-" : cluster::encode(value);
+}
+
+std::string health_text(const cluster::ZoneStatus& status) {
+    if (!status.health)
+        return "-";
+    return std::to_string(*status.health) + "/" + std::to_string(status.warm_health);
+}
+
 }  // namespace
 
 FailoverPart::FailoverPart(World world, const config::PeersSettings& settings, std::uint64_t seed)
     : world_(world),
-      name_(settings.name),
+      router_(settings.name),
       zone_(settings.zone),
-      doubt_for_(settings.hearsay_ms),
+      max_report_age_(settings.hearsay_ms),
       failover_(settings.name, settings.zone, settings.failover),
-      voice_({.refresh = kRefresh}, seed ^ 0xe7037ed1a0b428dbULL),
+      publisher_({.refresh_interval = kReportRefreshInterval}, seed ^ kSeed),
       prober_(world.io, {}),
       timer_(world.io) {}
 
@@ -28,183 +58,204 @@
     prober_.stop();
 }
 
-bool FailoverPart::steered() const {
+bool FailoverPart::is_drained() const {
     const auto own = factors_.find(zone_);
     return own != factors_.end() && own->second <= 0;
 }
 
-// What it bears of what it bears when warm, as the settings say: from the later of its start and its zone's
-// return, as the core tells the module too.
-double FailoverPart::warmth(const core::Server& server) const {
-    const auto& s = world_.engine.settings();
+// What it bears of its load when warm: from the later of its start and its zone's return on, as the core
+// tells the module too.
+double FailoverPart::warm_share(const core::Server& server) const {
+    const auto& settings = world_.engine.settings();
     auto since = server.entry.started_at;
     if (back_since_ && (!since || *back_since_ > *since))
         since = back_since_;
-    if (!since || s.slow_start_duration <= routing::Span{})
+    if (!since || settings.slow_start_duration <= routing::Span{})
         return 1;
     const auto passed = std::chrono::duration<double>(world_.clock.now() - *since) /
-                        std::chrono::duration<double>(s.slow_start_duration);
-    return s.slow_start_share + (1 - s.slow_start_share) * std::clamp(passed, 0.0, 1.0);
+                        std::chrono::duration<double>(settings.slow_start_duration);
+    return settings.slow_start_share + (1 - settings.slow_start_share) * std::clamp(passed, 0.0, 1.0);
 }
 
-// The caches of the own zone, and the weight of all zones' on the way.
-std::vector<FailoverPart::Server> FailoverPart::own_servers(const std::map<std::string, std::string>& alive) {
-    const auto doubts = cluster::reports_in(
-        world_.reports.entries(), cluster::server_subject(""), world_.clock.unix_ms(), doubt_for_,
-        [&](const std::string& reporter) { return reporter != name_ && alive.contains(reporter); });
-    std::vector<Server> out;
+// The cache servers of the own zone; and the weights of all zones.
+std::vector<FailoverPart::OwnServer> FailoverPart::observe_servers(
+    const std::map<std::string, std::string>& alive) {
+    const auto reports = cluster::active_reports(
+        world_.reports.entries(), cluster::server_subject(""), world_.clock.unix_ms(), max_report_age_,
+        [&](const std::string& reporter) { return reporter != router_ && alive.contains(reporter); });
+    std::vector<OwnServer> out;
     weights_.clear();
-    world_.engine.each_server([&](const core::Server& server, bool avoided) {
+    world_.engine.each_server([&](const core::Server& server, bool outlier) {
         if (server.entry.condition != routing::Condition::ready || !world_.engine.is_cache_server(server))
             return;
         weights_[server.entry.zone] += server.entry.weight;
         if (server.entry.zone != zone_)
             return;
-        const auto& id = server.entry.id.address;
-        Server b{id,
-                 server.address,
-                 {server.entry.weight,
-                  avoided,
-                  world_.engine.bans().contains(server.entry.id),
-                  {},
-                  warmth(server)}};
-        // Another's word is no reason to believe it, but one to look.
-        b.doubted = steered() || avoided || doubts.contains(cluster::server_subject(id));
-        const auto probe = probes_.find(id);
-        if (b.doubted && probe != probes_.end() && probe->second.told)
-            b.zone_server.probed = probe->second.listens;
-        out.push_back(std::move(b));
+        const bool reported = reports.contains(cluster::server_subject(server.entry.id.address));
+        out.push_back(observe(server, outlier, reported));
     });
     return out;
 }
 
-void FailoverPart::probe(const std::vector<Server>& servers) {
+FailoverPart::OwnServer FailoverPart::observe(const core::Server& server, bool outlier, bool reported) const {
+    OwnServer out;
+    out.id = server.entry.id.address;
+    out.address = server.address;
+    out.health.weight = server.entry.weight;
+    out.health.outlier = outlier;
+    out.health.banned = world_.engine.bans().contains(server.entry.id);
+    out.health.warm_share = warm_share(server);
+    // Another's report is no reason to believe it, but one to probe.
+    out.suspected = is_drained() || outlier || reported;
+    const auto probe = probes_.find(out.id);
+    if (out.suspected && probe != probes_.end() && probe->second.finished)
+        out.health.probe_connected = probe->second.connected;
+    return out;
+}
+
+void FailoverPart::probe_suspected(const std::vector<OwnServer>& servers) {
     const auto now = world_.peers.now();
-    std::set<std::string> doubted;
+    std::set<std::string> suspected;
     for (const auto& server : servers)
-        if (server.doubted)
-            doubted.insert(server.id);
-    std::erase_if(probes_, [&](const auto& item) { return !doubted.contains(item.first); });
+        if (server.suspected)
+            suspected.insert(server.id);
+    std::erase_if(probes_, [&](const auto& item) { return !suspected.contains(item.first); });
     for (const auto& server : servers) {
-        if (!server.doubted)
+        if (!server.suspected)
             continue;
         auto& probe = probes_[server.id];
         if (probe.under_way || now < probe.next)
             continue;
-        probe.under_way = prober_.look(server.address, [this, id = server.id](bool listens) {
-            ++probed_;
-            probes_failed_ += listens ? 0 : 1;
-            if (const auto at = probes_.find(id); at != probes_.end())
-                at->second = {listens, world_.peers.now() + kProbeEvery, true, false};
+        probe.under_way = prober_.look(server.address, [this, id = server.id](bool connected) {
+            ++probes_finished_;
+            probes_failed_ += connected ? 0 : 1;
+            if (const auto found = probes_.find(id); found != probes_.end())
+                found->second = {connected, world_.peers.now() + kProbeInterval, true, false};
         });
     }
 }
 
+cluster::Failover::Result FailoverPart::run_failover(cluster::Time now,
+                                                     const std::map<std::string, std::string>& alive) {
+    cluster::Failover::Input input;
+    input.now = now;
+    input.unix_now = world_.clock.unix_ms();
+    input.health = health_;
+    input.alive = &alive;
+    input.reports = &world_.reports.entries();
+    input.state = &world_.state.entries();
+    input.weights = weights_;
+    input.reports_revision = world_.reports.revision();
+    return failover_.tick(input);
+}
+
 void FailoverPart::tick() {
     const auto alive = world_.peers.alive_zones();
-    const auto servers = own_servers(alive);
-    probe(servers);
-    std::vector<cluster::ZoneServer> zone_servers;
+    const auto servers = observe_servers(alive);
+    probe_suspected(servers);
+    std::vector<cluster::ZoneServer> health;
     for (const auto& server : servers)
-        zone_servers.push_back(server.zone_server);
-    health_ = cluster::health_of(zone_servers, steered());
-
-    cluster::Failover::Input in;
-    in.now = world_.peers.now();
-    in.unix_now = world_.clock.unix_ms();
-    in.health = health_;
-    in.alive = &alive;
-    in.reports = &world_.reports.entries();
-    in.shared = &world_.shared.entries();
-    in.weights = weights_;
-    in.reports_revision = world_.reports.revision();
-    const auto step = failover_.tick(in);
-
-    std::map<std::string, std::string> wanted;
-    if (step.report)
-        wanted.emplace(cluster::zone_subject(zone_), *step.report);
-    for (const auto& say : voice_.tick(in.now, wanted, [](const std::string&) { return std::size_t{0}; }))
-        world_.reports.say(name_, say);
-    for (const auto& write : step.writes)
-        written_ += world_.shared.set(cluster::decision_key(write.zone), cluster::text_of(write.decision));
-    for (const auto& change : step.changes)
-        logged(change);
-    if (step.factors != factors_) {
-        const bool before = steered();
-        factors_ = step.factors;
-        if (before && !steered())
-            back_since_ = world_.clock.now();
-        world_.engine.steer(factors_);
-    }
-    timer_.expires_after(kTick);
+        health.push_back(server.health);
+    health_ = cluster::measure_zone_health(health, is_drained());
+
+    const auto now = world_.peers.now();
+    const auto result = run_failover(now, alive);
+    publish_report(now, result.report);
+    for (const auto& write : result.writes)
+        decisions_written_ +=
+            world_.state.set(cluster::decision_key(write.zone), cluster::encode(write.decision)) ? 1 : 0;
+    for (const auto& change : result.changes)
+        log_change(change);
+    apply_weight_factors(result.weight_factors);
+    timer_.expires_after(kTickInterval);
     timer_.async_wait([this](const net::error_code& error) {
         if (!error)
             tick();
     });
 }
 
-void FailoverPart::logged(const cluster::Failover::Change& c) {
-    world_.log.line("failover",
+void FailoverPart::publish_report(cluster::Time now, const std::optional<cluster::ZoneHealth>& report) {
+    std::map<std::string, std::string> reports;
+    if (report)
+        reports.emplace(cluster::zone_subject(zone_), cluster::encode(*report));
+    for (const auto& update : publisher_.tick(now, reports, no_other_reporters))
+        world_.reports.publish(router_, update);
+}
+
+void FailoverPart::apply_weight_factors(const std::map<std::string, double>& factors) {
+    if (factors == factors_)
+        return;
+    const bool was_drained = is_drained();
+    factors_ = factors;
+    if (was_drained && !is_drained())
+        back_since_ = world_.clock.now();
+    world_.engine.steer(factors_);
+}
+
+void FailoverPart::log_change(const cluster::Failover::Change& change) {
+    world_.log.line("failover-decision",
                     R"({"zone":"%s","epoch":%llu,"out":%d,"before":%d,"to":"%s","by":"%s","flap":%s})",
-                    c.zone.c_str(), static_cast<unsigned long long>(c.to.epoch), c.to.out(), c.from.out(),
-                    cluster::text_of(c.to).c_str(), c.to.by.c_str(), c.flap ? "true" : "false");
+                    change.zone.c_str(), static_cast<unsigned long long>(change.after.epoch),
+                    change.after.percent_leaving(), change.before.percent_leaving(),
+                    cluster::encode(change.after).c_str(), change.after.origin.c_str(),
+                    change.flap ? "true" : "false");
 }
 
-std::string FailoverPart::standings() const {
+std::string FailoverPart::status() const {
     std::string out;
     for (const auto& zone : failover_.settings().zones) {
-        const auto& z = failover_.standings().at(zone.name);
-        std::string to;
-        for (const auto& [name, part] : z.decision.targets)
-            to += (to.empty() ? "" : ",") + name + "=" + std::to_string(part);
-        out += zone.name + " " + zone.region + " " + std::to_string(z.alive) + "/" +
-               std::to_string(zone.routers) + " " +
-               (z.health ? std::to_string(*z.health) + "/" + std::to_string(z.warm) : "-") + " " +
-               std::to_string(z.decision.epoch) + " " + std::to_string(z.decision.out()) + " " +
-               (to.empty() ? "-" : to) + " " +
-               (z.pin == cluster::Pin::in    ? "in"
-                : z.pin == cluster::Pin::out ? "out"
-                                             : "-") +
-               " " + std::to_string(z.changes) + " " + std::to_string(z.flaps) + "\n";
+        const auto& status = failover_.zones().at(zone.name);
+        out += zone.name + " " + zone.region + " " + std::to_string(status.alive_routers) + "/" +
+               std::to_string(zone.routers) + " " + health_text(status) + " " +
+               std::to_string(status.decision.epoch) + " " +
+               std::to_string(status.decision.percent_leaving()) + " " + targets_text(status.decision) + " " +
+               override_text(status.override_by_operator) + " " + std::to_string(status.changes) + " " +
+               std::to_string(status.flaps) + "\n";
     }
     return out + "--\n";
 }
 
-front::admin::Verdict FailoverPart::pin(const std::string& zone, const std::string& how) {
-    if (!failover_.standings().contains(zone))
+front::admin::Verdict FailoverPart::set_override(const std::string& zone, const std::string& how) {
+    if (!failover_.zones().contains(zone))
         return {false, "no such zone"};
-    const auto key = cluster::pin_key(zone);
-    const bool done =
-        how == "OFF" ? world_.shared.clear(key) : world_.shared.set(key, how == "IN" ? "in" : "out");
-    world_.log.line("failover-pin", R"({"zone":"%s","how":"%s","kept":%s})", zone.c_str(), how.c_str(),
-                    done ? "true" : "false");
-    return done ? front::admin::Verdict{true, how == "OFF" ? "not pinned" : "pinned"}
-                : front::admin::Verdict{false, "in force here, but not kept for the fleet"};
+    const auto key = cluster::override_key(zone);
+    const bool off = how == "OFF";
+    const auto value = how == "IN" ? cluster::FailoverOverride::in : cluster::FailoverOverride::out;
+    const bool stored = off ? world_.state.clear(key) : world_.state.set(key, cluster::encode(value));
+    world_.log.line("failover-override", R"({"zone":"%s","how":"%s","kept":%s})", zone.c_str(), how.c_str(),
+                    stored ? "true" : "false");
+    if (!stored)
+        return {false, "in force here, but not kept for the fleet"};
+    return {true, off ? "not pinned" : "pinned"};
 }
 
 std::string FailoverPart::counters() {
-    std::uint64_t changes = 0, flaps = 0, away = 0, abroad = 0;
-    for (const auto& [name, z] : failover_.standings()) {
-        changes += z.changes;
-        flaps += z.flaps;
+    std::uint64_t changes = 0;
+    std::uint64_t flaps = 0;
+    for (const auto& [zone, status] : failover_.zones()) {
+        changes += status.changes;
+        flaps += status.flaps;
     }
+    std::uint64_t out_of_zone = 0;
+    std::uint64_t out_of_region = 0;
+    const auto& settings = failover_.settings();
     for (const auto& [zone, sent] : world_.engine.sent_away()) {
-        away += sent;
-        if (failover_.region_of(zone) != failover_.region_of(zone_))
-            abroad += sent;
+        out_of_zone += sent;
+        if (cluster::region_of(settings, zone) != cluster::region_of(settings, zone_))
+            out_of_region += sent;
     }
-    const auto& own = failover_.standings().at(zone_);
-    return figure_lines("failover", {{"quorum", failover_.quorum()},
-                                     {"health", static_cast<std::uint64_t>(health_.up)},
+    const auto& own = failover_.zones().at(zone_);
+    return figure_lines("failover", {{"quorum", failover_.has_quorum()},
+                                     {"health", static_cast<std::uint64_t>(health_.healthy)},
                                      {"warm", static_cast<std::uint64_t>(health_.warm)},
                                      {"epoch", own.decision.epoch},
-                                     {"out", static_cast<std::uint64_t>(own.decision.out())},
+                                     {"out", static_cast<std::uint64_t>(own.decision.percent_leaving())},
                                      {"changes", changes},
                                      {"flaps", flaps},
-                                     {"written", written_},
-                                     {"sent_out_of_zone", away},
-                                     {"sent_out_of_region", abroad},
-                                     {"probes", probed_},
+                                     {"written", decisions_written_},
+                                     {"sent_out_of_zone", out_of_zone},
+                                     {"sent_out_of_region", out_of_region},
+                                     {"probes", probes_finished_},
                                      {"probes_failed", probes_failed_}});
 }
 
--- a/src/app/failover_part.h
+++ b/src/app/failover_part.h
@@ -1,10 +1,16 @@
-// Failover in the running program: the state machine of src/cluster/failover between the core, the reports
-// and the replicated state. Made only where the `peers` section names zones.
+// Failover in the running program: the state machine of src/cluster/failover between the core, the replicated
+// state and reports, and the probes of this zone's servers. Made only where the `peers` section names zones.
 #pragma once
 
+#include <map>
+#include <optional>
+#include <string>
+#include <vector>
+
 #include "app/part.h"
 #include "app/replica_part.h"
-#include "cluster/failover.h"
+#include "cluster/failover/failover.h"
+#include "cluster/reports/report_publisher.h"
 #include "core/engine.h"
 #include "front/admin/admin.h"
 #include "net/prober.h"
@@ -17,7 +23,7 @@
         net::asio::io_context& io;
         core::Engine& engine;
         MembershipPart& peers;
-        ReplicaPart& shared;
+        ReplicaPart& state;
         ReplicaPart& reports;
         const core::Clock& clock;
         Log& log;
@@ -30,42 +36,53 @@
     std::string counters() override;
 
     // The answer to FAILOVER: a line a zone: name, region, routers alive/configured, health and warmth in per
-    // cent or "-", epoch, per cent of its requests that leave, where to, pin, changes, flaps; then "--".
-    std::string standings() const;
-    // By hand, for the fleet: `how` is IN, OUT or OFF.
-    front::admin::Verdict pin(const std::string& zone, const std::string& how);
+    // cent or "-", epoch, per cent of its requests that leave, where to, override, changes, flaps; then "--".
+    std::string status() const;
+    // An operator's override for the fleet: `how` is IN, OUT or OFF.
+    front::admin::Verdict set_override(const std::string& zone, const std::string& how);
 
 private:
-    struct Server {
-        std::string id, address;
-        cluster::ZoneServer zone_server;
-        bool doubted = false;  // a connect is to tell
+    struct OwnServer {
+        std::string id;
+        std::string address;
+        cluster::ZoneServer health;
+        bool suspected = false;  // a probe is to tell
     };
     struct Probe {
-        bool listens = false;
+        bool connected = false;
         cluster::Time next{};
-        bool told = false, under_way = false;
+        bool finished = false;
+        bool under_way = false;
     };
+
     void tick();
-    bool steered() const;  // does the own zone get nothing?
-    double warmth(const core::Server& server) const;
-    std::vector<Server> own_servers(const std::map<std::string, std::string>& alive);
-    void probe(const std::vector<Server>& servers);
-    void logged(const cluster::Failover::Change& change);
+    cluster::Failover::Result run_failover(cluster::Time now,
+                                           const std::map<std::string, std::string>& alive);
+    void publish_report(cluster::Time now, const std::optional<cluster::ZoneHealth>& report);
+    void apply_weight_factors(const std::map<std::string, double>& factors);
+    bool is_drained() const;  // does the own zone get no requests?
+    double warm_share(const core::Server& server) const;
+    std::vector<OwnServer> observe_servers(const std::map<std::string, std::string>& alive);
+    OwnServer observe(const core::Server& server, bool outlier, bool reported) const;
+    void probe_suspected(const std::vector<OwnServer>& servers);
+    void log_change(const cluster::Failover::Change& change);
 
     World world_;
-    std::string name_, zone_;
-    cluster::UnixMs doubt_for_;  // another's word on a server is a reason to look for so long
+    std::string router_;
+    std::string zone_;
+    cluster::UnixMs max_report_age_;  // another's report on a server is a reason to probe for so long
     cluster::Failover failover_;
-    cluster::Voice voice_;
+    cluster::ReportPublisher publisher_;
     net::Prober prober_;
     net::asio::steady_timer timer_;
-    std::map<std::string, Probe> probes_;
+    std::map<std::string, Probe> probes_;  // by server id
     std::map<std::string, double> factors_;
-    std::map<std::string, double> weights_;
-    cluster::Health health_;
+    cluster::ZoneWeights weights_;
+    cluster::ZoneHealth health_;
     std::optional<core::Time> back_since_;  // when the own zone was let in again
-    std::uint64_t written_ = 0, probed_ = 0, probes_failed_ = 0;
+    std::uint64_t decisions_written_ = 0;
+    std::uint64_t probes_finished_ = 0;
+    std::uint64_t probes_failed_ = 0;
 };
 
 }  // namespace silverrail::app
--- a/src/app/membership_part.cpp
+++ b/src/app/membership_part.cpp
@@ -158,8 +158,8 @@
                                       {"bytes_in", transport.bytes_in},
                                       {"bytes_out", transport.bytes_out}});
     for (std::size_t i = 0; i < transport.refused.size(); ++i) {
-        const auto reason = static_cast<cluster::wire::Trouble>(i);
-        const std::string name = std::string{"refused_"} + cluster::wire::name_of(reason);
+        const auto reason = static_cast<cluster::codec::DecodeError>(i);
+        const std::string name = std::string{"refused_"} + cluster::codec::name_of(reason);
         out += figure_lines("peers", {{name.c_str(), transport.refused[i]}});
     }
     return out + figure_lines("peers", {{"streams_turned_away", transport.streams_turned_away},
--- /dev/null
+++ b/src/app/outlier_consensus_part.cpp
@@ -0,0 +1,71 @@
+#include "app/outlier_consensus_part.h"
+
+#include <set>
+
+namespace silverrail::app {
+
+namespace {
+
+constexpr std::chrono::milliseconds kTickInterval{100};
+// A server that is gone is reported for as long as another router's list may well be late.
+constexpr auto kReportGoneFor = std::chrono::seconds{60};
+// Each state machine draws its own numbers from the program's seed.
+constexpr std::uint64_t kSeed = 0xa0761d6478bd642fULL;
+
+}  // namespace
+
+OutlierConsensusPart::OutlierConsensusPart(World world, const config::PeersSettings& settings,
+                                           std::uint64_t seed)
+    : world_(world),
+      name_(settings.name),
+      consensus_(settings.name, {.max_report_age = settings.hearsay_ms}, seed ^ kSeed),
+      timer_(world.io) {}
+
+std::vector<cluster::ServerObservation> OutlierConsensusPart::observe_servers() const {
+    using routing::Condition;
+    std::vector<cluster::ServerObservation> out;
+    const auto now = world_.clock.now();
+    world_.engine.each_server([&](const core::Server& server, bool avoided) {
+        const bool gone = server.entry.condition == Condition::gone;
+        if (gone && (!server.barred || now > *server.barred + kReportGoneFor))
+            return;
+        out.push_back({server.entry.id.address, server.entry.zone, server.started_ms, avoided,
+                       server.entry.condition != Condition::ready});
+    });
+    return out;
+}
+
+void OutlierConsensusPart::tick() {
+    const auto result = consensus_.tick(world_.peers.now(), world_.clock.unix_ms(), observe_servers(),
+                                        world_.reports.entries(), world_.peers.alive_zones());
+    for (const auto& update : result.reports)
+        world_.reports.publish(name_, update);
+    if (result.changed)
+        eject(result.ejected);
+    timer_.expires_after(kTickInterval);
+    timer_.async_wait([this](const net::error_code& error) {
+        if (!error)
+            tick();
+    });
+}
+
+void OutlierConsensusPart::eject(const std::set<std::string>& ids) {
+    std::set<core::ServerId> servers;
+    for (const auto& id : ids)
+        servers.insert(core::ServerId{id});
+    world_.engine.hold_out(std::move(servers));
+    world_.log.line("outlier-consensus", R"({"held_out":%zu,"one":"%s"})", ids.size(),
+                    ids.empty() ? "" : ids.begin()->c_str());
+}
+
+std::string OutlierConsensusPart::counters() {
+    const auto& counters = consensus_.counters();
+    return figure_lines("hearsay", {{"out", consensus_.ejected_count()},
+                                    {"said", counters.published},
+                                    {"taken_back", counters.withdrawn},
+                                    {"held_out", counters.ejected},
+                                    {"let_in", counters.restored},
+                                    {"panics", counters.panics}});
+}
+
+}  // namespace silverrail::app
--- a/src/app/hearsay_part.h
+++ b/src/app/outlier_consensus_part.h
@@ -1,15 +1,18 @@
-// What routers learned of servers in the running program: the state machine of src/cluster/hearsay between
-// the core and the reports' replica. Made only where the settings have a `peers` section.
+// Shared outlier detection in the running program: the state machine of src/cluster/outliers between the core
+// and the replicated reports. Made only where the settings have a `peers` section.
 #pragma once
 
+#include <string>
+#include <vector>
+
 #include "app/part.h"
 #include "app/replica_part.h"
-#include "cluster/hearsay.h"
+#include "cluster/outliers/outlier_consensus.h"
 #include "core/engine.h"
 
 namespace silverrail::app {
 
-class HearsayPart : public Part {
+class OutlierConsensusPart : public Part {
 public:
     struct World {
         net::asio::io_context& io;
@@ -19,7 +22,7 @@
         const core::Clock& clock;
         Log& log;
     };
-    HearsayPart(World world, const config::PeersSettings& settings, std::uint64_t seed);
+    OutlierConsensusPart(World world, const config::PeersSettings& settings, std::uint64_t seed);
     void start() override {
         tick();
     }
@@ -30,11 +33,12 @@
 
 private:
     void tick();
-    std::vector<cluster::SeenServer> servers() const;
+    void eject(const std::set<std::string>& ids);
+    std::vector<cluster::ServerObservation> observe_servers() const;
 
     World world_;
     std::string name_;
-    cluster::Hearsay hearsay_;
+    cluster::OutlierConsensus consensus_;
     net::asio::steady_timer timer_;
 };
 
--- a/src/app/program.cpp
+++ b/src/app/program.cpp
@@ -14,8 +14,8 @@
 #include "app/dns_part.h"
 #include "app/endpoint.h"
 #include "app/failover_part.h"
-#include "app/hearsay_part.h"
 #include "app/membership_part.h"
+#include "app/outlier_consensus_part.h"
 #include "app/overlap.h"
 #include "app/replica_part.h"
 #include "app/trace_part.h"
@@ -168,9 +168,9 @@
             auto reports = std::make_unique<ReplicaPart>(of_reports, settings_.peers, ReplicaPart::Reports{},
                                                          config_.seed);
             if (settings_.peers.hearsay_ms > 0)
-                parts_.push_back(std::make_unique<HearsayPart>(
-                    HearsayPart::World{io_, engine_, *peers, *reports, clock_, log_}, settings_.peers,
-                    config_.seed));
+                parts_.push_back(std::make_unique<OutlierConsensusPart>(
+                    OutlierConsensusPart::World{io_, engine_, *peers, *reports, clock_, log_},
+                    settings_.peers, config_.seed));
             fleet.members = [peers] {
                 return peers->members();
             };
@@ -182,10 +182,10 @@
                     FailoverPart::World{io_, engine_, *peers, *replica, *reports, clock_, log_},
                     settings_.peers, config_.seed);
                 fleet.failover = [part = failover.get()] {
-                    return part->standings();
+                    return part->status();
                 };
                 fleet.pin = [part = failover.get()](const std::string& zone, const std::string& how) {
-                    return part->pin(zone, how);
+                    return part->set_override(zone, how);
                 };
                 parts_.push_back(std::move(failover));
             }
--- a/src/app/replica_part.cpp
+++ b/src/app/replica_part.cpp
@@ -162,11 +162,11 @@
     return store_changes() && applied;
 }
 
-void ReplicaPart::say(const std::string& reporter, const cluster::Voice::Say& say) {
-    const auto key = cluster::report_key(say.subject, reporter);
+void ReplicaPart::publish(const std::string& reporter, const cluster::ReportUpdate& update) {
+    const auto key = cluster::report_key(update.subject, reporter);
     if (key.empty())
         return;
-    (void)(say.value ? set(key, *say.value) : clear(key));
+    (void)(update.value ? set(key, *update.value) : clear(key));
 }
 
 std::string ReplicaPart::status() const {
--- a/src/app/replica_part.h
+++ b/src/app/replica_part.h
@@ -12,7 +12,7 @@
 #include "app/membership_part.h"
 #include "app/part.h"
 #include "cluster/replicated_state/replica.h"
-#include "cluster/voice.h"
+#include "cluster/reports/report_publisher.h"
 #include "core/ports.h"
 #include "store/replica_store.h"
 
@@ -50,7 +50,7 @@
     bool set(const std::string& key, const std::string& value);
     bool clear(const std::string& key);
     // A report of this router's, or its withdrawal.
-    void say(const std::string& reporter, const cluster::Voice::Say& say);
+    void publish(const std::string& reporter, const cluster::ReportUpdate& update);
 
     bool is_set(const std::string& key) const {
         return replica_.is_set(key);
--- /dev/null
+++ b/src/cluster/failover/zone_health.h
@@ -0,0 +1,43 @@
+// The health of a zone as one router sees it.
+#pragma once
+
+#include <optional>
+#include <vector>
+
+#include "cluster/time.h"
+
+namespace silverrail::cluster {
+
+// A server of the router's own zone.
+struct ZoneServer {
+    double weight = 1;
+    bool outlier = false;  // avoided by this router's own decisions
+    bool banned = false;   // by an operator
+    // Whether the last probe connected; none: none was due.
+    std::optional<bool> probe_connected;
+    double warm_share = 1;  // of the load that it bears once warmed up
+};
+
+// In per cent of the weight of the zone's servers, rounded down to a multiple of five; all of it where there
+// is no server.
+struct ZoneHealth {
+    int healthy = 100;
+    int warm = 100;  // of all, what the healthy servers bear now
+    bool operator==(const ZoneHealth&) const = default;
+};
+
+// `drained`: the zone gets no requests at present, so that only probes tell.
+ZoneHealth measure_zone_health(const std::vector<ZoneServer>& servers, bool drained);
+
+// Holds back small changes that do not last: each report goes to every router.
+class HealthReportFilter {
+public:
+    // The health to report now.
+    ZoneHealth update(ZoneHealth health, Time now);
+
+private:
+    std::optional<ZoneHealth> reported_;
+    std::optional<Time> differs_since_;
+};
+
+}  // namespace silverrail::cluster
--- a/src/config/operator.cpp
+++ b/src/config/operator.cpp
@@ -4,6 +4,7 @@
 #include <memory>
 #include <system_error>
 
+#include "cluster/membership/member_record.h"
 #include "config/section.h"
 #include "store/read_file.h"
 
@@ -93,7 +94,7 @@
                std::all_of(name.begin(), name.end(),
                            [](char c) { return c > ' ' && c < '\x7f' && c != '='; });
     };
-    s.each("zones", cluster::FailoverSettings::kMostZones, [&](Section& z) {
+    s.each("zones", cluster::FailoverSettings::kMaxZones, [&](Section& z) {
         cluster::FailoverZone zone{z.text("name"), z.text("region"),
                                    static_cast<std::size_t>(z.whole("routers", 0, 1, 10'000))};
         if (!fits(zone.name))
@@ -110,16 +111,16 @@
     const auto ms = [&s](const char* key, cluster::Time fallback, std::int64_t least, std::int64_t most) {
         return cluster::Time{s.whole(key, fallback.count(), least, most)};
     };
-    f.overprovision = s.number("overprovision", f.overprovision, 1, 10);
-    f.panic = s.number("panic", f.panic, 0, 1);
+    f.overprovisioning = s.number("overprovision", f.overprovisioning, 1, 10);
+    f.panic_threshold = s.number("panic", f.panic_threshold, 0, 1);
     f.step_out = s.number("step_out", f.step_out, 0.01, 1);
     f.step_back = s.number("step_back", f.step_back, 0.01, 1);
-    f.least = s.number("least", f.least, 0, 1);
-    f.hold = ms("hold_ms", f.hold, 500, 3'600'000);
-    f.confirm = ms("confirm_ms", f.confirm, 0, 60'000);
-    f.slot = ms("slot_ms", f.slot, 50, 10'000);
-    f.witnesses =
-        static_cast<std::size_t>(s.whole("witnesses", static_cast<std::int64_t>(f.witnesses), 1, 64));
+    f.min_change = s.number("least", f.min_change, 0, 1);
+    f.hold_down = ms("hold_ms", f.hold_down, 500, 3'600'000);
+    f.confirmation = ms("confirm_ms", f.confirmation, 0, 60'000);
+    f.turn = ms("slot_ms", f.turn, 50, 10'000);
+    f.max_reporters =
+        static_cast<std::size_t>(s.whole("witnesses", static_cast<std::int64_t>(f.max_reporters), 1, 64));
     const bool named = std::any_of(f.zones.begin(), f.zones.end(),
                                    [&own](const cluster::FailoverZone& z) { return z.name == own; });
     if (!named)
--- a/src/config/operator.h
+++ b/src/config/operator.h
@@ -3,7 +3,7 @@
 // it.
 #pragma once
 
-#include "cluster/failover.h"
+#include "cluster/failover/failover_settings.h"
 #include "config/config.h"
 
 namespace silverrail::config {
--- a/src/lab/failover_sim.cpp
+++ b/src/lab/failover_sim.cpp
@@ -3,7 +3,9 @@
 #include <algorithm>
 #include <memory>
 
-#include "cluster/wire.h"
+#include "cluster/codec/message_codec.h"
+#include "cluster/failover/failover_codec.h"
+#include "cluster/reports/report_publisher.h"
 #include "lab/sim_net.h"
 
 namespace silverrail::lab {
@@ -44,8 +46,8 @@
             n.reports =
                 std::make_unique<cl::Replica>(name, name, name + "@1", reports, o.seed * 104729 + i, now);
             n.failover = std::make_unique<cl::Failover>(name, zone(n.zone), settings);
-            n.voice =
-                std::make_unique<cl::Voice>(cl::Voice::Settings{.refresh = cl::Time{20'000}}, o.seed + i);
+            n.publisher = std::make_unique<cl::ReportPublisher>(
+                cl::ReportPublisher::Settings{.refresh_interval = cl::Time{20'000}}, o.seed + i);
             alive[name] = zone(n.zone);
             weights[zone(n.zone)] = kServers;
         }
@@ -60,7 +62,7 @@
         bool up = true;
         std::unique_ptr<cl::Replica> shared, reports;
         std::unique_ptr<cl::Failover> failover;
-        std::unique_ptr<cl::Voice> voice;
+        std::unique_ptr<cl::ReportPublisher> publisher;
         milliseconds drawn{-1'000'000};
         int sees = 100;
         milliseconds learns{0};  // when it has found out what its zone's health is now
@@ -93,7 +95,7 @@
     bool all_have(std::size_t z, int out, const std::string& region = {}) const {
         return std::all_of(nodes.begin(), nodes.end(), [&](const Node& n) {
             return !n.up || (!region.empty() && settings.zones[n.zone].region != region) ||
-                   n.failover->standings().at(zone(z)).decision.out() == out;
+                   n.failover->zones().at(zone(z)).decision.percent_leaving() == out;
         });
     }
 
@@ -114,7 +116,7 @@
     };
     void send(std::size_t from, std::vector<cl::OutgoingReplicaMessage> sends) {
         for (auto& s : sends) {
-            bytes += cl::wire::encode(s.message).size();
+            bytes += cl::codec::encode(s.message).size();
             net.send(from, static_cast<std::size_t>(std::stoul(s.address)), std::move(s.message), s.stream(),
                      now);
         }
@@ -137,26 +139,27 @@
         const auto unix_now = kEpoch + now.count();
         cl::Failover::Input in{now,    unix_now, {}, &alive, &n.reports->entries(), &n.shared->entries(),
                                weights};
-        in.health.up = in.health.warm = sees(n);
-        in.view_revision = 1;  // all are in view, whoever is down
+        in.health.healthy = in.health.warm = sees(n);
+        in.alive_revision = 1;  // all are in view, whoever is down
         in.reports_revision = n.reports->revision();
         const auto step = n.failover->tick(in);
-        std::map<std::string, std::string> wanted;
+        std::map<std::string, std::string> reports;
         if (step.report)
-            wanted.emplace(cl::zone_subject(zone(n.zone)), *step.report);
-        for (const auto& say : n.voice->tick(now, wanted, [](const std::string&) { return std::size_t{0}; }))
-            if (const auto key = cl::report_key(say.subject, std::to_string(i)); say.value)
-                n.reports->set(key, *say.value, unix_now);
+            reports.emplace(cl::zone_subject(zone(n.zone)), cl::encode(*step.report));
+        for (const auto& update :
+             n.publisher->tick(now, reports, [](const std::string&) { return std::size_t{0}; }))
+            if (const auto key = cl::report_key(update.subject, std::to_string(i)); update.value)
+                n.reports->set(key, *update.value, unix_now);
             else
                 n.reports->clear(key, unix_now);
         for (const auto& w : step.writes)
-            written += n.shared->set(cl::decision_key(w.zone), cl::text_of(w.decision), unix_now);
+            written += n.shared->set(cl::decision_key(w.zone), cl::encode(w.decision), unix_now);
         if (i == 0)
             for (const auto& c : step.changes) {
                 ++changes;
                 flaps += c.flap ? 1 : 0;
             }
-        near += 1 - n.failover->standings().at(zone(n.zone)).decision.out() / 100.0;
+        near += 1 - n.failover->zones().at(zone(n.zone)).decision.percent_leaving() / 100.0;
         ++ticks;
         std::vector<std::string> peers;
         // Some of all, as many as a tick can name: drawn, as the replica draws among what it is given.
@@ -220,7 +223,7 @@
     if (out.region_ms >= 0 && sim.until([&] { return sim.all_have(0, 100); }) >= 0)
         out.fleet_ms = (sim.now - lost).count();
     sim.run(milliseconds{3000});
-    out.epochs = sim.nodes[1].failover->standings().at(sim.zone(0)).decision.epoch;
+    out.epochs = sim.nodes[1].failover->zones().at(sim.zone(0)).decision.epoch;
     out.written = sim.written;
 
     const auto back = sim.now;
@@ -231,8 +234,8 @@
     if (o.decider_lost) {
         // Dead at once, and in nobody's view as dead for some seconds yet.
         const auto& f = *sim.nodes[0].failover;
-        const auto epoch = f.standings().at(sim.zone(0)).decision.epoch;
-        const auto who = std::stoul(f.turns(sim.zone(0), epoch + 1, sim.alive).front());
+        const auto epoch = f.zones().at(sim.zone(0)).decision.epoch;
+        const auto who = std::stoul(f.writers(sim.zone(0), epoch + 1, sim.alive).front());
         sim.run(milliseconds{10'000});
         sim.set(0, 0, 0);
         sim.nodes[who].up = false;
--- a/src/lab/failover_sim.h
+++ b/src/lab/failover_sim.h
@@ -5,7 +5,7 @@
 
 #include <cstdint>
 
-#include "cluster/failover.h"
+#include "cluster/failover/failover.h"
 
 namespace silverrail::lab {
 
--- a/src/lab/fleet_sim.cpp
+++ b/src/lab/fleet_sim.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <memory>
 
-#include "cluster/wire.h"
+#include "cluster/codec/message_codec.h"
 #include "lab/sim_net.h"
 
 namespace silverrail::lab {
@@ -161,7 +161,7 @@
     void send(std::size_t from, std::vector<cl::OutgoingMembershipMessage> sends) {
         for (auto& s : sends) {
             ++messages_;
-            bytes_ += cl::wire::encode(s.message).size();
+            bytes_ += cl::codec::encode(s.message).size();
             net_.send(from, static_cast<std::size_t>(std::stoul(s.address)), std::move(s.message), s.stream(),
                       now_);
         }
--- a/src/lab/fleet_sim.h
+++ b/src/lab/fleet_sim.h
@@ -38,7 +38,7 @@
     std::uint64_t false_suspicions = 0;  // members that run, suspected for the first time by anyone
     std::uint64_t false_deaths = 0;      // declarations of a running member's death, over all views
     double messages_per_s = 0;           // sent, a member a second, over the scenario
-    double bytes_per_s = 0;              // as cluster/wire encodes them
+    double bytes_per_s = 0;              // as cluster/codec encodes them
 };
 
 // Plays the scenarios in order; `done` is called after each.
--- a/src/lab/replica_sim.cpp
+++ b/src/lab/replica_sim.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <memory>
 
-#include "cluster/wire.h"
+#include "cluster/codec/message_codec.h"
 #include "lab/sim_net.h"
 
 namespace silverrail::lab {
@@ -76,7 +76,7 @@
         commit(nodes[from]);
         for (auto& s : sends) {
             const auto to = static_cast<std::size_t>(std::stoul(s.address));
-            const auto size = cl::wire::encode(s.message).size();
+            const auto size = cl::codec::encode(s.message).size();
             bytes += size;
             nodes[to].bytes_in += size;
             net.send(from, to, std::move(s.message), s.stream(), now);
--- a/src/net/peer.cpp
+++ b/src/net/peer.cpp
@@ -5,7 +5,7 @@
 
 namespace silverrail::net {
 
-namespace cw = cluster::wire;
+namespace cw = cluster::codec;
 
 struct Peer::Stream {
     explicit Stream(asio::io_context& io) : socket(io), timer(io) {}
@@ -72,18 +72,18 @@
             close(s);
 }
 
-void Peer::refused(cw::Trouble trouble) {
-    ++counts_.refused[static_cast<std::size_t>(trouble)];
-    log_.line("peer-refused", "%s", cw::name_of(trouble));
+void Peer::refused(cw::DecodeError error) {
+    ++counts_.refused[static_cast<std::size_t>(error)];
+    log_.line("peer-refused", "%s", cw::name_of(error));
 }
 
 std::optional<Peer::Message> Peer::taken(std::string_view bytes, bool stream) {
-    auto decoded = cw::decode(bytes, stream);
+    auto decoded = cw::decode(bytes, stream ? cw::Transport::stream : cw::Transport::datagram);
     if (auto* m = std::get_if<cluster::MembershipMessage>(&decoded))
         return std::move(*m);
     if (auto* m = std::get_if<cluster::ReplicaMessage>(&decoded))
         return std::move(*m);
-    refused(std::get<cw::Trouble>(decoded));
+    refused(std::get<cw::DecodeError>(decoded));
     return std::nullopt;
 }
 
@@ -121,14 +121,14 @@
     // Gossip rides along where there is room: records are let go from the end until the datagram fits.
     std::string bytes = encoded(s.message);
     if (const auto* view = std::get_if<cluster::MembershipMessage>(&s.message);
-        view && bytes.size() > cw::kMostDatagram) {
+        view && bytes.size() > cw::kMaxDatagramBytes) {
         cluster::MembershipMessage m = *view;
-        while (bytes.size() > cw::kMostDatagram && !m.records.empty()) {
+        while (bytes.size() > cw::kMaxDatagramBytes && !m.records.empty()) {
             m.records.pop_back();
             bytes = cw::encode(m);
         }
     }
-    if (bytes.size() > cw::kMostDatagram) {
+    if (bytes.size() > cw::kMaxDatagramBytes) {
         ++counts_.unsendable;  // an entry with many marks: the rounds bring it
         return;
     }
@@ -216,8 +216,8 @@
                          if (e)
                              return close(stream);
                          const auto length = cw::frame_length(stream->header.data());
-                         if (length > cw::kMostFrame) {
-                             refused(cw::Trouble::oversize);
+                         if (length > cw::kMaxFrameBytes) {
+                             refused(cw::DecodeError::oversize);
                              return close(stream);
                          }
                          stream->body.resize(length);
--- a/src/net/peer.h
+++ b/src/net/peer.h
@@ -1,8 +1,8 @@
 // The peers' transport: datagrams for probes and gossip, a stream for push-pull, both at one address and
-// port. It carries cluster::MembershipMessage as cluster/wire encodes it and decides nothing: what comes in
+// port. It carries cluster::MembershipMessage as cluster/codec encodes it and decides nothing: what comes in
 // goes to the handler, what the handler returns goes out. Bounded: one datagram buffer, at most `streams`
-// streams each way, each within `stream_time` and kMostFrame bytes. Addresses are numeric: nothing is looked
-// up.
+// streams each way, each within `stream_time` and kMaxFrameBytes bytes. Addresses are numeric: nothing is
+// looked up.
 #pragma once
 
 #include <array>
@@ -10,8 +10,8 @@
 #include <memory>
 #include <set>
 
+#include "cluster/codec/message_codec.h"
 #include "cluster/membership/membership_message.h"
-#include "cluster/wire.h"
 #include "log/log.h"
 #include "net/asio.h"
 
@@ -27,7 +27,7 @@
 struct PeerCounts {
     std::uint64_t datagrams_in = 0, datagrams_out = 0, streams_in = 0, streams_out = 0;
     std::uint64_t bytes_in = 0, bytes_out = 0;
-    std::array<std::uint64_t, 4> refused{};  // by cluster::wire::Trouble
+    std::array<std::uint64_t, 4> refused{};  // by cluster::codec::DecodeError
     std::uint64_t streams_turned_away = 0, streams_timed_out = 0, unsendable = 0;
 };
 
@@ -74,7 +74,7 @@
     struct Stream;
     void receive();
     void accept();
-    void refused(cluster::wire::Trouble trouble);
+    void refused(cluster::codec::DecodeError error);
     // The message in the bytes; empty: refused, and counted.
     std::optional<Message> taken(std::string_view bytes, bool stream);
     void send_datagram(const Send& send);
@@ -89,7 +89,7 @@
     Log& log_;
     udp::socket udp_;
     tcp::acceptor acceptor_;
-    std::array<char, cluster::wire::kMostDatagram + 1> datagram_{};
+    std::array<char, cluster::codec::kMaxDatagramBytes + 1> datagram_{};
     udp::endpoint sender_;
     std::set<std::shared_ptr<Stream>> in_, out_;
     PeerCounts counts_;
--- a/src/store/replica_store.cpp
+++ b/src/store/replica_store.cpp
@@ -4,7 +4,7 @@
 
 #include <utility>
 
-#include "cluster/wire.h"
+#include "cluster/codec/message_codec.h"
 
 namespace silverrail::store {
 
@@ -110,7 +110,7 @@
     void write_entry(const std::string& key) {
         const auto entry = entries_.find(key);
         if (entry != entries_.end())
-            put_entry_.bind_text(1, key).bind_blob(2, cluster::wire::encode(entry->second)).execute();
+            put_entry_.bind_text(1, key).bind_blob(2, cluster::codec::encode(entry->second)).execute();
         else
             delete_entry_.bind_text(1, key).execute();
     }
@@ -204,7 +204,7 @@
     cluster::Replica::Entries out;
     Statement rows{*this, "SELECT key, entry FROM entries"};
     while (rows.step()) {
-        auto entry = cluster::wire::decode_entry(rows.text(1));
+        auto entry = cluster::codec::decode_entry(rows.text(1));
         if (!entry)
             fail("damaged: the entry of " + rows.text(0));
         out.emplace(rows.text(0), std::move(*entry));
--- a/tests/cluster/failover_test.cpp
+++ b/tests/cluster/failover_test.cpp
@@ -1,11 +1,13 @@
-// Failover's rules by tables: what is wished of health, pins and decisions; who writes it and when; what a
-// decision makes of the servers' weights. Then a region of routers over shared state, tick by tick.
-#include "cluster/failover.h"
+// Failover's rules by tables: what is proposed of health, overrides and decisions; who writes it and when;
+// what a decision makes of the servers' weights. Then a region of routers over one state, tick by tick.
+#include "cluster/failover/failover.h"
 
 #include <cmath>
 #include <cstdio>
 
 #include "../silverrail/check.h"
+#include "cluster/failover/failover_codec.h"
+#include "cluster/reports/report_publisher.h"
 
 using namespace silverrail;
 using namespace silverrail::cluster;
@@ -23,11 +25,11 @@
 
 // The replicated state and the view, as all routers of the tests see them.
 struct World {
-    std::map<std::string, ReplicatedEntry> reports, shared;
+    std::map<std::string, ReplicatedEntry> reports, state;
     std::map<std::string, std::string> alive;
     std::map<std::string, double> weights{{"a", 40}, {"b", 40}, {"c", 40}};
     UnixMs unix_now = kNow;
-    std::uint64_t numbers = 0;
+    std::uint64_t last_version = 0;
 
     World() {
         for (const char* zone : {"a", "b", "c"})
@@ -38,31 +40,31 @@
     }
     void put(std::map<std::string, ReplicatedEntry>& in, const std::string& key, const std::string& origin,
              const std::string& value) {
-        const auto stamp = hybrid_timestamp(unix_now) | (numbers & 0xffff);
-        ReplicatedEntry entry{{{origin, {++numbers, 0, stamp, value}}}, stamp};
+        const auto timestamp = hybrid_timestamp(unix_now) | (last_version & 0xffff);
+        ReplicatedEntry entry{{{origin, {++last_version, 0, timestamp, value}}}, timestamp};
         in[key] = entry;
     }
     void report(const std::string& router, int health, int warm = 100) {
         put(reports, report_key("zone/" + alive.at(router), router), router,
-            text_of(Health{health, std::min(health, warm)}));
+            encode(ZoneHealth{health, std::min(health, warm)}));
     }
     void health(const std::string& zone, int h, int warm = 100) {
         for (const auto& [router, its] : alive)
             if (its == zone)
                 report(router, h, warm);
     }
-    Failover::Input input(Time now, Health own = {}) const {
-        return {now, unix_now, own, &alive, &reports, &shared, weights};
+    Failover::Input input(Time now, ZoneHealth own = {}) const {
+        return {now, unix_now, own, &alive, &reports, &state, weights};
     }
 };
 
-std::string targets(const Decision& d) {
-    auto text = text_of(d);
+std::string targets(const FailoverDecision& d) {
+    auto text = encode(d);
     const auto at = text.find(' ');
     return at == std::string::npos ? "" : text.substr(at + 1);
 }
 
-void check_text() {
+void only_a_valid_decision_is_decoded() {
     const struct {
         const char* text;
         bool good;
@@ -76,23 +78,27 @@
                   {"7 b=1x", false},     {"7 a=1 b=1 c=1 d=1", false},
                   {"-1 b=1", false},     {"99999999999999999999999", false}};
     for (const auto& c : kCases) {
-        const auto d = decision_of(c.text);
+        const auto d = decode_decision(c.text);
         if (d.has_value() != c.good)
             std::fprintf(stderr, "text: %s\n", c.text);
         CHECK(d.has_value() == c.good);
         if (d)
-            CHECK(text_of(*d) == c.text);
+            CHECK(encode(*d) == c.text);
     }
-    // Side by side after a cut: the highest epoch; of one epoch the first that was written.
+}
+
+// As after a partition.
+void of_decisions_side_by_side_the_highest_epoch_and_the_earliest_write_counts() {
     ReplicatedEntry e{
         {{"x@1", {1, 0, 20, "4 b=100"}}, {"y@1", {1, 0, 10, "4 c=100"}}, {"z@1", {1, 0, 30, "3"}}}, 30};
-    CHECK(in_force(&e).epoch == 4 && in_force(&e).by == "y@1" && targets(in_force(&e)) == "c=100");
-    e.writes["q@1"] = {2, 2, 0, ""};  // undone
+    CHECK(effective_decision(&e).epoch == 4 && effective_decision(&e).origin == "y@1" &&
+          targets(effective_decision(&e)) == "c=100");
+    e.writes["q@1"] = {2, 2, 0, ""};  // cleared
     e.writes["r@1"] = {1, 0, 5, "no decision"};
-    CHECK(in_force(&e).by == "y@1" && in_force(nullptr).epoch == 0);
+    CHECK(effective_decision(&e).origin == "y@1" && effective_decision(nullptr).epoch == 0);
 }
 
-void check_health() {
+void the_health_of_a_zone_follows_its_servers_by_the_table() {
     using Servers = std::vector<ZoneServer>;
     const auto server = [](double weight, bool avoided, bool banned = false, std::optional<bool> probed = {},
                            double warm = 1) {
@@ -101,7 +107,7 @@
     const struct {
         Servers servers;
         bool steered;
-        Health health;
+        ZoneHealth health;
     } kCases[] = {
         {{}, false, {100, 100}},
         {{server(1, false), server(1, false)}, false, {100, 100}},
@@ -117,13 +123,16 @@
         {{server(1, false, false, {}, 0.3), server(1, false)}, false, {100, 65}},  // up, and cold
         {{server(1, true, false, {}, 0.3), server(1, false)}, false, {50, 50}}};
     for (const auto& c : kCases)
-        CHECK(health_of(c.servers, c.steered) == c.health);
+        CHECK(measure_zone_health(c.servers, c.steered) == c.health);
+}
+
+void only_a_valid_health_report_is_decoded() {
     const struct {
         const char* text;
-        std::optional<Health> health;
-    } kReports[] = {{"100 100", Health{100, 100}},
-                    {"0 0", Health{0, 0}},
-                    {"95 40", Health{95, 40}},
+        std::optional<ZoneHealth> health;
+    } kReports[] = {{"100 100", ZoneHealth{100, 100}},
+                    {"0 0", ZoneHealth{0, 0}},
+                    {"95 40", ZoneHealth{95, 40}},
                     {"", {}},
                     {"95", {}},
                     {"95 ", {}},
@@ -133,17 +142,19 @@
                     {"95 4x", {}},
                     {"9 4 0", {}}};
     for (const auto& c : kReports)
-        CHECK(health_of_report(c.text) == c.health);
+        CHECK(decode_zone_health(c.text) == c.health);
 }
 
+struct ProposalCase {
+    const char* what;
+    std::vector<std::pair<const char*, int>> health;         // by zone
+    std::vector<std::pair<const char*, const char*>> state;  // key, value
+    const char* becomes;                                     // a's targets; null: no change is written
+};
+
 // What zone a's decision comes to be, of one look at the state.
-void check_wishes() {
-    const struct {
-        const char* what;
-        std::vector<std::pair<const char*, int>> health;          // by zone
-        std::vector<std::pair<const char*, const char*>> shared;  // key, value
-        const char* becomes;                                      // a's targets; null: no change is written
-    } kCases[] = {
+std::vector<ProposalCase> proposal_cases() {
+    return {
         {"calm", {}, {}, nullptr},
         {"a quarter lost: what is left bears all, times 1.4", {{"a", 75}}, {}, nullptr},
         {"a third lost: too small a change", {{"a", 65}}, {}, nullptr},
@@ -176,12 +187,15 @@
         {"pinned out", {}, {{"pin/a", "out"}}, "b=100"},
         {"a pinned zone takes nobody in", {{"a", 0}}, {{"pin/b", "out"}}, "c=100"},
     };
-    for (const auto& c : kCases) {
+}
+
+void a_decision_follows_health_and_overrides_by_the_table() {
+    for (const auto& c : proposal_cases()) {
         World w;
         for (const auto& [zone, h] : c.health)
             w.health(zone, h);
-        for (const auto& [key, value] : c.shared)
-            w.put(w.shared, key, "x@1", value);
+        for (const auto& [key, value] : c.state)
+            w.put(w.state, key, "x@1", value);
         // Until whoever has the last turn has had it.
         Failover f{"a1", "a", settings()};
         std::optional<std::string> became;
@@ -196,8 +210,7 @@
     }
 }
 
-// One router's word, a minority, and too few witnesses change nothing.
-void check_quorum() {
+void one_report_a_minority_and_too_few_reporters_change_nothing() {
     const auto writes = [](World& w, const std::string& who) {
         Failover f{who, w.alive.at(who), settings()};
         std::size_t n = 0;
@@ -221,7 +234,7 @@
     half.health("a", 0);
     half.alive = {{"a0", "a"}, {"a1", "a"}, {"a2", "a"}, {"c0", "c"}, {"c1", "c"}, {"c2", "c"}};
     CHECK(writes(half, "a0") == 0);
-    // The dead bear no witness.
+    // The reports of the dead do not count.
     World dead;
     dead.health("a", 0);
     dead.alive.erase("a1");
@@ -230,9 +243,8 @@
     CHECK(writes(dead, "b0") == 0);
 }
 
-// With revisions told, the view and the reports are looked through when these change, and at no other time;
-// what is decided is the same.
-void check_revisions() {
+// And at no other time; what is decided is the same as without revisions.
+void members_and_reports_are_read_when_their_revision_changes() {
     World w;
     Failover told{"a2", "a", settings()}, untold{"a2", "a", settings()};
     std::uint64_t view = 1, reports = 1;
@@ -242,7 +254,7 @@
         for (const Time until = now + span; now < until; now += 50ms) {
             auto in = w.input(now);
             written.second += untold.tick(in).writes.size();
-            in.view_revision = view;
+            in.alive_revision = view;
             in.reports_revision = reports;
             written.first += told.tick(in).writes.size();
         }
@@ -256,13 +268,13 @@
     CHECK(run(5s).first > 0);
     const auto both = run(1s);
     CHECK(both.first == both.second);
-    // The dead bear no witness: the same reports count anew when the view changes.
+    // The reports of the dead do not count: the same reports are read again when the view changes.
     w.alive.erase("a0");
     w.alive.erase("a1");
     CHECK(run(5s).first > 0);
     ++view;
     CHECK((run(1s) == std::pair<std::size_t, std::size_t>{0, 0}));
-    CHECK(told.standings().at("a").health == untold.standings().at("a").health);
+    CHECK(told.zones().at("a").health == untold.zones().at("a").health);
 }
 
 // All routers of two regions over one state that each sees at once; who does not run is in `stopped`.
@@ -289,17 +301,17 @@
                     changes += out.changes.size();
                 for (const auto& write : out.writes) {
                     written.emplace_back(now, write);
-                    w.put(w.shared, decision_key(write.zone), name, text_of(write.decision));
+                    w.put(w.state, decision_key(write.zone), name, encode(write.decision));
                 }
             }
         }
     }
-    Decision of(const std::string& router, const std::string& zone) {
-        return routers.at(router).standings().at(zone).decision;
+    FailoverDecision of(const std::string& router, const std::string& zone) {
+        return routers.at(router).zones().at(zone).decision;
     }
 };
 
-void check_together() {
+void a_lost_zone_fails_over_once_and_comes_back_in_steps() {
     Region r;
     r.run(5s);
     CHECK(r.written.empty());
@@ -312,42 +324,51 @@
     // Back: four steps, one a hold-down, each once.
     r.w.health("a", 100);
     r.run(30s);
-    CHECK(r.written.size() == 5 && r.of("c2", "a").out() == 0 && r.of("c2", "a").epoch == 5);
+    CHECK(r.written.size() == 5 && r.of("c2", "a").percent_leaving() == 0 && r.of("c2", "a").epoch == 5);
     for (std::size_t i = 1; i < r.written.size(); ++i)
-        CHECK(r.written[i].first - r.written[i - 1].first >= settings().hold);
-    // Servers that come back cold: the first step lets them in, the next ones follow what they bear.
+        CHECK(r.written[i].first - r.written[i - 1].first >= settings().hold_down);
+}
+
+// The first step lets them in, the next ones follow what they bear.
+void a_zone_that_comes_back_cold_is_let_in_as_it_warms_up() {
+    Region r;
+    r.run(5s);
     r.w.health("a", 0);
     r.run(3s);
-    CHECK(r.of("b0", "a").out() == 100);
+    CHECK(r.of("b0", "a").percent_leaving() == 100);
     const auto epoch = r.of("b0", "a").epoch;
     r.w.health("a", 100, 25);
     r.run(20s);
-    CHECK(r.of("b0", "a").out() == 65 && r.of("b0", "a").epoch == epoch + 2);
+    CHECK(r.of("b0", "a").percent_leaving() == 65 && r.of("b0", "a").epoch == epoch + 2);
     r.w.health("a", 100, 50);  // seven in ten
     r.run(20s);
-    CHECK(r.of("b0", "a").out() == 30);
+    CHECK(r.of("b0", "a").percent_leaving() == 30);
     r.w.health("a", 100);
     r.run(20s);
-    CHECK(r.of("b0", "a").out() == 0);
+    CHECK(r.of("b0", "a").percent_leaving() == 0);
     // Cold, but there: no reason to leave.
     r.w.health("a", 100, 25);
     r.run(20s);
-    CHECK(r.of("b0", "a").out() == 0);
-    r.w.health("a", 100);
-    // Flapping faster than the hold-down: at most one change in each.
+    CHECK(r.of("b0", "a").percent_leaving() == 0);
+}
+
+// Faster than the hold-down.
+void a_flapping_zone_changes_once_a_hold_down_and_waits_longer_each_time() {
+    Region r;
+    r.run(5s);
     const auto before = r.written.size(), seen = r.changes;
     for (int i = 0; i < 60; ++i) {
         r.w.health("a", i % 2 ? 100 : 30);
         r.run(1s);
     }
+    CHECK(r.written.size() > before);
     CHECK(r.written.size() - before <= 60 / 5 && r.changes - seen <= 60 / 5);
-    // Each time it fails again it waits longer with coming back.
-    CHECK(r.routers.at("b0").standings().at("a").flaps <= 6);
-    CHECK(r.routers.at("b0").standings().at("a").damp >= 4);
+    CHECK(r.routers.at("b0").zones().at("a").flaps <= 6);
+    CHECK(r.routers.at("b0").zones().at("a").hold_down_factor >= 4);
 }
 
 // Whoever would write is stopped: the next one does, once; woken, it writes nothing of what it meant to.
-void check_decider_lost() {
+void when_the_writer_is_stopped_the_next_one_writes_once() {
     for (int many = 1; many <= 2; ++many) {
         Region r;
         r.run(3s);
@@ -356,7 +377,7 @@
         for (int i = 0; i < many; ++i) {
             Region copy = r;
             copy.run(5s);
-            const auto by = in_force(&copy.w.shared.at("failover/a")).by;
+            const auto by = effective_decision(&copy.w.state.at("failover/a")).origin;
             r.stopped.insert(by);
         }
         r.run(2500ms);
@@ -369,23 +390,23 @@
     }
 }
 
-void check_factors() {
+void spillover_scales_the_weights_of_the_zones() {
     const auto near = [](double a, double b) {
         return std::abs(a - b) < 1e-9;
     };
     World w;
     const auto factors = [&w](const char* zone) {
         Failover f{std::string{zone}.append("0"), zone, settings()};
-        return f.tick(w.input(0ms)).factors;
+        return f.tick(w.input(0ms)).weight_factors;
     };
     CHECK(factors("a").empty() && factors("b").empty());
-    w.put(w.shared, "failover/a", "x@1", "3 b=25 c=25");
+    w.put(w.state, "failover/a", "x@1", "3 b=25 c=25");
     auto a = factors("a"), b = factors("b");
     CHECK(near(a["a"], 0.5 / 1.25) && near(a["b"], 0.25 / 1.25) && near(a["c"], 0.25 / 1.25));
     CHECK(b.size() == 1 && near(b["b"], 1 / 1.25));
     // Over all routers a server of b is used by as much as alone: here a's part and b's are one.
     CHECK(near(a["b"] + b["b"], 1));
-    w.put(w.shared, "failover/a", "x@1", "4 b=100");
+    w.put(w.state, "failover/a", "x@1", "4 b=100");
     a = factors("a");
     CHECK(a.size() == 2 && a["a"] == 0 && near(a["b"], 0.5) && near(factors("b")["b"], 0.5));
     // Of another size: the part of the requests is what is told, not that of the servers.
@@ -394,20 +415,24 @@
     CHECK(near(a["b"], 0.5 / 1.5) && near(factors("b")["b"], 1 / 1.5));
     w.weights["b"] = 0;  // none of it listed: near rather than nowhere
     CHECK(factors("a").empty());
-    w.put(w.shared, "failover/a", "x@1", "5 b=50 c=50");
+    w.put(w.state, "failover/a", "x@1", "5 b=50 c=50");
     CHECK(near(factors("a")["c"], 1 / 1.5) && factors("a")["a"] == 0);
 }
 
 }  // namespace
 
 int main() {
-    check_text();
-    check_health();
-    check_wishes();
-    check_quorum();
-    check_revisions();
-    check_together();
-    check_decider_lost();
-    check_factors();
-    std::puts("failover: as it should be");
+    only_a_valid_decision_is_decoded();
+    of_decisions_side_by_side_the_highest_epoch_and_the_earliest_write_counts();
+    the_health_of_a_zone_follows_its_servers_by_the_table();
+    only_a_valid_health_report_is_decoded();
+    a_decision_follows_health_and_overrides_by_the_table();
+    one_report_a_minority_and_too_few_reporters_change_nothing();
+    members_and_reports_are_read_when_their_revision_changes();
+    a_lost_zone_fails_over_once_and_comes_back_in_steps();
+    a_zone_that_comes_back_cold_is_let_in_as_it_warms_up();
+    a_flapping_zone_changes_once_a_hold_down_and_waits_longer_each_time();
+    when_the_writer_is_stopped_the_next_one_writes_once();
+    spillover_scales_the_weights_of_the_zones();
+    std::puts("failover: decided together, by a quorum, in steps, and written once");
 }
--- a/tests/fleet/failover_test.cpp
+++ b/tests/fleet/failover_test.cpp
@@ -1,6 +1,6 @@
 // Failover in common, by real processes: nine routers in three zones of two regions before stand-in servers,
 // with faults between them. Every request has to be answered once, and no write may run twice.
-#include "cluster/failover.h"
+#include "cluster/failover/failover.h"
 
 #include <signal.h>
 
@@ -299,7 +299,7 @@
     std::map<std::string, std::string> alive;
     for (std::size_t i = 0; i < kRouters; ++i)
         alive[Fleet::name(i)] = std::string{"z"}.append(std::to_string(1 + i / 3));
-    const auto first = cluster::Failover{"m0", "z1", s}.turns("z1", 1, alive).front();
+    const auto first = cluster::Failover{"m0", "z1", s}.writers("z1", 1, alive).front();
     const auto who = static_cast<std::size_t>(std::stoul(first.substr(1)));
     load.routers.erase(std::remove(load.routers.begin(), load.routers.end(), who), load.routers.end());
     for (const auto k : kOfZ1)
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -12,7 +12,7 @@
 #include <optional>
 #include <string>
 
-#include "cluster/wire.h"
+#include "cluster/codec/message_codec.h"
 #include "common.h"
 #include "lab/farm.h"
 #include "net/peer.h"
@@ -318,7 +318,7 @@
     auto oversize = news("x@1", 1, "ban/b-5", unix_now);
     oversize.updates.front().key = std::string(1'000, 'k');
     for (const auto& m : {stale, future, malformed, oversize})
-        u.send_to(asio::buffer(cluster::wire::encode(m)), at);
+        u.send_to(asio::buffer(cluster::codec::encode(m)), at);
     CHECK(fleet.wait_until(
         [&] {
             auto c = fleet.counters(0);
@@ -449,11 +449,11 @@
     const auto m0 = fleet.view(0)["m0"];
     forged.records.push_back(
         {{"m0", fleet.relay().address(0), "z0", "r1"}, m0.start, 99, cluster::MemberState::alive, ""});
-    const std::string forged_bytes = cluster::wire::encode(forged);
+    const std::string forged_bytes = cluster::codec::encode(forged);
     cluster::MembershipMessage replay = forged;
     replay.records.clear();
     replay.sequence = 12345;
-    const std::string replayed = cluster::wire::encode(replay);
+    const std::string replayed = cluster::codec::encode(replay);
     const std::string sends[] = {"garbage",
                                  forged_bytes.substr(0, forged_bytes.size() / 2),
                                  std::string(2000, 'x'),
@@ -471,7 +471,7 @@
         net::error_code ignored;
         silent.back().connect(net::tcp::endpoint{at.address(), at.port()}, ignored);
     }
-    const std::string half = cluster::wire::frame_header(500) + "abc";
+    const std::string half = cluster::codec::frame_header(500) + "abc";
     asio::write(silent.front(), asio::buffer(half));
     CHECK(fleet.wait_until(
         [&] {
