--- a/src/app/failover_part.cpp
+++ b/src/app/failover_part.cpp
@@ -154,6 +154,7 @@
     const auto servers = observe_servers(alive);
     probe_suspected(servers);
     std::vector<cluster::ZoneServer> health;
+    health.reserve(servers.size());
     for (const auto& server : servers)
         health.push_back(server.health);
     health_ = cluster::measure_zone_health(health, is_drained());
--- a/src/cluster/membership/membership.h
+++ b/src/cluster/membership/membership.h
@@ -2,7 +2,7 @@
 //
 // A state machine without I/O, clocks or threads: time comes in with every call, randomness from the seed
 // given at construction, and every call returns the messages to send. The same inputs give the same outputs,
-// so that the simulator (src/lab/fleet_sim) replays a run from its seed.
+// so that the simulator (src/lab/membership_simulation) replays a run from its seed.
 //
 // Sources: Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
 // Protocol" (DSN 2002): one probe a period, k indirect probes, suspicion before death, piggybacked gossip.
--- a/tests/cluster/replica_test.cpp
+++ b/tests/cluster/replica_test.cpp
@@ -1,12 +1,12 @@
 // The replicated state: merging of copies by a table, which versions count as held, replays and malformed
-// updates, snapshots; then the model check over seeds (src/lab/replica_sim).
+// updates, snapshots; then the model check over seeds (src/lab/replication_simulation).
 #include "cluster/replicated_state/replica.h"
 
 #include <algorithm>
 #include <cstdio>
 
 #include "../silverrail/check.h"
-#include "lab/replica_sim.h"
+#include "lab/replication_simulation.h"
 
 using namespace silverrail;
 using namespace silverrail::cluster;
@@ -310,31 +310,31 @@
 
 void all_copies_end_equal_over_a_thousand_seeds() {
     std::int64_t worst = 0;
-    std::uint64_t full = 0, changes = 0;
+    std::uint64_t snapshots = 0, changes = 0;
     const struct {
         std::uint64_t first, seeds;
-        UnixMs keep;
-        bool learned;
+        UnixMs retention;
+        bool reports;
     } kRuns[] = {{1, 600, 100'000, false}, {2'001, 250, 8'000, false}, {3'001, 150, 8'000, true}};
     for (const auto& run : kRuns)
         for (std::uint64_t seed = run.first; seed < run.first + run.seeds; ++seed) {
-            lab::ReplicaCheck c;
-            c.seed = seed;
-            c.tombstone_keep = run.keep;
-            c.learned = run.learned;
-            const auto v = lab::check_replicas(c);
-            if (!v.wrong.empty()) {
+            lab::ReplicationCheck check;
+            check.seed = seed;
+            check.tombstone_retention = run.retention;
+            check.reports = run.reports;
+            const auto verdict = lab::check_replication(check);
+            if (!verdict.violation.empty()) {
                 std::fprintf(stderr, "seed %llu, kept %lld ms: %s\n", static_cast<unsigned long long>(seed),
-                             static_cast<long long>(run.keep), v.wrong.c_str());
+                             static_cast<long long>(run.retention), verdict.violation.c_str());
                 CHECK(false);
             }
-            worst = std::max(worst, v.converged_ms);
-            full += v.full_copies;
-            changes += v.changes;
+            worst = std::max(worst, verdict.converged_ms);
+            snapshots += verdict.snapshots;
+            changes += verdict.changes;
         }
-    CHECK(full > 0 && changes > 10'000);
+    CHECK(snapshots > 0 && changes > 10'000);
     std::printf("1000 seeds, %llu changes, %llu full copies: all copies equal, worst after %lld ms\n",
-                static_cast<unsigned long long>(changes), static_cast<unsigned long long>(full),
+                static_cast<unsigned long long>(changes), static_cast<unsigned long long>(snapshots),
                 static_cast<long long>(worst));
 }
 
