--- a/src/app/optional_parts.cpp
+++ b/src/app/optional_parts.cpp
@@ -4,7 +4,7 @@
 #include "app/control_part.h"
 #include "app/dns_part.h"
 #include "app/failover_part.h"
-#include "app/hearsay_part.h"
+#include "app/outlier_consensus_part.h"
 #include "app/resource_limits.h"
 #include "app/trace_part.h"
 
@@ -65,8 +65,8 @@
 
 void OptionalParts::add_server_reports() {
     const auto& [peers, state, reports] = peer_services_;
-    add(std::make_unique<HearsayPart>(
-        HearsayPart::World{with_.io, with_.engine, *peers, *reports, with_.clock, with_.log},
+    add(std::make_unique<OutlierConsensusPart>(
+        OutlierConsensusPart::World{with_.io, with_.engine, *peers, *reports, with_.clock, with_.log},
         with_.settings.peers, with_.config.seed));
 }
 
@@ -76,10 +76,10 @@
         FailoverPart::World{with_.io, with_.engine, *peers, *state, *reports, with_.clock, with_.log},
         with_.settings.peers, with_.config.seed));
     peer_commands_.failover = [failover] {
-        return failover->standings();
+        return failover->status();
     };
     peer_commands_.pin = [failover](const std::string& zone, const std::string& how) {
-        return failover->pin(zone, how);
+        return failover->set_override(zone, how);
     };
 }
 
