--- a/src/app/bans_part.cpp
+++ b/src/app/bans_part.cpp
@@ -102,7 +102,7 @@
 }
 
 bool BansPart::known(const core::ServerId& server) const {
-    return engine_.lists(server) || engine_.bans().contains(server);
+    return engine_.is_listed(server) || engine_.bans().contains(server);
 }
 
 front::admin::Verdict BansPart::out(const core::ServerId& server) {
--- a/src/app/failover_part.cpp
+++ b/src/app/failover_part.cpp
@@ -54,7 +54,7 @@
         [&](const std::string& reporter) { return reporter != name_ && alive.contains(reporter); });
     std::vector<Server> out;
     weights_.clear();
-    world_.engine.each_server([&](const core::Server& server, bool avoided) {
+    world_.engine.for_each_server([&](const core::Server& server, bool avoided) {
         if (server.entry.condition != routing::Condition::ready || !world_.engine.is_cache_server(server))
             return;
         weights_[server.entry.zone] += server.entry.weight;
@@ -134,7 +134,7 @@
         factors_ = step.factors;
         if (before && !steered())
             back_since_ = world_.clock.now();
-        world_.engine.steer(factors_);
+        world_.engine.set_zone_factors(factors_);
     }
     timer_.expires_after(kTick);
     timer_.async_wait([this](const net::error_code& error) {
@@ -188,7 +188,7 @@
         changes += z.changes;
         flaps += z.flaps;
     }
-    for (const auto& [zone, sent] : world_.engine.sent_away()) {
+    for (const auto& [zone, sent] : world_.engine.attempts_by_remote_zone()) {
         away += sent;
         if (failover_.region_of(zone) != failover_.region_of(zone_))
             abroad += sent;
--- a/src/app/hearsay_part.cpp
+++ b/src/app/hearsay_part.cpp
@@ -18,9 +18,9 @@
     using routing::Condition;
     std::vector<cluster::SeenServer> out;
     const auto now = world_.clock.now();
-    world_.engine.each_server([&](const core::Server& server, bool avoided) {
+    world_.engine.for_each_server([&](const core::Server& server, bool avoided) {
         const bool gone = server.entry.condition == Condition::gone;
-        if (gone && (!server.barred || now > *server.barred + kGoneToldFor))
+        if (gone && (!server.unavailable_since || now > *server.unavailable_since + kGoneToldFor))
             return;
         out.push_back({server.entry.id.address, server.entry.zone, server.started_ms, avoided,
                        server.entry.condition != Condition::ready});
@@ -37,7 +37,7 @@
         std::set<core::ServerId> ids;
         for (const auto& id : step.out)
             ids.insert(core::ServerId{id});
-        world_.engine.hold_out(std::move(ids));
+        world_.engine.set_reported_outliers(std::move(ids));
         world_.log.line("hearsay", R"({"held_out":%zu,"one":"%s"})", step.out.size(),
                         step.out.empty() ? "" : step.out.begin()->c_str());
     }
--- a/src/app/program.cpp
+++ b/src/app/program.cpp
@@ -102,9 +102,10 @@
     return limits;
 }
 
-copies::Limits copy_limits(const config::Config& c, const members::Shares& shares) {
-    return {.bytes = shares.copies_bytes,
-            .link = {.flow_bytes_per_s = c.flow_bytes_per_s, .link_bytes_per_s = c.link_bytes_per_s}};
+cache::CacheLimits cache_limits(const config::Config& c, const members::Shares& shares) {
+    return {
+        .bytes = shares.copies_bytes,
+        .uplink = {.per_response_bytes_per_s = c.flow_bytes_per_s, .total_bytes_per_s = c.link_bytes_per_s}};
 }
 
 // A file that the processes of this router share; empty where no folder is given. Named after the clients'
@@ -138,7 +139,7 @@
           hangup_(io_, SIGHUP),
           poll_(io_),
           reload_again_(io_) {
-        engine_.keep_copies(copy_limits(config_, shares_));
+        engine_.enable_response_cache(cache_limits(config_, shares_));
         if (const auto processes = overlap_.processes(); processes > 1)
             share_with(processes);
         overlap_.follow([this](std::size_t processes) { share_with(processes); });
@@ -223,7 +224,7 @@
                     return json && take(*json, kNewsLate + discovery_->unheard_for());
                 },
                 log_, config_.seed);
-            discovery_->when_sure([this](bool surely) { engine_.told_of_purges(surely); });
+            discovery_->when_sure([this](bool surely) { engine_.set_purges_reliable(surely); });
             discovery_->start();
         }
         server_.when_out_of_descriptors([this] { upstream_.shed(32); });
@@ -247,7 +248,7 @@
     // During an upgrade the limits, and each budget of the module, are those of all its processes together.
     void share_with(std::size_t processes) {
         shares_ = members::shares_of(whole_of(config_, settings_), processes);
-        engine_.share_with(processes, shares_.copies_bytes);
+        engine_.set_process_share(processes, shares_.copies_bytes);
         upstream_.limit_sockets(shares_.servers);
         server_.limit_connections(shares_.clients);
     }
--- a/src/app/trace_part.cpp
+++ b/src/app/trace_part.cpp
@@ -55,7 +55,7 @@
     : world_(std::move(world)), settings_(settings), timer_(world_.io) {}
 
 TracePart::~TracePart() {
-    world_.engine.watch(nullptr);
+    world_.engine.set_observer(nullptr);
 }
 
 void TracePart::start() {
@@ -71,7 +71,7 @@
     const trace::RecorderSettings settings = recorder_settings(settings_);
     recorder_.emplace(settings, std::move(who), std::move(folder));
     observing_.emplace(*recorder_, settings.left_out);
-    world_.engine.watch(&*observing_);
+    world_.engine.set_observer(&*observing_);
     world_.log.line("trace", "%s %s", settings_.flight_mb > 0 ? "kept in memory, dumps go to" : "recorded in",
                     settings_.folder.c_str());
     tick();
@@ -99,7 +99,7 @@
 
 void TracePart::end() {
     timer_.cancel();
-    world_.engine.watch(nullptr);
+    world_.engine.set_observer(nullptr);
     recorder_->stop();
     say();
 }
--- /dev/null
+++ b/src/cache/response_cache.cpp
@@ -0,0 +1,103 @@
+#include "cache/response_cache.h"
+
+namespace silverrail::cache {
+
+namespace {
+
+using namespace std::chrono_literals;
+
+// Of the latency objective: the way to the client takes the rest.
+constexpr double kObjectiveShare = 0.85;
+// Between the writing of a response's age at its server and the reading of the clock here.
+constexpr std::int64_t kAgeMarginMs = 20;
+constexpr Span kDeadlineMargin = 30ms;
+// Of a response's bytes: what "not modified" takes to send.
+constexpr double kNotModifiedShare = 0.05;
+
+std::int64_t to_ms(Span span) {
+    return span / 1ms;
+}
+
+std::int64_t age_ms(const StoredResponse& response, std::int64_t unix_ms) {
+    return unix_ms + kAgeMarginMs - response.made_ms;
+}
+
+bool is_current(const Lookup& request, const StoredResponse& response) {
+    return request.client_tag == response.tag;
+}
+
+double bytes_to_send(const Lookup& request, const StoredResponse& response) {
+    const auto bytes = static_cast<double>(response.body->size());
+    return is_current(request, response) ? bytes * kNotModifiedShare : bytes;
+}
+
+}  // namespace
+
+ResponseCache::ResponseCache(const std::vector<routing::ClassSettings>& classes, CacheLimits limits)
+    : classes_(classes),
+      uplink_(limits.uplink),
+      store_(limits.enabled() ? limits.bytes : 0),
+      enabled_(limits.enabled()) {}
+
+void ResponseCache::set_capacity(std::size_t bytes) {
+    if (enabled_)
+        store_.set_capacity(bytes);
+}
+
+void ResponseCache::store(const Lookup& request, std::string_view body, std::string_view tag,
+                          std::int64_t made_ms, std::int64_t purged_ms) {
+    if (!enabled_ || !request.group_known || classes_[request.key.class_index].uncached)
+        return;
+    // Without its age nothing says how long it may be used. One made before a purge was under way when that
+    // came.
+    if (made_ms <= 0 || made_ms <= purged_ms || tag.empty())
+        return;
+    store_.put(request.key, StoredResponse{.body = std::make_shared<const std::string>(body),
+                                           .tag = std::string{tag},
+                                           .group = request.group,
+                                           .made_ms = made_ms});
+}
+
+const StoredResponse* ResponseCache::find(const Lookup& request) {
+    return enabled_ && purges_reliable_ && request.group_known ? store_.find(request.key) : nullptr;
+}
+
+Hit ResponseCache::use(const Lookup& request, const StoredResponse& response, Time now, bool stale) {
+    uplink_.reserve(bytes_to_send(request, response), now);
+    return {.body = is_current(request, response) ? nullptr : response.body,
+            .tag = response.tag,
+            .made_ms = response.made_ms,
+            .stale = stale};
+}
+
+std::optional<Hit> ResponseCache::find_fresh(const Lookup& request, Time now, std::int64_t unix_ms) {
+    const StoredResponse* response = find(request);
+    if (!response)
+        return std::nullopt;
+    const auto& settings = classes_[request.key.class_index];
+    if (settings.max_age > Span{} && age_ms(*response, unix_ms) >= to_ms(settings.max_age))
+        return std::nullopt;
+    const double bytes = bytes_to_send(request, *response);
+    const auto stretch =
+        std::chrono::duration_cast<Span>(settings.objective_stretch * uplink_.time_to_send_alone(bytes));
+    if (uplink_.time_to_send(bytes, now) > kObjectiveShare * (settings.latency_objective + stretch))
+        return std::nullopt;
+    return use(request, *response, now, false);
+}
+
+std::optional<Hit> ResponseCache::find_last_resort(const Lookup& request, Time now, std::int64_t unix_ms,
+                                                   Time deadline) {
+    const StoredResponse* response = find(request);
+    if (!response)
+        return std::nullopt;
+    const auto& settings = classes_[request.key.class_index];
+    const std::int64_t age = age_ms(*response, unix_ms);
+    const bool ages = settings.max_age > Span{};
+    if (ages && age >= to_ms(settings.max_age + settings.grace))
+        return std::nullopt;
+    if (now + uplink_.time_to_send(bytes_to_send(request, *response), now) + kDeadlineMargin > deadline)
+        return std::nullopt;
+    return use(request, *response, now, ages && age >= to_ms(settings.max_age));
+}
+
+}  // namespace silverrail::cache
--- a/src/config/discovery_event.h
+++ b/src/config/discovery_event.h
@@ -6,7 +6,7 @@
 #include <optional>
 #include <variant>
 
-#include "core/fleet.h"
+#include "core/server_registry.h"
 #include "core/purges.h"
 
 namespace silverrail::config {
--- /dev/null
+++ b/src/core/attempt_planner.cpp
@@ -0,0 +1,59 @@
+#include "core/attempt_planner.h"
+
+#include <algorithm>
+
+namespace silverrail::core {
+
+std::optional<AttemptRequest> AttemptPlanner::plan(const routing::Send& send, const ActiveRequest& request,
+                                                   std::uint32_t attempt, Time now) const {
+    const Server* server = servers_.find(send.target);
+    if (!server)
+        return std::nullopt;
+    AttemptRequest planned;
+    planned.key = {send.request, attempt};
+    planned.client_request = request.client_request;
+    planned.target = send.target;
+    planned.address = server->address;
+    if (send.fill) {
+        if (send.fill->source != send.target)
+            planned.source = send.fill->source;
+        planned.retention = static_cast<int>(send.fill->retention);
+        planned.oldest = send.fill->oldest;
+        planned.join = send.fill->join;
+        planned.revalidate = send.fill->revalidate;
+        planned.only_if_cached = send.fill->only_if_cached;
+    }
+    planned.repeat_before = send.repeat_before;
+    planned.deadline = request.client_request->deadline;
+    if (send.timeout > Span{})
+        planned.deadline = std::min(planned.deadline, now + send.timeout);
+    return planned;
+}
+
+AttemptPlanner::CopyAge AttemptPlanner::copy_age_at_first_byte(const AttemptRequest& request,
+                                                               Time now) const {
+    // Guards rule 5 (purges): one that came during the wait binds by the time of the first byte.
+    const auto limit = purges_.max_copy_age(*request.client_request, now, unix_time_);
+    if (limit && (request.oldest == Span{} || *limit < request.oldest))
+        return {.oldest = *limit, .tightened = true};
+    return {.oldest = request.oldest, .tightened = false};
+}
+
+std::optional<std::string> AttemptPlanner::redirect_address(const AttemptRequest& request,
+                                                            const std::string& parent_kind, Time now) const {
+    // Neither a limit on a copy's age nor a fill's conditions fit into a name, and left out they would change
+    // what the server does. Nor does a source other than the ordinary one.
+    if (request.oldest != Span{} || request.only_if_cached || !request.source)
+        return std::nullopt;
+    const Server* source = servers_.find(*request.source);
+    if (!source || (!parent_kind.empty() && source->entry.kind != parent_kind))
+        return std::nullopt;
+    if (purges_.max_copy_age(*request.client_request, now, unix_time_))
+        return std::nullopt;  // also where its group is not known
+    const Server* server = servers_.find(request.target);
+    if (!server || !servers_.is_usable(request.target))
+        return std::nullopt;
+    return server->address;
+}
+
+}  // namespace silverrail::core
--- /dev/null
+++ b/src/core/attempt_planner.h
@@ -0,0 +1,33 @@
+// Makes attempts of the decision module's Send actions, and says at an attempt's first byte what still holds.
+#pragma once
+
+#include "core/active_request.h"
+#include "core/purges.h"
+#include "core/server_registry.h"
+
+namespace silverrail::core {
+
+class AttemptPlanner {
+public:
+    AttemptPlanner(const ServerRegistry& servers, const Purges& purges, const UnixTime& unix_time)
+        : servers_(servers), purges_(purges), unix_time_(unix_time) {}
+    // Absent: the server is not known, so nothing may be sent.
+    std::optional<AttemptRequest> plan(const routing::Send& send, const ActiveRequest& request,
+                                       std::uint32_t attempt, Time now) const;
+    struct CopyAge {
+        Span oldest{};           // as in AttemptRequest
+        bool tightened = false;  // by a purge that came after the decision
+    };
+    CopyAge copy_age_at_first_byte(const AttemptRequest& request, Time now) const;
+    // The address to redirect a client to. It carries nothing but the server's name: absent where the attempt
+    // needs more than that, or the server must not be named.
+    std::optional<std::string> redirect_address(const AttemptRequest& request, const std::string& parent_kind,
+                                                Time now) const;
+
+private:
+    const ServerRegistry& servers_;
+    const Purges& purges_;
+    const UnixTime& unix_time_;
+};
+
+}  // namespace silverrail::core
--- a/src/core/counters.cpp
+++ b/src/core/counters.cpp
@@ -5,12 +5,13 @@
 namespace silverrail::core {
 
 namespace {
-constexpr const char* kEndings[] = {"good",  "error",     "full",     "late", "no_connection",
-                                    "reset", "cancelled", "not_sent", "miss", "unseen"};
-}
+// The names that the figures print, in the order of AttemptStatus.
+constexpr const char* kStatusNames[] = {"good",  "error",     "full",     "late", "no_connection",
+                                        "reset", "cancelled", "not_sent", "miss", "unseen"};
+}  // namespace
 
 const char* Counters::name_of(AttemptStatus attempt_status) {
-    return kEndings[static_cast<std::size_t>(attempt_status)];
+    return kStatusNames[static_cast<std::size_t>(attempt_status)];
 }
 
 std::uint64_t Counters::all_violations() const {
@@ -45,10 +46,10 @@
     put("inflight", inflight);
     put("hosts_listed", hosts_listed);
     put("hosts_down", hosts_down);
-    for (const ByClass& c : classes) {
-        put(("success_" + c.name).c_str(), c.success);
-        put(("busy_" + c.name).c_str(), c.busy);
-        put(("failure_" + c.name).c_str(), c.failure);
+    for (const ByClass& by_class : classes) {
+        put(("success_" + by_class.name).c_str(), by_class.success);
+        put(("busy_" + by_class.name).c_str(), by_class.busy);
+        put(("failure_" + by_class.name).c_str(), by_class.failure);
     }
     put("lists", lists);
     put("purges", purges);
@@ -57,10 +58,10 @@
     put("violations", all_violations());
     for (std::size_t i = 0; i < violations.size(); ++i)
         put(("violation_" + std::string{core::name_of(static_cast<Violation>(i))}).c_str(), violations[i]);
-    for (std::size_t i = 0; i < held.size(); ++i)
-        put(("held_" + std::string{core::name_of(static_cast<Held>(i))}).c_str(), held[i]);
-    for (std::size_t i = 0; i < endings.size(); ++i)
-        put((std::string{"ending_"} + kEndings[i]).c_str(), endings[i]);
+    for (std::size_t i = 0; i < suppressed.size(); ++i)
+        put(("held_" + std::string{core::name_of(static_cast<SuppressionReason>(i))}).c_str(), suppressed[i]);
+    for (std::size_t i = 0; i < attempts_by_status.size(); ++i)
+        put((std::string{"ending_"} + kStatusNames[i]).c_str(), attempts_by_status[i]);
     return out;
 }
 
--- /dev/null
+++ b/src/core/discovery_updates.h
@@ -0,0 +1,40 @@
+// Applies what discovery, operators and other routers say of servers and purges, and notifies the decision
+// module of what changes for it.
+#pragma once
+
+#include <functional>
+#include <set>
+
+#include "core/engine_state.h"
+#include "core/response_cache_stage.h"
+#include "core/routing_stage.h"
+
+namespace silverrail::core {
+
+class DiscoveryUpdates {
+public:
+    DiscoveryUpdates(EngineState& state, ResponseCacheStage& cache, RoutingStage& routing)
+        : state_(state), cache_(cache), routing_(routing) {}
+
+    // Discovery's events, in its order. `max_age`: how long ago the event can have come about at most, by
+    // when discovery was last heard completely. An event that is older by the wall clock counts the clock as
+    // wrong.
+    void apply(ServerChange change, Span max_age);
+    void apply(const PurgeNotice& purge, Span max_age);
+
+    void set_bans(const members::Bans& bans);
+    void set_reported_outliers(std::set<ServerId> ids);
+    void set_zone_factors(const ZoneFactors& factors);
+
+private:
+    Time started_at(const Server& server, Time now, Span max_age);
+    void change_exclusions(const std::function<void()>& change);
+    std::optional<Server> restated(const Server& server, const routing::ListedServer& before);
+    void notify_routing(const ServerChange& change);
+
+    EngineState& state_;
+    ResponseCacheStage& cache_;
+    RoutingStage& routing_;
+};
+
+}  // namespace silverrail::core
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -1,153 +1,157 @@
-// Leads calls through the stages and owns the invariant: one final answer per call, by its deadline.
+// The life of a request. Engine leads each one through the stages below and owns the invariant: exactly one
+// final answer for each request, by its deadline.
+//
+//   submit            the request has been read whole
+//    | Intake              not valid: failed
+//    | Admission           too many are open: rejected
+//    | ResponseCacheStage  a fresh cached response: served
+//    v                                                                 (Guard: received)
+//   RoutingStage      the decision module is notified and returns actions:
+//    | Send    Forwarding starts an attempt                            (Guard: connecting)
+//    |         before its first byte, the Guard checks it once more    (Guard: sent)
+//    |         its result goes through Accounting to the module        (Guard: between_attempts)
+//    | Reject  a cached response as the last resort, else rejected
+//    | Fail    failed
+//    v
+//   Completion        the sink gets the answer                         (Guard: answered)
+//
+// A client may close at any time (Guard: client_closed): its attempts are cancelled. A request is forgotten
+// once it is answered, or its client has closed, and none of its attempts is in flight. The deadline's timer
+// fails whatever the module has left open.
 #pragma once
 
-#include <deque>
 #include <functional>
 #include <map>
 #include <set>
 
-#include "core/admit.h"
-#include "core/book.h"
-#include "core/guard.h"
-#include "core/hold.h"
-#include "core/observer.h"
-#include "core/relay.h"
-#include "core/route.h"
-#include "core/send.h"
-#include "core/take_in.h"
-#include "core/unix_time.h"
-#include "log/log.h"
+#include "core/admission.h"
+#include "core/completion.h"
+#include "core/discovery_updates.h"
+#include "core/engine_state.h"
+#include "core/forwarding.h"
+#include "core/intake.h"
+#include "core/response_cache_stage.h"
+#include "core/routing_stage.h"
 
 namespace silverrail::core {
 
-class Engine : private AttemptEvents {
+// Single-threaded. All references passed in must outlive the engine.
+class Engine : private ActionHandler {
 public:
-    Engine(routing::Settings settings, std::uint64_t seed, std::size_t most_open, const Clock& clock,
+    Engine(routing::Settings settings, std::uint64_t seed, std::size_t max_open_requests, const Clock& clock,
            Timers& timers, AttemptSender& sender, Log& log);
 
-    // From here on copies of its own answer calls, where the limits are on. Not before told_of_purges(true).
-    void keep_copies(copies::Limits limits) {
-        hold_.set(limits);
-    }
-    // Is it sure that every purge is heard of in time?
-    void told_of_purges(bool surely) {
-        hold_.told_of_purges(surely);
-    }
-
-    // So many processes count as this one router from here on; copies of its own get so many bytes in this
-    // one.
-    void share_with(std::size_t processes, std::size_t copies_bytes);
+    // ---- requests --------------------------------------------------------------------------------------
 
-    // Told of everything from here on; absent: nobody. It must outlive the engine or be taken away.
-    void watch(Observer* observer);
-
-    // The sink gets exactly one answer, now or later, unless the call is abandoned first. Absent: it has
-    // been answered already.
-    std::optional<RequestId> take(Call call, std::shared_ptr<ReplySink> sink);
-    void abandon(RequestId id);  // the client has gone; nothing is owed any more
-    // The process ends before they could: every call that is open is failed now.
+    // The sink gets exactly one answer, now or later, unless the client closes first. Absent: it has been
+    // answered already.
+    std::optional<RequestId> submit(ClientRequest request, std::shared_ptr<ReplySink> sink);
+    // The client has closed; nothing is owed to it any more.
+    void client_closed(RequestId id);
+    // The process ends before they could: every open request is failed now.
     void fail_all();
 
-    // News from discovery, in its order. `oldest`: how long ago they can have come about at most, by when
-    // discovery was last heard to the end; more than that is taken for a clock that is wrong.
-    void apply(ServerChange change, Span oldest = Span::max());
-    void apply(const PurgeNotice& purge, Span oldest = Span::max());
+    // ---- servers and purges ----------------------------------------------------------------------------
 
-    // Takes out by hand what `bans` names and was not out, and back what it names no more.
-    void set_bans(const members::Bans& bans);
+    // Discovery's events; see DiscoveryUpdates.
+    void apply(ServerChange change, Span max_age = Span::max()) {
+        updates_.apply(std::move(change), max_age);
+    }
+    void apply(const PurgeNotice& purge, Span max_age = Span::max()) {
+        updates_.apply(purge, max_age);
+    }
+    // Excludes what `bans` names, and readmits what it names no more.
+    void set_bans(const members::Bans& bans) {
+        updates_.set_bans(bans);
+    }
     const members::Bans& bans() const {
-        return fleet_.bans();
+        return state_.servers.bans();
+    }
+    // Excludes these as outliers on the reports of other routers, and readmits those of the earlier call.
+    void set_reported_outliers(std::set<ServerId> ids) {
+        updates_.set_reported_outliers(std::move(ids));
+    }
+    // From here on requests are spread over the zones that are named.
+    void set_zone_factors(const ZoneFactors& factors) {
+        updates_.set_zone_factors(factors);
     }
-    // Keeps away from these on the word of other routers, and from no others that it kept away from so.
-    void hold_out(std::set<ServerId> ids);
-    // From here on requests go to the zones that are named, in these parts.
-    void steer(const Steering& steering);
-    // Every server that is known, with: is it avoided by this router itself?
-    void each_server(const std::function<void(const Server&, bool avoided)>& see) const;
+    // Calls `visit` for every known server; `avoided`: by this router's own decision module.
+    void for_each_server(const std::function<void(const Server&, bool avoided)>& visit) const;
     bool is_cache_server(const Server& server) const {
-        return fleet_.is_cache_server(server);
+        return state_.servers.is_cache_server(server);
     }
-    const std::string& zone() const {
-        return fleet_.zone();
+    bool is_listed(const ServerId& id) const;
+    // Whether an available server of this zone has an IPv6 (`v6`) or an IPv4 address.
+    bool has_address_family(bool v6) const;
+
+    // ---- settings --------------------------------------------------------------------------------------
+
+    // From here on cached responses answer requests, if the limits allow any. Only once purges are reliable.
+    void enable_response_cache(cache::CacheLimits limits) {
+        cache_.enable(limits);
+    }
+    // Whether every purge is certain to be heard of in time.
+    void set_purges_reliable(bool reliable) {
+        cache_.set_purges_reliable(reliable);
+    }
+    // From here on `processes` count as this one router, and this one's response cache gets so many bytes.
+    void set_process_share(std::size_t processes, std::size_t cache_bytes);
+    // Notified of everything from here on; null: nobody. It must outlive the engine or be removed.
+    void set_observer(Observer* observer) {
+        state_.observer = observer;
     }
     const routing::Settings& settings() const {
-        return settings_;
+        return state_.settings;
     }
-    // Attempts ordered to caches of other zones, by zone.
-    const std::map<std::string, std::uint64_t>& sent_away() const {
-        return sent_away_;
+    const std::string& zone() const {
+        return state_.servers.zone();
     }
-    bool lists(const ServerId& server) const;
+    bool knows_class(const std::string& name) const;
+    // Whether a repeat by itself could have an effect: the class is not idempotent, or not known.
+    bool is_unsafe_class(const std::string& name) const;
+
+    // ---- figures ---------------------------------------------------------------------------------------
 
     std::size_t open() const {
-        return open_.size();
+        return state_.requests.size();
     }
-    bool knows_class(const std::string& name) const;
-    // Never to run twice: nothing that repeats by itself may carry it.
-    bool unsafe_class(const std::string& name) const;
-    // Is any server of this zone listed with an address of that family?
-    bool lists_address(bool v6) const;
     const Counters& counters();
+    const std::map<std::string, std::uint64_t>& attempts_by_remote_zone() const {
+        return forwarding_.attempts_by_remote_zone();
+    }
     routing::Router::Sizes sizes() const {
-        return route_.sizes();
+        return routing_.sizes();
     }
 
 private:
-    std::optional<Span> before_first_byte(const AttemptKey& key) override;
-    void written() override {
-        ++counters_.backend_calls;
-    }
-    void ended(const AttemptKey& key, AttemptEnd end) override;
-
-    // Both clocks are read now.
-    const UnixTime& unix_time(Time now);
-    Time started(const Server& server, Time now, Span oldest);
-    void tell_list(const ServerChange& change);
-    void restate(const std::function<void()>& change);
-    void tell(routing::Event event);
-    void observe(const routing::Event& event, const std::vector<routing::Action>& actions);
-    void turn_away(OpenCall& open, const Call& call, std::optional<std::size_t> class_index, Answer answer);
+    void carry_out(const routing::Action& action) override;
+    void event_done(const routing::Event& event) override;
     void act(const routing::Send& send);
     void act(const routing::Cancel& cancel);
-    void act(const routing::Reject& refuse);
+    void act(const routing::Reject& reject);
     void act(const routing::Fail& fail);
     void act(const routing::SetTimer& timer);
-    void refer(OpenCall& open, const Order& order);
-    Guard::Facts facts_at_first_byte(const OpenCall& call, const OpenAttempt& attempt, Time now) const;
-    void answer(OpenCall& open, Answer answer);
-    void tell_of_violation();
-    void tell_why(const char* event, const OpenCall& open) const;
-    void timed_out(const AttemptKey& key);
-    void deadline(RequestId id);
-    void fail_now(RequestId id, bool timed_out);
-    void let_go(RequestId id);
-    void finish(RequestId id, Answer reply);
-    void withdraw(RequestId id);  // cancels what is out
-    void drop_if_done(RequestId id);
-
-    routing::Settings settings_;
-    const Clock& clock_;
-    Timers& timers_;
-    AttemptSender& sender_;
-    Log& log_;
-    Counters counters_;
-    Fleet fleet_;
-    Purges purges_;
-    UnixTime unix_time_;
-    OpenCalls open_;
-    TakeIn take_in_;
-    Admit admit_;
-    Hold hold_;
-    Route route_;
-    Send send_;
-    Relay relay_;
-    Book book_;
-    Guard guard_;
-    std::map<std::string, std::uint64_t> sent_away_;
-    Observer* observer_ = nullptr;
-    Origin origin_;  // of the list or purge that is being applied
-    std::deque<routing::Event> events_;
-    bool telling_ = false;
+
+    std::optional<Answer> answer_at_intake(const ClientRequest& request,
+                                           std::optional<std::size_t> class_index, Time now);
+    void complete_at_intake(const ClientRequest& request, std::optional<std::size_t> class_index,
+                            std::shared_ptr<ReplySink> sink, Answer answer);
+    ActiveRequest& open_request(ClientRequest client_request, std::size_t class_index,
+                                std::shared_ptr<ReplySink> sink, Time now);
+    void deadline_passed(RequestId id);
+    void fail_unasked(ActiveRequest& request, bool timed_out);
+    void complete(ActiveRequest& request, Answer answer);
+    void release(RequestId id);
+    void forget_if_done(RequestId id);
+
+    EngineState state_;
+    Intake intake_;
+    Admission admission_;
+    ResponseCacheStage cache_;
+    RoutingStage routing_;
+    Completion completion_;
+    Forwarding forwarding_;
+    DiscoveryUpdates updates_;
 };
 
 }  // namespace silverrail::core
--- /dev/null
+++ b/src/core/forwarding.cpp
@@ -0,0 +1,181 @@
+#include "core/forwarding.h"
+
+#include <utility>
+
+namespace silverrail::core {
+
+namespace {
+// Usually a purge: its limit on a copy's age falls away within seconds.
+constexpr Span kNotRedirectableRetryAfter = std::chrono::milliseconds{1000};
+// What is sent within this of its request's arrival goes out in the same turn of the event loop.
+constexpr Span kSameTurn = std::chrono::milliseconds{2};
+constexpr std::size_t kMaxCountedZones = 64;
+}  // namespace
+
+Forwarding::Forwarding(EngineState& state, ResponseCacheStage& cache, Completion& completion,
+                       RoutingStage& routing)
+    : state_(state),
+      cache_(cache),
+      completion_(completion),
+      routing_(routing),
+      planner_(state.servers, state.purges, state.unix_time),
+      accounting_(state.counters) {}
+
+void Forwarding::start(const routing::Send& send_action) {
+    ActiveRequest* request = state_.find(send_action.request);
+    if (!request)
+        return;
+    const Time now = state_.clock.now();
+    const auto number = static_cast<std::uint32_t>(request->attempts.size());
+    const AttemptKey key{send_action.request, number};
+    request->attempts.push_back({.started = now});
+    auto attempt = planner_.plan(send_action, *request, number, now);
+    if (!attempt || request->answered() || now >= attempt->deadline)
+        return end_unsent(key);
+    // Guards rule 2 (no repeated effect) and the limit of attempts, whatever was decided.
+    if (!state_.guard.start_attempt(key)) {
+        state_.log.line("guard-violation", "%s", state_.guard.last_violation().c_str());
+        return end_unsent(key);
+    }
+    if (number > 0)
+        state_.log_request("retry", *request);
+    if (request->client_request->redirected)
+        redirect(*request, *attempt);
+    else
+        send(*request, std::move(*attempt));
+}
+
+void Forwarding::end_unsent(const AttemptKey& key) {
+    ended(key, {.attempt_status = AttemptStatus::not_sent});
+}
+
+// The client goes to the server by itself, so how that ends is not seen here, and the module is notified so.
+void Forwarding::redirect(ActiveRequest& request, const AttemptRequest& attempt) {
+    const AttemptKey key = attempt.key;
+    const auto address = planner_.redirect_address(attempt, state_.settings.parent_kind, state_.clock.now());
+    if (address) {
+        completion_.complete(request, redirected(*address));
+    } else {
+        ++state_.counters.not_carried;
+        completion_.complete(request, rejected(kNotRedirectableRetryAfter, false));
+    }
+    ended(key, {.attempt_status = AttemptStatus::unobserved});
+}
+
+void Forwarding::send(ActiveRequest& request, AttemptRequest attempt) {
+    ++state_.counters.sent;
+    count_remote_zone(attempt);
+    ActiveAttempt& active = request.attempts.back();
+    active.timeout_timer = state_.timers.at(attempt.deadline, [this, key = attempt.key] { timed_out(key); });
+    active.request = attempt;
+    state_.sender.start(std::move(attempt), *this);
+}
+
+void Forwarding::count_remote_zone(const AttemptRequest& attempt) {
+    const Server* target = state_.servers.find(attempt.target);
+    if (!target || !state_.servers.is_cache_server(*target))
+        return;
+    const std::string& zone = target->entry.zone;
+    if (zone == state_.servers.zone())
+        return;
+    if (attempts_by_remote_zone_.size() < kMaxCountedZones || attempts_by_remote_zone_.contains(zone))
+        ++attempts_by_remote_zone_[zone];
+}
+
+void Forwarding::cancel(const AttemptKey& key) {
+    const ActiveAttempt* attempt = state_.find(key);
+    if (!attempt || !attempt->in_flight)
+        return;
+    ++state_.counters.cancelled;
+    state_.sender.cancel(key);
+    ended(key, {.attempt_status = AttemptStatus::cancelled});
+}
+
+void Forwarding::cancel_attempts(RequestId id) {
+    // Each cancelled attempt may lead to another one, or close the request.
+    for (std::uint32_t number = 0; state_.find(AttemptKey{id, number}); ++number)
+        cancel({id, number});
+}
+
+std::optional<Span> Forwarding::before_first_byte(const AttemptKey& key) {
+    const ActiveRequest* request = state_.find(key.request);
+    const ActiveAttempt* attempt = state_.find(key);
+    if (!attempt || !attempt->in_flight || !attempt->request || request->answered())
+        return std::nullopt;
+    const Time now = state_.clock.now();
+    const auto reason =
+        state_.guard.check_first_byte(key, facts_at_first_byte(*request, *attempt->request, now));
+    std::optional<Span> oldest;
+    bool tightened = false;
+    if (reason) {
+        ++state_.counters.held_at_first_byte;
+        log_suppression(*request, *attempt->request, *reason);
+    } else {
+        const auto copy_age = planner_.copy_age_at_first_byte(*attempt->request, now);
+        oldest = copy_age.oldest;
+        tightened = copy_age.tightened;
+    }
+    if (tightened)
+        ++state_.counters.tightened;
+    if (state_.observer)
+        state_.observer->first_byte(key, oldest, tightened, now);
+    return oldest;
+}
+
+Guard::FirstByteFacts Forwarding::facts_at_first_byte(const ActiveRequest& request,
+                                                      const AttemptRequest& attempt, Time now) const {
+    Guard::FirstByteFacts facts;
+    facts.now = now;
+    facts.deadline = attempt.deadline;
+    // Guards rule 2 (no repeated effect): the wait for a connection may have outlasted the window of repeats.
+    facts.repeat_before = attempt.repeat_before;
+    // The event loop may learn of it only with its next turn. Within the request's own turn it was just read.
+    facts.client_closed = now > request.received + kSameTurn && request.sink->client_left();
+    // Guards rule 3 (drains): a server may have begun to drain during the wait.
+    facts.target_usable = state_.servers.is_usable(attempt.target);
+    facts.source_usable = !attempt.source || state_.servers.is_usable(*attempt.source);
+    return facts;
+}
+
+void Forwarding::log_suppression(const ActiveRequest& request, const AttemptRequest& attempt,
+                                 SuppressionReason reason) const {
+    state_.log.line("attempt-suppressed", "%s attempt %u to %s: %s", request.client_request->trace_id.c_str(),
+                    attempt.key.attempt, attempt.target.address.c_str(),
+                    std::string{name_of(reason)}.c_str());
+}
+
+void Forwarding::ended(const AttemptKey& key, AttemptResult result) {
+    ActiveAttempt* attempt = state_.find(key);
+    if (!attempt || !attempt->in_flight)
+        return;
+    ActiveRequest& request = *state_.find(key.request);
+    attempt->in_flight = false;
+    attempt->request.reset();
+    request.last_attempt_status = result.attempt_status;
+    state_.guard.attempt_ended(key, result.attempt_status);
+    if (attempt->timeout_timer)
+        state_.timers.cancel(std::exchange(attempt->timeout_timer, 0));
+    const bool success = result.attempt_status == AttemptStatus::success;
+    const Time now = state_.clock.now();
+    (void)state_.read_unix_time(now);
+    if (result.made_ms > 0)
+        state_.unix_time.observe_stamp(now, result.made_ms, UnixTime::Source::any);
+    cache_.store(request, result, now, state_.unix_time.latest_ms(now));
+    const auto outcome = accounting_.record(key, result, *attempt, success || request.answered(), now);
+    if (success)
+        completion_.complete(request, served(std::move(result)));
+    routing_.notify(outcome);
+}
+
+void Forwarding::timed_out(const AttemptKey& key) {
+    ActiveAttempt* attempt = state_.find(key);
+    if (!attempt)
+        return;
+    attempt->timeout_timer = 0;
+    if (!attempt->in_flight)
+        return;
+    state_.sender.cancel(key);
+    ended(key, {.attempt_status = AttemptStatus::timeout});
+}
+
+}  // namespace silverrail::core
--- a/src/core/guard.cpp
+++ b/src/core/guard.cpp
@@ -7,170 +7,180 @@
 
 namespace {
 
-constexpr std::size_t kStates = static_cast<std::size_t>(CallState::count_);
+constexpr std::size_t kStates = static_cast<std::size_t>(RequestState::count_);
 
+// The texts that the log and the figures print.
 constexpr std::array<std::string_view, kStates> kStateNames{"taken", "deciding", "ordered",
                                                             "sent",  "answered", "left"};
-constexpr std::array<std::string_view, kHeldReasons> kHeldNames{
+constexpr std::array<std::string_view, kSuppressionReasons> kSuppressionNames{
     "client_left",    "answered",       "past_deadline", "past_window",
     "target_drained", "source_drained", "may_run_twice", "another_out"};
 constexpr std::array<std::string_view, kViolations> kViolationNames{
     "start_after_end", "start_beside", "start_past_limit", "repeat", "transition", "unknown_call"};
 
-// Row: from; column: to, in the order of CallState. An attempt that ends after the answer changes nothing.
+// Row: from; column: to, in the order of RequestState. An attempt that ends after the answer changes nothing.
 constexpr bool kMayFollow[kStates][kStates] = {
-    //  taken  deciding ordered sent   answered left
-    {false, false, true, false, true, true},    // taken
-    {false, false, true, false, true, true},    // deciding
-    {false, true, false, true, true, true},     // ordered
+    // received between connecting sent answered closed
+    {false, false, true, false, true, true},    // received
+    {false, false, true, false, true, true},    // between_attempts
+    {false, true, false, true, true, true},     // connecting
     {false, true, false, false, true, true},    // sent
-    {false, false, false, false, false, true},  // answered: its client may go before it is written
-    {false, false, false, false, false, false}  // left
+    {false, false, false, false, false, true},  // answered: its client may close before it is written
+    {false, false, false, false, false, false}  // client_closed
 };
 
+// Whether the status proves that the server never ran the attempt.
+bool proves_not_run(AttemptStatus status) {
+    return status == AttemptStatus::overloaded || status == AttemptStatus::miss ||
+           status == AttemptStatus::not_sent || status == AttemptStatus::connect_failed;
+}
+
 }  // namespace
 
-std::string_view name_of(CallState state) {
+std::string_view name_of(RequestState state) {
     return kStateNames[static_cast<std::size_t>(state)];
 }
-std::string_view name_of(Held reason) {
-    return kHeldNames[static_cast<std::size_t>(reason)];
+
+std::string_view name_of(SuppressionReason reason) {
+    return kSuppressionNames[static_cast<std::size_t>(reason)];
 }
+
 std::string_view name_of(Violation violation) {
     return kViolationNames[static_cast<std::size_t>(violation)];
 }
 
-bool may_follow(CallState from, CallState to) {
+bool may_follow(RequestState from, RequestState to) {
     return kMayFollow[static_cast<std::size_t>(from)][static_cast<std::size_t>(to)];
 }
 
-void Guard::taken(RequestId id, std::size_t class_index) {
-    calls_[id] = Call{.state = CallState::taken, .class_index = class_index, .attempts = {}};
+void Guard::received(RequestId id, std::size_t class_index) {
+    requests_[id] = Request{.state = RequestState::received, .class_index = class_index, .attempts = {}};
 }
 
-Guard::Call* Guard::find(RequestId id) {
-    const auto at = calls_.find(id);
-    return at == calls_.end() ? nullptr : &at->second;
+Guard::Request* Guard::find(RequestId id) {
+    const auto found = requests_.find(id);
+    return found == requests_.end() ? nullptr : &found->second;
 }
 
-std::optional<CallState> Guard::state(RequestId id) const {
-    const auto at = calls_.find(id);
-    return at == calls_.end() ? std::nullopt : std::optional{at->second.state};
+std::optional<RequestState> Guard::state(RequestId id) const {
+    const auto found = requests_.find(id);
+    return found == requests_.end() ? std::nullopt : std::optional{found->second.state};
 }
 
-bool Guard::over(const Call& call) const {
-    return call.state == CallState::answered || call.state == CallState::left;
+bool Guard::is_over(const Request& request) {
+    return request.state == RequestState::answered || request.state == RequestState::client_closed;
 }
 
-// Has another attempt of it run, or may it have, where that is not to happen again?
-bool Guard::could_run_twice(const Call& call, std::uint32_t attempt) const {
-    if (settings_.classes[call.class_index].idempotency != routing::Idempotency::none)
+// Whether an attempt other than `attempt` may have run, where a second run is not allowed.
+bool Guard::could_run_twice(const Request& request, std::optional<std::uint32_t> attempt) const {
+    if (settings_.classes[request.class_index].idempotency != routing::Idempotency::none)
         return false;
-    return std::ranges::any_of(call.attempts, [attempt](const auto& entry) {
+    return std::ranges::any_of(request.attempts, [attempt](const auto& entry) {
         return entry.first != attempt && entry.second.may_have_run;
     });
 }
 
-std::optional<Violation> Guard::against_start(const Call& call) const {
-    if (over(call))
+std::optional<Violation> Guard::violation_of_start(const Request& request) const {
+    if (is_over(request))
         return Violation::start_after_end;
-    const bool beside =
-        std::ranges::any_of(call.attempts, [](const auto& entry) { return entry.second.out; });
-    if (beside)
-        return Violation::start_beside;
-    if (static_cast<int>(call.attempts.size()) >= settings_.max_attempts)
+    const bool another_in_flight =
+        std::ranges::any_of(request.attempts, [](const auto& entry) { return entry.second.in_flight; });
+    if (another_in_flight)
+        return Violation::concurrent_start;
+    if (static_cast<int>(request.attempts.size()) >= settings_.max_attempts)
         return Violation::start_past_limit;
-    if (could_run_twice(call, ~std::uint32_t{0}))
-        return Violation::repeat;
+    if (could_run_twice(request, std::nullopt))
+        return Violation::unsafe_repeat;
     return std::nullopt;
 }
 
-bool Guard::start(const AttemptKey& key) {
-    Call* call = find(key.request);
-    const auto against = call ? against_start(*call) : std::optional{Violation::unknown_call};
-    if (against) {
-        count(*against, key.request, call);
+bool Guard::start_attempt(const AttemptKey& key) {
+    Request* request = find(key.request);
+    const auto violation = request ? violation_of_start(*request) : std::optional{Violation::unknown_request};
+    if (violation) {
+        count(*violation, key.request, request);
         return false;
     }
-    call->attempts.emplace(key.attempt, Attempt{});
-    move(key.request, *call, CallState::ordered);
+    request->attempts.emplace(key.attempt, Attempt{});
+    move(key.request, *request, RequestState::connecting);
     return true;
 }
 
-std::optional<Held> Guard::against_send(const Call& call, std::uint32_t attempt, const Facts& facts) const {
-    if (call.state == CallState::left || facts.client_left)
-        return Held::client_left;
-    if (call.state == CallState::answered)
-        return Held::answered;
-    if (facts.now >= facts.give_up)
-        return Held::past_deadline;
+std::optional<SuppressionReason> Guard::reason_to_suppress(const Request& request, std::uint32_t attempt,
+                                                           const FirstByteFacts& facts) const {
+    if (request.state == RequestState::client_closed || facts.client_closed)
+        return SuppressionReason::client_closed;
+    if (request.state == RequestState::answered)
+        return SuppressionReason::answered;
+    if (facts.now >= facts.deadline)
+        return SuppressionReason::past_deadline;
     if (facts.repeat_before && facts.now >= *facts.repeat_before)
-        return Held::past_window;
+        return SuppressionReason::past_key_window;
     if (!facts.target_usable)
-        return Held::target_drained;
+        return SuppressionReason::target_drained;
     if (!facts.source_usable)
-        return Held::source_drained;
-    if (could_run_twice(call, attempt))
-        return Held::may_run_twice;
-    const bool another_out = std::ranges::any_of(call.attempts, [attempt](const auto& entry) {
-        return entry.first != attempt && entry.second.out && entry.second.sent;
+        return SuppressionReason::source_drained;
+    if (could_run_twice(request, attempt))
+        return SuppressionReason::may_run_twice;
+    const bool another_in_flight = std::ranges::any_of(request.attempts, [attempt](const auto& entry) {
+        return entry.first != attempt && entry.second.in_flight && entry.second.sent;
     });
-    if (another_out)
-        return Held::another_out;
+    if (another_in_flight)
+        return SuppressionReason::another_in_flight;
     return std::nullopt;
 }
 
-std::optional<Held> Guard::send(const AttemptKey& key, const Facts& facts) {
-    Call* call = find(key.request);
-    const auto at = call ? call->attempts.find(key.attempt) : std::map<std::uint32_t, Attempt>::iterator{};
-    const bool on_record = call && at != call->attempts.end() && at->second.out;
-    const auto against = on_record ? against_send(*call, key.attempt, facts) : std::optional{Held::answered};
-    if (against) {
-        ++held_[static_cast<std::size_t>(*against)];
-        return against;
+std::optional<SuppressionReason> Guard::check_first_byte(const AttemptKey& key, const FirstByteFacts& facts) {
+    Request* request = find(key.request);
+    const auto attempt = request ? request->attempts.find(key.attempt) : Attempts::iterator{};
+    const bool recorded = request && attempt != request->attempts.end() && attempt->second.in_flight;
+    const auto reason = recorded ? reason_to_suppress(*request, key.attempt, facts)
+                                 : std::optional{SuppressionReason::answered};
+    if (reason) {
+        ++suppressed_[static_cast<std::size_t>(*reason)];
+        return reason;
     }
-    at->second.sent = at->second.may_have_run = true;
-    move(key.request, *call, CallState::sent);
+    attempt->second.sent = true;
+    attempt->second.may_have_run = true;
+    move(key.request, *request, RequestState::sent);
     return std::nullopt;
 }
 
-void Guard::ended(const AttemptKey& key, AttemptStatus attempt_status) {
-    Call* call = find(key.request);
-    if (!call)
-        return count(Violation::unknown_call, key.request, nullptr);
-    const auto at = call->attempts.find(key.attempt);
-    if (at == call->attempts.end() || !at->second.out)
+void Guard::attempt_ended(const AttemptKey& key, AttemptStatus attempt_status) {
+    Request* request = find(key.request);
+    if (!request)
+        return count(Violation::unknown_request, key.request, nullptr);
+    const auto attempt = request->attempts.find(key.attempt);
+    if (attempt == request->attempts.end() || !attempt->second.in_flight)
         return;
-    at->second.out = false;
-    // The server's own word that it never ran.
-    if (attempt_status == AttemptStatus::overloaded || attempt_status == AttemptStatus::miss ||
-        attempt_status == AttemptStatus::not_sent || attempt_status == AttemptStatus::connect_failed)
-        at->second.may_have_run = false;
-    if (!over(*call))
-        move(key.request, *call, CallState::deciding);
+    attempt->second.in_flight = false;
+    if (proves_not_run(attempt_status))
+        attempt->second.may_have_run = false;
+    if (!is_over(*request))
+        move(key.request, *request, RequestState::between_attempts);
 }
 
-void Guard::move(RequestId id, CallState to) {
-    if (Call* call = find(id))
-        move(id, *call, to);
+void Guard::move(RequestId id, RequestState to) {
+    if (Request* request = find(id))
+        move(id, *request, to);
 }
 
-void Guard::move(RequestId id, Call& call, CallState to) {
-    if (!may_follow(call.state, to))
-        count(Violation::transition, id, &call);
-    call.state = to;
+void Guard::move(RequestId id, Request& request, RequestState to) {
+    if (!may_follow(request.state, to))
+        count(Violation::invalid_transition, id, &request);
+    request.state = to;
 }
 
 std::uint64_t Guard::violations() const {
     return std::accumulate(violations_.begin(), violations_.end(), std::uint64_t{0});
 }
 
-void Guard::count(Violation violation, RequestId id, const Call* call) {
+void Guard::count(Violation violation, RequestId id, const Request* request) {
     ++violations_[static_cast<std::size_t>(violation)];
     last_violation_ = std::string{name_of(violation)} + ", call " +
                       std::to_string(static_cast<std::uint64_t>(id)) + ", state " +
-                      std::string{call ? name_of(call->state) : "none"} + ", attempts " +
-                      std::to_string(call ? call->attempts.size() : 0);
+                      std::string{request ? name_of(request->state) : "none"} + ", attempts " +
+                      std::to_string(request ? request->attempts.size() : 0);
 }
 
 }  // namespace silverrail::core
--- a/src/core/guard.h
+++ b/src/core/guard.h
@@ -1,7 +1,7 @@
-// The guard: every call's life as named states, and the one place that says whether an attempt may start, its
-// first byte go out, or an answer be given. It keeps its own account of what is out and what may have run,
-// apart from the module's, so that a decision that would break a rule is held back here and counted. No
-// clock, no I/O.
+// The guard: every request's life as named states, and the one place that allows an attempt to start, its
+// first byte to be written, and an answer to be given. It keeps its own record of which attempts are in
+// flight and which may have run, apart from the decision module's, so that a decision that would break a rule
+// is suppressed and counted here. No clock, no I/O.
 #pragma once
 
 #include <array>
@@ -15,41 +15,41 @@
 
 namespace silverrail::core {
 
-enum class CallState : std::uint8_t {
-    taken,     // read whole; nothing has been decided
-    deciding,  // no attempt is out, one was
-    ordered,   // an attempt waits for its connection
-    sent,      // its first byte is out, or was
-    answered,  // the client has its one answer
-    left,      // the client has gone; nothing is owed
+enum class RequestState : std::uint8_t {
+    received,          // nothing has been decided
+    between_attempts,  // no attempt is in flight, one was
+    connecting,        // an attempt waits for its connection
+    sent,              // an attempt's first byte is written
+    answered,          // the client has its one answer
+    client_closed,     // nothing is owed any more
     count_
 };
-std::string_view name_of(CallState state);
-bool may_follow(CallState from, CallState to);
+std::string_view name_of(RequestState state);
+bool may_follow(RequestState from, RequestState to);
 
-// Why an attempt's first byte is held back. Waits make the first five right and usual.
-enum class Held : std::uint8_t {
-    client_left,
+// Why an attempt's first byte is suppressed. All but the last two are usual: connections may take long.
+enum class SuppressionReason : std::uint8_t {
+    client_closed,
     answered,
-    past_deadline,  // of the attempt or its client
-    past_window,    // of a keyed request's repeats
+    past_deadline,    // the attempt's or the client's
+    past_key_window,  // servers remember a keyed request's repeats only so long
     target_drained,
     source_drained,
-    may_run_twice,  // of a class that may not be repeated, and an earlier one may have run
-    another_out,    // two at once
+    may_run_twice,  // the class has no repeats, and an earlier attempt may have run
+    another_in_flight,
     count_
 };
-constexpr std::size_t kHeldReasons = static_cast<std::size_t>(Held::count_);
-std::string_view name_of(Held reason);
+constexpr std::size_t kSuppressionReasons = static_cast<std::size_t>(SuppressionReason::count_);
+std::string_view name_of(SuppressionReason reason);
 
-// What no state of the world makes right: decisions that would have broken a rule.
+// Decisions that would have broken a rule; none is ever right.
 enum class Violation : std::uint8_t {
-    start_after_end,   // an attempt ordered for a call that is answered or left
-    start_beside,      // an attempt ordered while another is out
-    start_past_limit,  // more attempts than the settings allow
-    repeat,            // an attempt ordered that could run a second time
-    transition,        // a state that may not follow
-    unknown_call,      // an event of a call that is not open
+    start_after_end,     // an attempt for a request that is answered or whose client has closed
+    concurrent_start,    // an attempt while another is in flight
+    start_past_limit,    // more attempts than the settings allow
+    unsafe_repeat,       // an attempt that could run a second time
+    invalid_transition,  // a state that may not follow
+    unknown_request,     // an event of a request that is not open
     count_
 };
 constexpr std::size_t kViolations = static_cast<std::size_t>(Violation::count_);
@@ -57,69 +57,73 @@
 
 class Guard {
 public:
+    // `settings` must outlive the guard.
     explicit Guard(const routing::Settings& settings) : settings_(settings) {}
 
-    void taken(RequestId id, std::size_t class_index);
-    // May a further attempt start? It is on record from here on if so; else the violation is counted.
-    [[nodiscard]] bool start(const AttemptKey& key);
-    // Nothing, and it is on record as sent, or why its first byte has to stay.
-    struct Facts {
+    void received(RequestId id, std::size_t class_index);
+    // Whether a further attempt may start. If so it is recorded, else the violation is counted.
+    [[nodiscard]] bool start_attempt(const AttemptKey& key);
+    struct FirstByteFacts {
         Time now{};
-        Time give_up{};
+        Time deadline{};  // the attempt's
         std::optional<Time> repeat_before{};
-        bool client_left = false;
+        bool client_closed = false;
         bool target_usable = true;
         bool source_usable = true;
     };
-    [[nodiscard]] std::optional<Held> send(const AttemptKey& key, const Facts& facts);
-    void ended(const AttemptKey& key, AttemptStatus attempt_status);
+    // Why the attempt's first byte must not be written. Absent: it may, and the attempt is recorded as sent.
+    [[nodiscard]] std::optional<SuppressionReason> check_first_byte(const AttemptKey& key,
+                                                                    const FirstByteFacts& facts);
+    void attempt_ended(const AttemptKey& key, AttemptStatus attempt_status);
     void answered(RequestId id) {
-        move(id, CallState::answered);
+        move(id, RequestState::answered);
     }
-    void left(RequestId id) {
-        move(id, CallState::left);
+    void client_closed(RequestId id) {
+        move(id, RequestState::client_closed);
     }
-    void closed(RequestId id) {
-        calls_.erase(id);
+    void forget(RequestId id) {
+        requests_.erase(id);
     }
     // Absent: not open.
-    std::optional<CallState> state(RequestId id) const;
+    std::optional<RequestState> state(RequestId id) const;
 
-    std::uint64_t held(Held reason) const {
-        return held_[static_cast<std::size_t>(reason)];
+    std::uint64_t suppressed(SuppressionReason reason) const {
+        return suppressed_[static_cast<std::size_t>(reason)];
     }
     std::uint64_t violations(Violation violation) const {
         return violations_[static_cast<std::size_t>(violation)];
     }
     std::uint64_t violations() const;
-    // The last one, for the log: rule, state and attempt; empty: there was none.
+    // The last one as text for the log: rule, request, state and attempts. Empty: there was none.
     const std::string& last_violation() const {
         return last_violation_;
     }
 
 private:
     struct Attempt {
-        bool out = true;
+        bool in_flight = true;
         bool sent = false;
         bool may_have_run = false;
     };
-    struct Call {
-        CallState state = CallState::taken;
+    using Attempts = std::map<std::uint32_t, Attempt>;  // by number
+    struct Request {
+        RequestState state = RequestState::received;
         std::size_t class_index = 0;
-        std::map<std::uint32_t, Attempt> attempts;  // by number
+        Attempts attempts;
     };
-    Call* find(RequestId id);
-    bool over(const Call& call) const;
-    bool could_run_twice(const Call& call, std::uint32_t attempt) const;
-    std::optional<Violation> against_start(const Call& call) const;
-    std::optional<Held> against_send(const Call& call, std::uint32_t attempt, const Facts& facts) const;
-    void move(RequestId id, CallState to);
-    void move(RequestId id, Call& call, CallState to);
-    void count(Violation violation, RequestId id, const Call* call);
+    Request* find(RequestId id);
+    static bool is_over(const Request& request);
+    bool could_run_twice(const Request& request, std::optional<std::uint32_t> attempt) const;
+    std::optional<Violation> violation_of_start(const Request& request) const;
+    std::optional<SuppressionReason> reason_to_suppress(const Request& request, std::uint32_t attempt,
+                                                        const FirstByteFacts& facts) const;
+    void move(RequestId id, RequestState to);
+    void move(RequestId id, Request& request, RequestState to);
+    void count(Violation violation, RequestId id, const Request* request);
 
     const routing::Settings& settings_;
-    std::map<RequestId, Call> calls_;
-    std::array<std::uint64_t, kHeldReasons> held_{};
+    std::map<RequestId, Request> requests_;
+    std::array<std::uint64_t, kSuppressionReasons> suppressed_{};
     std::array<std::uint64_t, kViolations> violations_{};
     std::string last_violation_;
 };
--- /dev/null
+++ b/src/core/intake.h
@@ -0,0 +1,50 @@
+// Intake: checks that a request is one that the settings know, and that its client's id is not open already.
+#pragma once
+
+#include <unordered_map>
+#include <unordered_set>
+#include <vector>
+
+#include "core/types.h"
+
+namespace silverrail::core {
+
+class Intake {
+public:
+    explicit Intake(const routing::Settings& settings);
+    // Absent: no class has that name.
+    std::optional<std::size_t> class_index(const std::string& class_name) const;
+    // Whether clients of this class can send such a request: a write or not as the class says, a plausible
+    // deadline, and an idempotency key where the class has them.
+    bool is_valid(const ClientRequest& request, std::size_t class_index, Time now) const;
+    // A client's id stands for one request at a time. Empty ids are not compared.
+    bool is_open(const std::string& trace_id) const {
+        return open_.contains(trace_id);
+    }
+    void claim(const std::string& trace_id) {
+        if (!trace_id.empty())
+            open_.insert(trace_id);
+    }
+    void release(const std::string& trace_id) {
+        open_.erase(trace_id);
+    }
+    RequestId next_id() {
+        return RequestId{++last_id_};
+    }
+    // The request as the decision module sees it.
+    routing::Request routing_request(RequestId id, std::size_t class_index,
+                                     const ClientRequest& request) const;
+
+private:
+    struct ClassRules {
+        Span client_timeout;
+        bool write;
+        bool keyed;  // may be repeated, as servers recognise a repeat by its key
+    };
+    std::unordered_map<std::string, std::size_t> class_indexes_;
+    std::vector<ClassRules> class_rules_;
+    std::unordered_set<std::string> open_;
+    std::uint64_t last_id_ = 0;
+};
+
+}  // namespace silverrail::core
--- a/src/core/observer.h
+++ b/src/core/observer.h
@@ -1,18 +1,18 @@
-// Who watches the core: traces and measures. Told of what happened, asked nothing, and never able to change
-// it.
+// Observers of the core, such as traces and measurements. They are notified of what happened and cannot
+// change it.
 #pragma once
 
 #include <vector>
 
-#include "core/fleet.h"
-#include "core/open_call.h"
+#include "core/active_request.h"
 #include "core/purges.h"
+#include "core/server_registry.h"
 
 namespace silverrail::core {
 
-// What an event that the module was told of came from; those that it did not come from are absent.
-struct Origin {
-    const OpenCalls* calls = nullptr;  // all that are open, before the module's actions are carried out
+// What a decision module's event was made from; absent: not from that.
+struct EventOrigin {
+    const ActiveRequests* requests = nullptr;  // all open ones, before the module's actions are carried out
     const ServerChange* change = nullptr;
     const PurgeNotice* purge = nullptr;
 };
@@ -20,15 +20,15 @@
 class Observer {
 public:
     virtual ~Observer() = default;
-    // The module was told `event` at `now`, the time it was given, and said `actions`. In order, no two at
-    // once.
-    virtual void told(const routing::Event& event, Time now, const std::vector<routing::Action>& actions,
-                      const Origin& origin) = 0;
-    // A call that was answered at the door: the module never hears of it. Its answer comes next.
-    virtual void turned_away(const Call& call, std::size_t class_index, Time now) = 0;
-    // An attempt's first byte was due; absent `oldest`: it was held back.
+    // The decision module handled `event` at `now`, the time that it was given, and returned `actions`.
+    // Called in order, never nested.
+    virtual void event_handled(const routing::Event& event, Time now,
+                               const std::vector<routing::Action>& actions, const EventOrigin& origin) = 0;
+    // A request is answered at intake, without the decision module. `answered` follows.
+    virtual void answered_at_intake(const ClientRequest& request, std::size_t class_index, Time now) = 0;
+    // An attempt's first byte was due; absent `oldest`: the attempt was suppressed.
     virtual void first_byte(const AttemptKey& key, std::optional<Span> oldest, bool tightened, Time now) = 0;
-    // `id` is 0 for one that was turned away.
+    // `id` is 0 for a request that is answered at intake.
     virtual void answered(RequestId id, const Answer& answer, Time now) = 0;
 };
 
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -1,4 +1,4 @@
-// The small interfaces through which the core acts on the world.
+// The interfaces through which the core reaches its surroundings: clocks, timers, clients and servers.
 #pragma once
 
 #include <functional>
@@ -10,44 +10,46 @@
 class Clock {
 public:
     virtual ~Clock() = default;
-    virtual Time now() const = 0;              // steady
-    virtual std::int64_t unix_ms() const = 0;  // the system's
+    virtual Time now() const = 0;              // monotonic
+    virtual std::int64_t unix_ms() const = 0;  // the system's wall clock; it may be stepped
 };
 
 class Timers {
 public:
-    using Handle = std::uint64_t;
+    using Handle = std::uint64_t;  // 0: no timer
     virtual ~Timers() = default;
     virtual Handle at(Time when, std::function<void()> action) = 0;
     virtual void cancel(Handle handle) = 0;
 };
 
-// Takes the one final answer of a call.
+// Receives the one final answer of a request.
 class ReplySink {
 public:
     virtual ~ReplySink() = default;
     virtual void reply(Answer answer) = 0;
-    // Has the client gone, by what the system says now? Asked where it may not have been told of yet.
+    // Whether the operating system knows that the client has closed, even if the event loop does not yet.
     virtual bool client_left() const {
         return false;
     }
 };
 
+// What the sender of attempts reports back.
 class AttemptEvents {
 public:
     virtual ~AttemptEvents() = default;
-    // Asked right before an attempt's first byte goes out, whatever it waited for until then: the oldest
-    // copy that will do now, or nothing if it must not be sent any more.
+    // Called right before an attempt's first byte is written. Returns the greatest age of a copy that will do
+    // now, or nothing if the attempt must not be sent any more.
     virtual std::optional<Span> before_first_byte(const AttemptKey& key) = 0;
-    // Its last byte is out, also where it has been given up meanwhile.
+    // An attempt's last byte is written, even if it was cancelled meanwhile.
     virtual void written() = 0;
-    virtual void ended(const AttemptKey& key, AttemptEnd end) = 0;
+    virtual void ended(const AttemptKey& key, AttemptResult result) = 0;
 };
 
 class AttemptSender {
 public:
     virtual ~AttemptSender() = default;
-    virtual void start(Order order, AttemptEvents& events) = 0;
+    // `events` outlives the attempt. It may be called before this returns.
+    virtual void start(AttemptRequest request, AttemptEvents& events) = 0;
     virtual void cancel(const AttemptKey& key) = 0;   // no event follows
     virtual void forget(const ServerId& server) = 0;  // gone or restarted: its open connections are void
 };
--- a/src/core/purges.cpp
+++ b/src/core/purges.cpp
@@ -5,65 +5,67 @@
 namespace silverrail::core {
 
 namespace {
-constexpr Span kBetweenSweeps = std::chrono::seconds{1};
-}
+constexpr Span kSweepInterval = std::chrono::seconds{1};
+// 0 would mean the class's max_age.
+constexpr Span kMinCopyAge = std::chrono::milliseconds{1};
+}  // namespace
 
-void Purges::Known::revalidate(const Known& other) {
+void Purges::Record::merge(const Record& other) {
     issued_ms = std::max(issued_ms, other.issued_ms);
-    told = std::max(told, other.told);
+    received = std::max(received, other.received);
 }
 
 void Purges::add(const PurgeNotice& purge, Time now) {
-    forget(now);
-    Known& known = purge.object ? objects_[*purge.object] : groups_[purge.group];
-    known.revalidate({purge.issued_ms, now});
+    forget_old(now);
+    Record& record = purge.object ? objects_[*purge.object] : groups_[purge.group];
+    record.merge({purge.issued_ms, now});
 }
 
-std::optional<Purges::Known> Purges::latest(const Call& call) const {
-    std::optional<Known> found;
-    const auto take = [&found](const Known& known) {
-        if (!found)
-            found.emplace();
-        found->revalidate(known);
+std::optional<Purges::Record> Purges::latest(const ClientRequest& request) const {
+    std::optional<Record> latest;
+    const auto include = [&latest](const Record& record) {
+        if (!latest)
+            latest.emplace();
+        latest->merge(record);
     };
-    if (const auto object = objects_.find(call.object_id); object != objects_.end())
-        take(object->second);
-    if (!call.group_known) {
-        for (const auto& [group, known] : groups_)
-            take(known);
-    } else if (const auto group = groups_.find(call.group); group != groups_.end()) {
-        take(group->second);
+    if (const auto object = objects_.find(request.object_id); object != objects_.end())
+        include(object->second);
+    if (!request.group_known) {
+        for (const auto& [group, record] : groups_)
+            include(record);
+    } else if (const auto group = groups_.find(request.group); group != groups_.end()) {
+        include(group->second);
     }
-    return found;
+    return latest;
 }
 
-std::optional<std::int64_t> Purges::issued(const Call& call, Time now) const {
-    const auto known = latest(call);
-    if (!known || known->told + kept_for_ < now)
+std::optional<std::int64_t> Purges::last_issued_ms(const ClientRequest& request, Time now) const {
+    const auto record = latest(request);
+    if (!record || record->received + remembered_for_ < now)
         return std::nullopt;
-    return known->issued_ms;
+    return record->issued_ms;
 }
 
-std::optional<Span> Purges::bound(const Call& call, Time now, const UnixTime& unix_time) const {
-    const auto known = latest(call);
-    if (!known)
+std::optional<Span> Purges::max_copy_age(const ClientRequest& request, Time now,
+                                         const UnixTime& unix_time) const {
+    const auto record = latest(request);
+    if (!record)
         return std::nullopt;
-    const Span age = std::max(now - known->told, unix_time.proven_age(now, known->issued_ms));
+    const Span age = std::max(now - record->received, unix_time.proven_age(now, record->issued_ms));
     if (age > cleared_after_)
         return std::nullopt;
-    // Never 0, which would mean the class's fresh time.
-    return std::max<Span>(std::chrono::milliseconds{1}, age);
+    return std::max(kMinCopyAge, age);
 }
 
-void Purges::forget(Time now) {
-    if (now < swept_ + kBetweenSweeps)
+void Purges::forget_old(Time now) {
+    if (now < last_sweep_ + kSweepInterval)
         return;
-    swept_ = now;
-    const auto old = [&](const auto& entry) {
-        return entry.second.told + kept_for_ < now;
+    last_sweep_ = now;
+    const auto is_old = [&](const auto& entry) {
+        return entry.second.received + remembered_for_ < now;
     };
-    std::erase_if(objects_, old);
-    std::erase_if(groups_, old);
+    std::erase_if(objects_, is_old);
+    std::erase_if(groups_, is_old);
 }
 
 }  // namespace silverrail::core
--- a/src/core/purges.h
+++ b/src/core/purges.h
@@ -1,4 +1,5 @@
-// The purges told, for the check at an attempt's first byte. Bounded; the module has its own memory of them.
+// The purges heard of, for the check at an attempt's first byte. Bounded in time; the decision module has a
+// memory of its own.
 #pragma once
 
 #include <map>
@@ -11,41 +12,43 @@
 struct PurgeNotice {
     std::optional<routing::ObjectId> object;  // absent: the whole group
     routing::GroupId group{};
-    std::int64_t issued_ms = 0;  // Unix time, by the clock of whoever issued it
+    std::int64_t issued_ms = 0;  // Unix time in ms, by the clock of the issuer
 };
 
-// A purge is as old as stamps from elsewhere prove, and at least as old as its telling: by no clock of this
-// machine, which may be ahead. Unix time is compared with other stamps only: when a copy was made with when
-// its object was purged.
+// A purge is as old as timestamps from elsewhere prove, and at least as old as the moment it was received.
+// This machine's wall clock, which may be ahead, says nothing here. Unix times are compared only with each
+// other: when a copy was made with when its object was purged.
 class Purges {
 public:
-    // `cleared_after`: then no older copy is left anywhere. An answer that was asked for before that may
-    // still be on its way for as long as a call lives, so a purge is remembered for `longest_call` more.
-    Purges(Span cleared_after, Span longest_call)
-        : cleared_after_(cleared_after), kept_for_(cleared_after + longest_call) {}
+    // After `cleared_after` no server holds an older copy. A response that was requested before that may be
+    // in flight for `longest_request` more, so a purge is remembered for both together.
+    Purges(Span cleared_after, Span longest_request)
+        : cleared_after_(cleared_after), remembered_for_(cleared_after + longest_request) {}
     void add(const PurgeNotice& purge, Time now);
-    // When it was last purged, in Unix ms; absent: no answer that comes now is older than a purge of it.
-    std::optional<std::int64_t> issued(const Call& call, Time now) const;
-    // The oldest copy of it that a server may give; absent: servers hold none that a purge touches.
-    std::optional<Span> bound(const Call& call, Time now, const UnixTime& unix_time) const;
+    // When the request's object was purged last, as Unix time in ms. Absent: no response that arrives now can
+    // be older than a purge of it.
+    std::optional<std::int64_t> last_issued_ms(const ClientRequest& request, Time now) const;
+    // The greatest age of a copy that a server may answer with. Absent: no server holds a copy that a purge
+    // concerns.
+    std::optional<Span> max_copy_age(const ClientRequest& request, Time now, const UnixTime& unix_time) const;
     std::size_t size() const {
         return objects_.size() + groups_.size();
     }
 
 private:
-    struct Known {
+    struct Record {
         std::int64_t issued_ms = 0;
-        Time told{};
-        void revalidate(const Known& other);
+        Time received{};
+        void merge(const Record& other);
     };
-    std::optional<Known> latest(const Call& call) const;
-    void forget(Time now);
+    std::optional<Record> latest(const ClientRequest& request) const;
+    void forget_old(Time now);
 
     Span cleared_after_;
-    Span kept_for_;
-    Time swept_{};
-    std::map<routing::ObjectId, Known> objects_;
-    std::map<routing::GroupId, Known> groups_;
+    Span remembered_for_;
+    Time last_sweep_{};
+    std::map<routing::ObjectId, Record> objects_;
+    std::map<routing::GroupId, Record> groups_;
 };
 
 }  // namespace silverrail::core
--- /dev/null
+++ b/src/core/response_cache_stage.cpp
@@ -0,0 +1,86 @@
+#include "core/response_cache_stage.h"
+
+#include <utility>
+
+namespace silverrail::core {
+
+namespace {
+// How far the clocks of two machines may be apart with both of them right.
+constexpr std::int64_t kClockToleranceMs = 100;
+}  // namespace
+
+void ResponseCacheStage::set_purges_reliable(bool reliable) {
+    if (cache_)
+        cache_->set_purges_reliable(reliable);
+}
+
+void ResponseCacheStage::set_capacity(std::size_t bytes) {
+    if (cache_)
+        cache_->set_capacity(bytes);
+}
+
+std::optional<cache::Lookup> ResponseCacheStage::lookup_of(const ClientRequest& request,
+                                                           std::size_t class_index) const {
+    if (!cache_ || request.write || request.redirected || settings_.classes[class_index].uncached)
+        return std::nullopt;
+    return cache::Lookup{{request.object_id, class_index, request.part},
+                         request.group,
+                         request.group_known,
+                         request.client_tag};
+}
+
+std::optional<Answer> ResponseCacheStage::answer_from(std::optional<cache::Hit> response) {
+    if (!response)
+        return std::nullopt;
+    ++(response->stale ? counters_.own_stale : counters_.own_fresh);
+    Answer answer;
+    answer.kind = response->body ? Answer::Kind::served : Answer::Kind::not_modified;
+    if (response->body)
+        answer.body = *response->body;
+    answer.tag = std::move(response->tag);
+    answer.made_ms = response->made_ms;
+    return answer;
+}
+
+std::optional<Answer> ResponseCacheStage::fresh_answer(const ClientRequest& request, std::size_t class_index,
+                                                       Time now, std::int64_t unix_ms) {
+    const auto lookup = lookup_of(request, class_index);
+    return lookup ? answer_from(cache_->find_fresh(*lookup, now, unix_ms)) : std::nullopt;
+}
+
+std::optional<Answer> ResponseCacheStage::last_resort_answer(const ClientRequest& request,
+                                                             std::size_t class_index, Time now,
+                                                             std::int64_t unix_ms) {
+    const auto lookup = lookup_of(request, class_index);
+    return lookup ? answer_from(cache_->find_last_resort(*lookup, now, unix_ms, request.deadline))
+                  : std::nullopt;
+}
+
+void ResponseCacheStage::store(const ActiveRequest& request, const AttemptResult& result, Time now,
+                               std::int64_t unix_ms) {
+    if (result.attempt_status != AttemptStatus::success || result.not_modified)
+        return;
+    // Guards rule 5 (no purged copy): past that, the purges that it may be older than are forgotten.
+    if (now - request.received > longest_request_)
+        return;
+    // Made later than it can be now: one of the clocks is wrong, and the response would count as too young
+    // for good.
+    if (result.made_ms > unix_ms + kClockToleranceMs)
+        return;
+    const auto lookup = lookup_of(*request.client_request, request.class_index);
+    if (!lookup)
+        return;
+    const std::int64_t purged_ms = purges_.last_issued_ms(*request.client_request, now).value_or(0);
+    cache_->store(*lookup, result.body, result.tag, result.made_ms, purged_ms);
+}
+
+void ResponseCacheStage::purge(const PurgeNotice& purge) {
+    if (!cache_)
+        return;
+    if (purge.object)
+        cache_->purge_object(*purge.object, purge.issued_ms);
+    else
+        cache_->purge_group(purge.group, purge.issued_ms);
+}
+
+}  // namespace silverrail::core
--- /dev/null
+++ b/src/core/routing_stage.cpp
@@ -0,0 +1,52 @@
+#include "core/routing_stage.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace silverrail::core {
+
+namespace {
+
+// The registry gives each server the weight that counts, so that a factor on a zone can be expressed by it.
+routing::Settings with_nominal_weights(routing::Settings settings) {
+    settings.server_weights = routing::ServerWeights::nominal;
+    return settings;
+}
+
+}  // namespace
+
+RoutingStage::RoutingStage(EngineState& state, std::uint64_t seed, ActionHandler& handler)
+    : state_(state), handler_(handler), router_(with_nominal_weights(state.settings), seed) {}
+
+void RoutingStage::notify(routing::Event event) {
+    waiting_.push_back(std::move(event));
+    if (std::exchange(handling_, true))
+        return;
+    while (!waiting_.empty()) {
+        const routing::Event next = std::move(waiting_.front());
+        waiting_.pop_front();
+        handle(next);
+    }
+    handling_ = false;
+}
+
+void RoutingStage::notify(routing::Event event, const EventOrigin& origin) {
+    origin_ = origin;
+    notify(std::move(event));
+    origin_ = {};
+}
+
+void RoutingStage::handle(const routing::Event& event) {
+    last_event_time_ = std::max(last_event_time_, state_.clock.now());
+    const auto actions = router_.on(event, last_event_time_);
+    if (state_.observer) {
+        EventOrigin origin = origin_;
+        origin.requests = &state_.requests;
+        state_.observer->event_handled(event, last_event_time_, actions, origin);
+    }
+    for (const auto& action : actions)
+        handler_.carry_out(action);
+    handler_.event_done(event);
+}
+
+}  // namespace silverrail::core
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -1,4 +1,4 @@
-// What the core deals in: calls, attempts and answers. No wire is known here.
+// What the core deals in: client requests, attempts and answers. No wire format is known here.
 #pragma once
 
 #include <algorithm>
@@ -19,45 +19,45 @@
 using routing::Span;
 using routing::Time;
 
-// Which front a call came through.
+// The protocol through which a request came.
 enum class Front : std::uint8_t { platform, dns };
 
-// A client's address as bytes in network order: 4, 16, or none where the front does not tell.
+// A client's address as bytes in network order: 4, 16, or none where the front does not know it.
 struct ClientAddress {
     std::array<unsigned char, 16> bytes{};
     std::uint8_t size = 0;
 };
 
-// One request as a front hands it over.
-struct Call {
-    std::string trace;       // the client's own id, passed on unchanged
+// One request as a front hands it over. Immutable once the engine has accepted it.
+struct ClientRequest {
+    std::string trace_id;    // the client's own id, passed on unchanged
     std::string class_name;  // as the settings name it
     std::string object;      // as the client wrote it
     routing::ObjectId object_id{};
     std::uint32_t part = 0;
     routing::GroupId group{};
-    bool group_known = true;  // false: any group's purge may concern it
+    bool group_known = true;  // false: a purge of any group may concern it
     double size_kb = 0;
     Time deadline{};
     bool write = false;
     std::shared_ptr<const std::string> body;  // of a write
-    std::string have;                         // bare tag of the client's copy; empty: none
-    std::string idempotency_key;  // by which servers know a repeat, a client's own too; empty: none
-    bool redirected = false;      // the client goes to the server by itself: only a name is wanted
+    std::string client_tag;                   // entity tag of the client's copy, without quotes; empty: none
+    std::string idempotency_key;              // lets servers recognise a repeat; empty: none
+    bool redirected = false;  // the client connects to the server itself and wants its name only
     Front front = Front::platform;
     ClientAddress client;
 };
 
+// The one final answer to a client request.
 struct Answer {
-    enum class Kind { served, unchanged, redirected, refused, failed };
+    enum class Kind { served, not_modified, redirected, rejected, failed };
     Kind kind = Kind::failed;
     std::string body;            // served
-    std::string tag;             // served, unchanged
-    Span hold_off{};             // refused: how long to stay away; 0: nothing is said
-    std::string server_address;  // referred
-    bool timed_out = false;      // refused, failed: the deadline has passed
-    std::int64_t made_ms =
-        0;  // served, unchanged: Unix time at which the origin gave this copy out; 0: not told
+    std::string tag;             // served, not_modified
+    Span retry_after{};          // rejected: how long the client should stay away; 0: not told
+    std::string server_address;  // redirected
+    bool timed_out = false;      // rejected, failed: the deadline has passed
+    std::int64_t made_ms = 0;  // served, not_modified: Unix time in ms at the origin's response; 0: not told
 };
 
 struct AttemptKey {
@@ -66,39 +66,40 @@
     auto operator<=>(const AttemptKey&) const = default;
 };
 
-// One attempt as the core orders it. The call lives as long as the attempt is out.
-struct Order {
+// One attempt, ready to be sent to a server. The client request lives as long as the attempt is in flight.
+struct AttemptRequest {
     AttemptKey key{};
-    std::shared_ptr<const Call> call;
+    std::shared_ptr<const ClientRequest> client_request;
     ServerId target{};
     std::string address;
     std::optional<ServerId> source{};  // absent: a miss is not filled
     int retention = 0;
-    Span oldest{};  // 0: the class's fresh time
+    Span oldest{};  // greatest age of a copy that will do; 0: the class's max_age
     bool join = false;
     bool revalidate = false;
     bool only_if_cached = false;
-    Time give_up{};
-    std::optional<Time> repeat_before{};  // not sent at or after that; absent: nothing of it may have run
+    Time deadline{};  // of this attempt
+    // Absent: no earlier attempt may have run. Else not a byte goes out at or after that time.
+    std::optional<Time> repeat_before{};
 };
 
 // How an attempt ended, as seen on the wire.
-struct AttemptEnd {
+struct AttemptResult {
     AttemptStatus attempt_status = AttemptStatus::error;
     CacheStatus cache_status = CacheStatus::none;
     Span source_wait{};
     routing::LoadReport load{};
-    bool unchanged = false;    // good: the client's copy is the one
-    std::string body{};        // good
-    std::string tag{};         // good
-    std::int64_t made_ms = 0;  // good: see Answer
+    bool not_modified = false;  // success: the client's copy is current
+    std::string body{};         // success
+    std::string tag{};          // success
+    std::int64_t made_ms = 0;   // success: see Answer
 };
 
-// How long a client of any class waits at most, by the settings.
-inline Span longest_deadline(const routing::Settings& settings) {
+// The longest client timeout of any class.
+inline Span longest_client_timeout(const routing::Settings& settings) {
     Span longest{};
-    for (const auto& c : settings.classes)
-        longest = std::max(longest, c.client_timeout);
+    for (const auto& request_class : settings.classes)
+        longest = std::max(longest, request_class.client_timeout);
     return longest;
 }
 
--- a/src/core/unix_time.cpp
+++ b/src/core/unix_time.cpp
@@ -7,19 +7,18 @@
 
 namespace {
 
-// Between two readings: more than this is a step, less is the clock being slewed or the readings' own
-// distance.
-constexpr std::int64_t kStepMs = 50;
-// The stamp that proves a clock to be behind was on its way, or kept, for about so long itself.
-constexpr std::int64_t kStampLateMs = 1'000;
-// Clocks are stepped by an hour at most; a stamp that is further ahead is spoilt.
-constexpr std::int64_t kLargestStepMs = 2 * 3'600'000;
+// A greater change between two readings is a step. Less is slewing, or the distance of the two readings.
+constexpr std::int64_t kMinStepMs = 50;
+// How old a timestamp usually is that proves a clock to be behind: it was on its way, or stored.
+constexpr std::int64_t kStampDelayMs = 1'000;
+// Clocks are stepped by an hour at most; a timestamp that is further ahead is damaged.
+constexpr std::int64_t kMaxStepMs = 2 * 3'600'000;
 
 std::int64_t milliseconds_of(Time now) {
     return now.time_since_epoch() / std::chrono::milliseconds{1};
 }
 
-// Where Unix time is so far ahead of steady time; never less than nothing.
+// By an offset of Unix time from monotonic time; never negative.
 Span age(Time now, std::int64_t stamp_ms, std::int64_t offset_ms) {
     return std::chrono::milliseconds{std::max<std::int64_t>(0, offset_ms + milliseconds_of(now) - stamp_ms)};
 }
@@ -34,8 +33,8 @@
     }
     const std::int64_t change = offset - offsets_->last;
     offsets_->last = offset;
-    if (std::abs(change) <= kStepMs) {
-        // Slewed: what is taken for right moves with it.
+    if (std::abs(change) <= kMinStepMs) {
+        // Slewed: what may be right moves with it.
         offsets_->earliest += change;
         offsets_->shown += change;
         offsets_->latest += change;
@@ -47,7 +46,7 @@
     offsets_->latest = std::max(offsets_->latest, offset);
 }
 
-void UnixTime::passed(Time now, std::int64_t stamp_ms, Source source) {
+void UnixTime::observe_stamp(Time now, std::int64_t stamp_ms, Source source) {
     if (!offsets_)
         return;
     const std::int64_t at_least = stamp_ms - milliseconds_of(now);
@@ -56,7 +55,7 @@
     const std::int64_t believed = std::min(at_least, offsets_->shown);
     offsets_->earliest = std::max(offsets_->earliest, believed);
     offsets_->proven = std::max(offsets_->proven.value_or(believed), believed);
-    if (at_least < offsets_->shown + kLargestStepMs)
+    if (at_least < offsets_->shown + kMaxStepMs)
         offsets_->latest = std::max(offsets_->latest, at_least);
     offsets_->latest = std::max(offsets_->latest, offsets_->shown);
 }
@@ -72,8 +71,8 @@
 std::int64_t UnixTime::latest_ms(Time now) const {
     if (!offsets_)
         return 0;
-    const bool proven_behind = offsets_->latest > offsets_->shown + kStepMs;
-    return offsets_->latest + milliseconds_of(now) + (proven_behind ? kStampLateMs : 0);
+    const bool proven_behind = offsets_->latest > offsets_->shown + kMinStepMs;
+    return offsets_->latest + milliseconds_of(now) + (proven_behind ? kStampDelayMs : 0);
 }
 
 }  // namespace silverrail::core
--- a/src/front/dns/front.cpp
+++ b/src/front/dns/front.cpp
@@ -34,7 +34,7 @@
       log_(log),
       classes_{[this](const std::string& name) { return engine_.knows_class(name); },
                [this](const std::string& name) {
-                   return engine_.unsafe_class(name);
+                   return engine_.is_unsafe_class(name);
                }} {}
 
 void Front::handle(std::string_view bytes, const net::DnsFrom& from, net::DnsReply reply) {
@@ -73,7 +73,7 @@
                                query.type == static_cast<std::uint16_t>(Type::aaaa);
     // Asked for both families, the module counts a read once: no call where no server has such an address.
     if (meaning.kind == Meaning::Kind::object && wants_address &&
-        engine_.lists_address(query.type == static_cast<std::uint16_t>(Type::aaaa))) {
+        engine_.has_address_family(query.type == static_cast<std::uint16_t>(Type::aaaa))) {
         meaning.call.front = core::Front::dns;
         meaning.call.client = from.client;
         return ask_core(query, std::move(meaning.call), limit, std::move(reply));
@@ -129,9 +129,9 @@
     return r.answers.empty() ? negative(Rcode::no_error) : r;
 }
 
-void Front::ask_core(const Query& query, core::Call call, std::size_t limit, net::DnsReply reply) {
+void Front::ask_core(const Query& query, core::ClientRequest call, std::size_t limit, net::DnsReply reply) {
     call.deadline = clock_.now() + zone_.deadline;
-    engine_.take(std::move(call), std::make_shared<Sink>(*this, query, limit, std::move(reply)));
+    engine_.submit(std::move(call), std::make_shared<Sink>(*this, query, limit, std::move(reply)));
 }
 
 net::DnsAnswer Front::from_core(const Query& query, const core::Answer& answer, std::size_t limit) const {
@@ -154,10 +154,10 @@
         return {finished(failure(Rcode::server_failure, Extended::network_error, "the deadline has passed")),
                 {},
                 {}};
-    if (answer.kind == Kind::refused) {
+    if (answer.kind == Kind::rejected) {
         std::string text = "refused for now";
-        if (answer.hold_off > core::Span{})
-            text += "; come back in " + std::to_string(answer.hold_off / 1ms) + " ms";
+        if (answer.retry_after > core::Span{})
+            text += "; come back in " + std::to_string(answer.retry_after / 1ms) + " ms";
         return {finished(failure(Rcode::server_failure, Extended::not_ready, text)), {}, {}};
     }
     return {finished(failure(Rcode::server_failure, Extended::other, "failed")), {}, {}};
--- a/src/front/dns/front.h
+++ b/src/front/dns/front.h
@@ -33,7 +33,7 @@
     Response negative(Rcode rcode) const;
     Response failure(Rcode rcode, Extended code, std::string text) const;
     Response fixed(const Query& query, const Meaning& meaning) const;
-    void ask_core(const Query& query, core::Call call, std::size_t limit, net::DnsReply reply);
+    void ask_core(const Query& query, core::ClientRequest call, std::size_t limit, net::DnsReply reply);
     net::DnsAnswer from_core(const Query& query, const core::Answer& answer, std::size_t limit) const;
     Record soa() const;
 
--- a/src/front/dns/zone.cpp
+++ b/src/front/dns/zone.cpp
@@ -28,7 +28,7 @@
 }
 
 // What stands before the class; the labels run outwards from the class.
-bool parse_object(const Name& name, std::size_t labels, core::Call& call) {
+bool parse_object(const Name& name, std::size_t labels, core::ClientRequest& call) {
     std::size_t at = labels;
     if (at == 0)
         return false;
--- a/src/front/dns/zone.h
+++ b/src/front/dns/zone.h
@@ -32,7 +32,7 @@
         unknown
     };
     Kind kind = Kind::unknown;
-    core::Call call;
+    core::ClientRequest call;
 };
 
 // What the zone asks about classes; the core knows.
--- a/src/front/platform/platform.cpp
+++ b/src/front/platform/platform.cpp
@@ -33,7 +33,7 @@
 }
 
 // CLASS/OBJECT/piece-PART
-bool parse_target(std::string_view target, core::Call& call) {
+bool parse_target(std::string_view target, core::ClientRequest& call) {
     if (!target.starts_with(kPath))
         return false;
     target.remove_prefix(kPath.size());
@@ -97,14 +97,14 @@
 
 }  // namespace
 
-std::variant<core::Call, std::string> parse_call(net::HttpRequest request, core::Time arrived) {
-    core::Call call;
+std::variant<core::ClientRequest, std::string> parse_call(net::HttpRequest request, core::Time arrived) {
+    core::ClientRequest call;
     if (request.method() != http::verb::get && request.method() != http::verb::put)
         return "neither GET nor PUT";
     if (!parse_target(view(request.target()), call))
         return "no such target";
-    call.trace = view(request["Trace-Id"]);
-    if (call.trace.size() != 16 || !config::parse_hex(call.trace))
+    call.trace_id = view(request["Trace-Id"]);
+    if (call.trace_id.size() != 16 || !config::parse_hex(call.trace_id))
         return "Trace-Id: not 16 hex digits";
     const auto wait = number<std::int64_t>(view(request["Max-Wait-Ms"]));
     if (!wait || *wait <= 0 || *wait > kLongestWaitMs)
@@ -128,7 +128,7 @@
     if (!key)
         return "Replay-Key: not one key";
     call.idempotency_key = *key;
-    call.have = bare_tag(view(request[http::field::if_none_match]));
+    call.client_tag = bare_tag(view(request[http::field::if_none_match]));
     call.write = request.method() == http::verb::put;
     if (call.write)
         call.body = std::make_shared<const std::string>(std::move(request.body()));
@@ -143,13 +143,13 @@
             r.result(http::status::ok);
             r.body() = std::move(answer.body);
             break;
-        case Kind::unchanged:
+        case Kind::not_modified:
             r.result(http::status::not_modified);
             break;
-        case Kind::refused:
+        case Kind::rejected:
             r.result(http::status::service_unavailable);
-            if (answer.hold_off > core::Span{})
-                r.set("Hold-Off-Ms", std::to_string(answer.hold_off / std::chrono::milliseconds{1}));
+            if (answer.retry_after > core::Span{})
+                r.set("Hold-Off-Ms", std::to_string(answer.retry_after / std::chrono::milliseconds{1}));
             break;
         case Kind::failed:
             if (answer.timed_out)
@@ -181,10 +181,11 @@
         log_.line("bad-call", "%s", why->c_str());
         return session->respond({http::status::bad_request, 11});
     }
-    std::get<core::Call>(call).client = session->client();
-    const auto id = engine_.take(std::get<core::Call>(std::move(call)), std::make_shared<Reply>(session));
+    std::get<core::ClientRequest>(call).client = session->client();
+    const auto id =
+        engine_.submit(std::get<core::ClientRequest>(std::move(call)), std::make_shared<Reply>(session));
     if (id)
-        session->when_gone([&engine = engine_, id = *id] { engine.abandon(id); });
+        session->when_gone([&engine = engine_, id = *id] { engine.client_closed(id); });
 }
 
 }  // namespace silverrail::front
--- a/src/front/platform/platform.h
+++ b/src/front/platform/platform.h
@@ -11,7 +11,7 @@
 namespace silverrail::front {
 
 // The call in a request, or the reason why there is none.
-std::variant<core::Call, std::string> parse_call(net::HttpRequest request, core::Time arrived);
+std::variant<core::ClientRequest, std::string> parse_call(net::HttpRequest request, core::Time arrived);
 net::HttpResponse response_of(core::Answer answer);
 
 class Platform {
--- a/src/lab/site.h
+++ b/src/lab/site.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "core/fleet.h"
+#include "core/server_registry.h"
 
 namespace silverrail::lab {
 
--- a/src/net/upstream.cpp
+++ b/src/net/upstream.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-using core::AttemptEnd;
+using core::AttemptResult;
 using core::AttemptStatus;
 using core::CacheStatus;
 using namespace std::chrono_literals;
@@ -83,9 +83,9 @@
     return load;
 }
 
-http::request<http::string_body> server_request(const core::Order& order, core::Span oldest,
+http::request<http::string_body> server_request(const core::AttemptRequest& order, core::Span oldest,
                                                 core::Span left) {
-    const core::Call& call = *order.call;
+    const core::ClientRequest& call = *order.client_request;
     http::request<http::string_body> r{
         call.write ? http::verb::put : http::verb::get,
         "/obj/" + call.class_name + "/" + call.object + "/" + std::to_string(call.part), 11};
@@ -93,7 +93,7 @@
         return std::to_string(std::max<std::int64_t>(1, s / 1ms));
     };
     r.set(http::field::host, order.address);
-    r.set("Call-Id", call.trace);
+    r.set("Call-Id", call.trace_id);
     r.set("Call-Ms", ms(left));
     // Guards the repeats of a keyed class: without it a server could not tell one from a new request.
     if (!call.idempotency_key.empty())
@@ -118,8 +118,8 @@
         say("r");
     if (!handling.empty())
         r.set("Handling", handling);
-    if (!call.have.empty())
-        r.set("Have", call.have);
+    if (!call.client_tag.empty())
+        r.set("Have", call.client_tag);
     if (call.body)
         r.body() = *call.body;
     if (call.write)
@@ -127,8 +127,8 @@
     return r;
 }
 
-AttemptEnd server_answer(http::response<http::string_body> answer) {
-    AttemptEnd end;
+AttemptResult server_answer(http::response<http::string_body> answer) {
+    AttemptResult end;
     const bool never_ran = view(answer["Not-Begun"]) == "1";
     end.cache_status = note_of(view(answer["Detail"]));
     end.load = load_of(view(answer["Backend-Load"]));
@@ -139,7 +139,7 @@
         case 200:
         case 304:
             end.attempt_status = AttemptStatus::success;
-            end.unchanged = answer.result_int() == 304;
+            end.not_modified = answer.result_int() == 304;
             end.tag = view(answer["Tag"]);
             end.made_ms = made_at(view(answer["Made-At"]));
             end.body = std::move(answer.body());
@@ -187,9 +187,9 @@
 };
 
 struct Upstream::Attempt {
-    Attempt(asio::io_context& io, core::Order o, core::AttemptEvents& e)
+    Attempt(asio::io_context& io, core::AttemptRequest o, core::AttemptEvents& e)
         : order(std::move(o)), events(&e), limit(io) {}
-    core::Order order;
+    core::AttemptRequest order;
     core::AttemptEvents* events;
     asio::steady_timer limit;  // on connecting, and the pause before that begins anew
     int opens_again = 0;
@@ -219,7 +219,7 @@
             link->close();
 }
 
-void Upstream::start(core::Order order, core::AttemptEvents& events) {
+void Upstream::start(core::AttemptRequest order, core::AttemptEvents& events) {
     const core::AttemptKey key = order.key;
     auto attempt = std::make_shared<Attempt>(io_, std::move(order), events);
     attempts_.emplace(key, attempt);
@@ -293,10 +293,10 @@
 
 void Upstream::open_again(const std::shared_ptr<Attempt>& attempt, const error_code& error,
                           core::AttemptStatus attempt_status) {
-    log_.line("connect-local", "%s to %s: %s", attempt->order.call->trace.c_str(),
+    log_.line("connect-local", "%s to %s: %s", attempt->order.client_request->trace_id.c_str(),
               attempt->order.target.address.c_str(), error.message().c_str());
     const auto pause = kFirstPause * (1 << attempt->opens_again);
-    const bool in_time = clock_.now() + pause < attempt->order.give_up;
+    const bool in_time = clock_.now() + pause < attempt->order.deadline;
     if (++attempt->opens_again > kOpensAgain || !in_time)
         return end(attempt, {.attempt_status = attempt_status});
     attempt->link->close();
@@ -315,7 +315,7 @@
             end(attempt, {.attempt_status = AttemptStatus::not_sent});
         return;
     }
-    attempt->request = server_request(attempt->order, *oldest, attempt->order.give_up - clock_.now());
+    attempt->request = server_request(attempt->order, *oldest, attempt->order.deadline - clock_.now());
     attempt->bytes_out = true;  // from here on it may run
     http::async_write(attempt->link->socket, attempt->request,
                       [attempt, link = attempt->link](const error_code& error, std::size_t) {
@@ -359,7 +359,7 @@
         return read(attempt);
     }
     // Guards the client from a 304 for a copy that it does not have.
-    if (head.result() == http::status::not_modified && attempt->order.call->have.empty())
+    if (head.result() == http::status::not_modified && attempt->order.client_request->client_tag.empty())
         return unreadable(attempt, http::error::bad_status);
     http::async_read(
         attempt->link->socket, attempt->link->buffer, *attempt->parser,
@@ -388,7 +388,7 @@
     end(attempt, {.attempt_status = AttemptStatus::reset});
 }
 
-void Upstream::end(const std::shared_ptr<Attempt>& attempt, AttemptEnd end) {
+void Upstream::end(const std::shared_ptr<Attempt>& attempt, AttemptResult end) {
     if (std::exchange(attempt->over, true))
         return;
     attempt->limit.cancel();
--- a/src/net/upstream.h
+++ b/src/net/upstream.h
@@ -27,9 +27,10 @@
 };
 
 // The request for one attempt, as the servers read it. `oldest`: as found at the first byte.
-http::request<http::string_body> server_request(const core::Order& order, core::Span oldest, core::Span left);
+http::request<http::string_body> server_request(const core::AttemptRequest& order, core::Span oldest,
+                                                core::Span left);
 // What a server's whole answer means.
-core::AttemptEnd server_answer(http::response<http::string_body> answer);
+core::AttemptResult server_answer(http::response<http::string_body> answer);
 core::CacheStatus note_of(std::string_view word);
 routing::LoadReport load_of(std::string_view text);
 
@@ -37,7 +38,7 @@
 public:
     Upstream(asio::io_context& io, UpstreamLimits limits, const core::Clock& clock, Log& log);
     ~Upstream() override;
-    void start(core::Order order, core::AttemptEvents& events) override;
+    void start(core::AttemptRequest order, core::AttemptEvents& events) override;
     void cancel(const core::AttemptKey& key) override;
     void forget(const core::ServerId& server) override;
     // What may be open at once, from now on. Idle connections are closed down to that.
@@ -69,7 +70,7 @@
     void on_head(const std::shared_ptr<Attempt>& attempt, const error_code& error);
     void on_answer(const std::shared_ptr<Attempt>& attempt, const error_code& error);
     void unreadable(const std::shared_ptr<Attempt>& attempt, const error_code& error);
-    void end(const std::shared_ptr<Attempt>& attempt, core::AttemptEnd end);
+    void end(const std::shared_ptr<Attempt>& attempt, core::AttemptResult end);
     void keep(const std::shared_ptr<Attempt>& attempt);
     void watch(const std::shared_ptr<Server>& server, const std::shared_ptr<Link>& link);
     std::shared_ptr<Link> take_idle(const core::ServerId& server);
--- a/src/trace/observe.cpp
+++ b/src/trace/observe.cpp
@@ -23,11 +23,12 @@
 
 }  // namespace
 
-void Observing::put_taken(const core::Call& call, std::uint64_t id, std::size_t class_index, core::Time now) {
+void Observing::put_taken(const core::ClientRequest& call, std::uint64_t id, std::size_t class_index,
+                          core::Time now) {
     state::Taken t;
     t.call = id;
-    if (!as_number(call.trace, t.trace_id))
-        t.trace = call.trace;
+    if (!as_number(call.trace_id, t.trace_id))
+        t.trace = call.trace_id;
     if (!left_out_.clients)
         t.client = {reinterpret_cast<const char*>(call.client.bytes.data()), call.client.size};
     t.front = static_cast<std::uint8_t>(call.front);
@@ -39,7 +40,7 @@
     t.size_kb = call.size_kb;
     t.wait = (call.deadline - now).count();
     if (!left_out_.tags)
-        t.have = call.have;
+        t.have = call.client_tag;
     t.write = call.write;
     t.body_bytes = call.body ? call.body->size() : 0;
     t.redirected = call.redirected;
@@ -67,7 +68,7 @@
     }
 }
 
-void Observing::put_action(const routing::Action& action, const core::Origin& origin, core::Time now) {
+void Observing::put_action(const routing::Action& action, const core::EventOrigin& origin, core::Time now) {
     if (const auto* send = std::get_if<routing::Send>(&action)) {
         state::Sent s;
         s.call = static_cast<std::uint64_t>(send->request);
@@ -76,8 +77,8 @@
             sent_more_ = 0;
         }
         s.attempt = sent_more_++;
-        if (origin.calls)
-            if (const auto at = origin.calls->find(send->request); at != origin.calls->end())
+        if (origin.requests)
+            if (const auto at = origin.requests->find(send->request); at != origin.requests->end())
                 s.attempt += at->second.attempts.size();
         s.target = send->target.address;
         s.timeout = send->timeout.count();
@@ -102,12 +103,14 @@
     }
 }
 
-void Observing::told(const routing::Event& event, core::Time now, const std::vector<routing::Action>& actions,
-                     const core::Origin& origin) {
+void Observing::event_handled(const routing::Event& event, core::Time now,
+                              const std::vector<routing::Action>& actions, const core::EventOrigin& origin) {
     if (const auto* request = std::get_if<routing::Request>(&event)) {
-        const auto at = origin.calls ? origin.calls->find(request->id) : core::OpenCalls::const_iterator{};
-        if (origin.calls && at != origin.calls->end())
-            put_taken(*at->second.call, static_cast<std::uint64_t>(request->id), request->class_index, now);
+        const auto at =
+            origin.requests ? origin.requests->find(request->id) : core::ActiveRequests::const_iterator{};
+        if (origin.requests && at != origin.requests->end())
+            put_taken(*at->second.client_request, static_cast<std::uint64_t>(request->id),
+                      request->class_index, now);
     } else if (const auto* outcome = std::get_if<routing::Outcome>(&event)) {
         state::Ended e;
         e.call = static_cast<std::uint64_t>(outcome->request);
@@ -139,7 +142,7 @@
         put_action(action, origin, now);
 }
 
-void Observing::turned_away(const core::Call& call, std::size_t class_index, core::Time now) {
+void Observing::answered_at_intake(const core::ClientRequest& call, std::size_t class_index, core::Time now) {
     put_taken(call, 0, class_index, now);
 }
 
@@ -158,7 +161,7 @@
     a.call = static_cast<std::uint64_t>(id);
     a.kind = static_cast<std::uint8_t>(answer.kind);
     a.timed_out = answer.timed_out;
-    a.hold_off = answer.hold_off.count();
+    a.hold_off = answer.retry_after.count();
     a.bytes = answer.body.size();
     a.made_unix_ms = answer.made_ms;
     if (!left_out_.tags)
--- a/src/trace/observe.h
+++ b/src/trace/observe.h
@@ -22,9 +22,10 @@
 class Observing : public core::Observer {
 public:
     explicit Observing(RecordSink& sink, LeftOut left_out = {}) : sink_(sink), left_out_(left_out) {}
-    void told(const routing::Event& event, core::Time now, const std::vector<routing::Action>& actions,
-              const core::Origin& origin) override;
-    void turned_away(const core::Call& call, std::size_t class_index, core::Time now) override;
+    void event_handled(const routing::Event& event, core::Time now,
+                       const std::vector<routing::Action>& actions, const core::EventOrigin& origin) override;
+    void answered_at_intake(const core::ClientRequest& call, std::size_t class_index,
+                            core::Time now) override;
     void first_byte(const core::AttemptKey& key, std::optional<core::Span> oldest, bool tightened,
                     core::Time now) override;
     void answered(core::RequestId id, const core::Answer& answer, core::Time now) override;
@@ -34,9 +35,10 @@
     void put(core::Time at, const T& body) {
         sink_.take({at.time_since_epoch().count(), 0, body});
     }
-    void put_taken(const core::Call& call, std::uint64_t id, std::size_t class_index, core::Time now);
+    void put_taken(const core::ClientRequest& call, std::uint64_t id, std::size_t class_index,
+                   core::Time now);
     void put_list(const routing::ServerList& list, const core::ServerChange* change, core::Time now);
-    void put_action(const routing::Action& action, const core::Origin& origin, core::Time now);
+    void put_action(const routing::Action& action, const core::EventOrigin& origin, core::Time now);
 
     RecordSink& sink_;
     LeftOut left_out_;
--- a/src/trace/synth.cpp
+++ b/src/trace/synth.cpp
@@ -137,7 +137,7 @@
 public:
     MadeUpSender(World& world, const SkewedClock& clock, Servers& servers, std::uint64_t seed)
         : world_(world), clock_(clock), servers_(servers), random_(seed) {}
-    void start(core::Order order, core::AttemptEvents& events) override {
+    void start(core::AttemptRequest order, core::AttemptEvents& events) override {
         const AttemptKey key = order.key;
         out_.insert(key);
         const std::string server = order.target.address;
@@ -174,18 +174,18 @@
                   });
     }
     void end(core::AttemptEvents& events, const AttemptKey& key, const std::string& server,
-             core::AttemptEnd how) {
+             core::AttemptResult how) {
         --servers_.held[server];
         if (out_.erase(key))
             events.ended(key, std::move(how));
     }
-    void run(const core::Order& order, core::AttemptEvents& events, const std::string& server) {
-        const core::Call& call = *order.call;
+    void run(const core::AttemptRequest& order, core::AttemptEvents& events, const std::string& server) {
+        const core::ClientRequest& call = *order.client_request;
         const double kb = call.size_kb > 0 ? call.size_kb : 20;
         const int held = servers_.held[server];
         const double crowding = 1 + std::max(0, held - 40) / 40.0;
         Ns takes = static_cast<Ns>(kb / kKbPerS * 1e9 * crowding) + 2 * kMs + below(3 * kMs);
-        core::AttemptEnd how{.attempt_status = AttemptStatus::success};
+        core::AttemptResult how{.attempt_status = AttemptStatus::success};
         how.load.in_flight = held;
         how.load.utilisation = std::round(std::min(1.0, held / 80.0) * 100) / 100;
         how.load.hit_share = 0.7;
@@ -225,7 +225,7 @@
         });
     }
     // A copy is there once the object was asked for at that server; small and old ones fall out by chance.
-    bool seen(const std::string& server, const core::Call& call) {
+    bool seen(const std::string& server, const core::ClientRequest& call) {
         const auto key = checksum(server, static_cast<std::uint64_t>(call.object_id) ^ call.part);
         if (copies_.size() > 200'000)
             copies_.clear();
@@ -265,7 +265,7 @@
         const std::string settings = config::json_line(config_);
         state::Start start{name, incarnation_unix_ns, seed, "synthetic", settings, offset(), 0};
         writer_.add({clock_.steady(), 0, start});
-        engine_.watch(&observing_);
+        engine_.set_observer(&observing_);
         core::ServerChange all{true, {}};
         for (const auto& server : servers_.plan)
             all.servers.push_back(
@@ -277,7 +277,7 @@
     // As if killed: nothing is finished but the file.
     void die() {
         dead_ = true;
-        engine_.watch(nullptr);
+        engine_.set_observer(nullptr);
     }
     void close() {
         die();
@@ -328,13 +328,13 @@
         });
     }
     void ask() {
-        core::Call call;
+        core::ClientRequest call;
         const double kind = chance();
         const int index = kind < 0.54 ? 0 : kind < 0.966 ? 1 : 2;
         call.class_name = lab::kClasses[index];
         char digits[17];
         std::snprintf(digits, sizeof digits, "%016llx", static_cast<unsigned long long>(random_()));
-        call.trace = digits;
+        call.trace_id = digits;
         // Few objects are asked for often: the rank's logarithm is even.
         const auto retention = static_cast<std::uint64_t>(std::pow(kObjects, chance()));
         const std::uint64_t object =
@@ -354,14 +354,14 @@
         if (call.write)
             call.body = body_;
         if (index == 1 && chance() < 0.2)
-            call.have = "4be0c1927d55a6f3";
+            call.client_tag = "4be0c1927d55a6f3";
         call.client = client(mixed(random_() % kClients));
         ++calls;
-        const auto id = engine_.take(std::move(call), std::make_shared<IgnoredReply>());
+        const auto id = engine_.submit(std::move(call), std::make_shared<IgnoredReply>());
         if (id && chance() < 0.004)
             world_.at(world_.now() + below(300 * kMs), [this, id = *id] {
                 if (!dead_)
-                    engine_.abandon(id);
+                    engine_.client_closed(id);
             });
     }
     // Two thirds IPv4, the rest IPv6, some of these IPv4 mapped.
--- /dev/null
+++ b/tests/cache/response_cache_test.cpp
@@ -0,0 +1,192 @@
+// The response cache: what is stored, when a response answers, and that nothing purged ever does.
+#include "cache/response_cache.h"
+
+#include <cstdio>
+#include <random>
+#include <vector>
+
+#include "../silverrail/check.h"
+
+using namespace silverrail::cache;
+using namespace std::chrono_literals;
+
+namespace {
+
+constexpr std::int64_t kNowMs = 1'764'576'000'000;
+const Time kNow{1000s};
+const std::vector<silverrail::routing::ClassSettings> kClasses{
+    {.name = "files", .latency_objective = 200ms, .objective_stretch = 1.5, .client_timeout = 2s},
+    {.name = "pages", .latency_objective = 200ms, .client_timeout = 2s, .max_age = 8s, .grace = 20s},
+    {.name = "lodge", .latency_objective = 200ms, .client_timeout = 2s, .uncached = true},
+};
+constexpr CacheLimits kLimits{.bytes = 100'000,
+                              .uplink = {.per_response_bytes_per_s = 10'000, .total_bytes_per_s = 30'000}};
+
+Lookup lookup(std::size_t class_index, std::uint64_t object = 1, std::string_view client_tag = {}) {
+    return {{ObjectId{object}, class_index, 3}, GroupId{17}, true, client_tag};
+}
+
+void age_decides_between_fresh_stale_and_none() {
+    const struct {
+        const char* what;
+        std::size_t class_index;
+        std::int64_t age_ms;
+        bool answers, last_resort, stale;
+    } kCases[] = {
+        {"good until it is purged", 0, 3'600'000, true, true, false},
+        {"fresh", 1, 7'900, true, true, false},
+        {"at its max_age", 1, 7'990, false, true, true},
+        {"within its grace", 1, 27'900, false, true, true},
+        {"past its grace", 1, 27'990, false, false, false},
+        {"of an uncached class", 2, 10, false, false, false},
+    };
+    for (const auto& c : kCases) {
+        ResponseCache cache{kClasses, kLimits};
+        cache.set_purges_reliable(true);
+        cache.store(lookup(c.class_index), "bytes", "tag", kNowMs - c.age_ms, 0);
+        const auto last = cache.find_last_resort(lookup(c.class_index), kNow, kNowMs, kNow + 2s);
+        const auto now = cache.find_fresh(lookup(c.class_index), kNow + 1s, kNowMs);
+        std::printf("  %s\n", c.what);
+        CHECK(now.has_value() == c.answers && last.has_value() == c.last_resort);
+        if (last)
+            CHECK(last->stale == c.stale && *last->body == "bytes" && last->tag == "tag");
+    }
+}
+
+void only_responses_known_in_full_are_stored() {
+    ResponseCache cache{kClasses, kLimits};
+    cache.set_purges_reliable(true);
+    Lookup no_group = lookup(0);
+    no_group.group_known = false;
+    cache.store(no_group, "bytes", "tag", kNowMs, 0);
+    cache.store(lookup(0), "bytes", "tag", 0, 0);            // its age is not known
+    cache.store(lookup(0), "bytes", "", kNowMs, 0);          // nor its tag
+    cache.store(lookup(0), "bytes", "tag", kNowMs, kNowMs);  // made no later than the purge
+    CHECK(!cache.find_fresh(lookup(0), kNow, kNowMs) && cache.bytes() == 0);
+    cache.store(lookup(0), "bytes", "tag", kNowMs + 1, kNowMs);
+    CHECK(cache.find_fresh(lookup(0), kNow, kNowMs));
+    Lookup part = lookup(0);
+    part.key.part = 4;
+    CHECK(!cache.find_fresh(part, kNow, kNowMs) && !cache.find_fresh(lookup(1), kNow, kNowMs));
+    CHECK(!cache.find_fresh(no_group, kNow, kNowMs));
+    // An older response that comes later does not replace a newer one.
+    cache.store(lookup(0), "old", "older", kNowMs - 5, 0);
+    CHECK(cache.find_fresh(lookup(0), kNow + 1s, kNowMs)->tag == "tag");
+}
+
+void purges_drop_older_responses_of_all_classes() {
+    for (const bool whole_group : {false, true}) {
+        ResponseCache cache{kClasses, kLimits};
+        cache.set_purges_reliable(true);
+        cache.store(lookup(0, 1), "a", "a", kNowMs - 100, 0);
+        cache.store(lookup(1, 1), "b", "b", kNowMs - 50, 0);  // the same object in another class
+        cache.store(lookup(0, 2), "c", "c", kNowMs - 100, 0);
+        if (whole_group)
+            cache.purge_group(GroupId{17}, kNowMs - 60);
+        else
+            cache.purge_object(ObjectId{1}, kNowMs - 60);
+        cache.purge_group(GroupId{18}, kNowMs);
+        CHECK(!cache.find_last_resort(lookup(0, 1), kNow, kNowMs, kNow + 2s));
+        CHECK(cache.find_last_resort(lookup(1, 1), kNow, kNowMs, kNow + 2s));  // made after it
+        CHECK(cache.find_last_resort(lookup(0, 2), kNow, kNowMs, kNow + 2s).has_value() != whole_group);
+    }
+    // While purges may be missed nothing is answered; what was stored answers again afterwards.
+    ResponseCache cache{kClasses, kLimits};
+    cache.store(lookup(0), "a", "a", kNowMs, 0);
+    CHECK(!cache.find_fresh(lookup(0), kNow, kNowMs) &&
+          !cache.find_last_resort(lookup(0), kNow, kNowMs, kNow + 2s));
+    cache.set_purges_reliable(true);
+    CHECK(cache.find_fresh(lookup(0), kNow, kNowMs));
+    cache.set_purges_reliable(false);
+    CHECK(!cache.find_fresh(lookup(0), kNow + 1s, kNowMs));
+}
+
+// 1,000 bytes take 100 ms alone, 33 ms of the uplink: the objective of 200 ms + 1.5 x 100 ms bears eight at
+// once.
+void the_uplink_bounds_what_is_answered() {
+    ResponseCache cache{kClasses, kLimits};
+    cache.set_purges_reliable(true);
+    cache.store(lookup(0), std::string(1000, 'x'), "tag", kNowMs, 0);
+    int at_once = 0;
+    while (cache.find_fresh(lookup(0), kNow, kNowMs))
+        ++at_once;
+    CHECK(at_once == 8);
+    CHECK(!cache.find_fresh(lookup(0), kNow + 1ms, kNowMs) &&
+          cache.find_fresh(lookup(0), kNow + 20ms, kNowMs));
+    // As the last resort it may come after its objective, but by the deadline.
+    CHECK(cache.find_last_resort(lookup(0), kNow + 20ms, kNowMs, kNow + 2s));
+    CHECK(!cache.find_last_resort(lookup(0), kNow + 20ms, kNowMs, kNow + 200ms));
+    // "Not modified" takes next to nothing.
+    ResponseCache other{kClasses, kLimits};
+    other.set_purges_reliable(true);
+    other.store(lookup(0), std::string(1000, 'x'), "tag", kNowMs, 0);
+    for (int i = 0; i < 50; ++i) {
+        const auto hit = other.find_fresh(lookup(0, 1, "tag"), kNow, kNowMs);
+        CHECK(hit && !hit->body);
+    }
+    CHECK(other.find_fresh(lookup(0, 1, "other"), kNow, kNowMs)->body);
+    ResponseCache off{kClasses, {.bytes = 100'000, .uplink = {}}};  // rates not known
+    off.set_purges_reliable(true);
+    off.store(lookup(0), "bytes", "tag", kNowMs, 0);
+    CHECK(!off.find_fresh(lookup(0), kNow, kNowMs) && off.bytes() == 0);
+}
+
+void the_store_matches_a_model_within_its_capacity() {
+    std::mt19937_64 random{3};
+    ResponseStore store{20'000};
+    std::map<std::uint64_t, std::int64_t> newest;  // object -> made_ms of the response last put, 0: purged
+    for (int step = 0; step < 20'000; ++step) {
+        const std::uint64_t object = random() % 200;
+        const auto now = kNowMs + step;
+        if (random() % 10 == 0) {
+            store.purge_object(ObjectId{object}, now);
+            newest[object] = 0;
+        } else if (random() % 50 == 0) {
+            const auto group = object % 7;
+            store.purge_group(GroupId{group}, now);
+            for (auto& [id, made] : newest)
+                if (id % 7 == group)
+                    made = 0;
+        } else {
+            store.put({ObjectId{object}, 0, 0}, {std::make_shared<const std::string>(random() % 4000, 'x'),
+                                                 "t", GroupId{object % 7}, now});
+            newest[object] = now;
+        }
+        CHECK(store.bytes() <= 20'000);
+        const StoredResponse* found = store.find({ObjectId{object}, 0, 0});
+        CHECK(!found || found->made_ms == newest[object]);
+    }
+    CHECK(store.size() > 5);
+    for (std::uint64_t group = 0; group < 7; ++group)
+        store.purge_group(GroupId{group}, kNowMs + 20'000);
+    CHECK(store.size() == 0 && store.bytes() == 0);
+}
+
+// A find counts as a use.
+void the_least_recently_used_response_is_evicted() {
+    ResponseStore store{5 * 1000};
+    const auto key = [](std::uint64_t object) {
+        return ResponseKey{.object = ObjectId{object}};
+    };
+    const auto put = [&](std::uint64_t object) {
+        store.put(key(object), {std::make_shared<const std::string>(200, 'x'), "t", GroupId{1}, 1});
+    };
+    std::uint64_t last = 0;
+    while (store.size() == last)
+        put(++last);  // until one is evicted
+    CHECK(!store.find(key(1)) && store.find(key(2)));
+    put(100);
+    CHECK(store.find(key(2)) && !store.find(key(3)));
+}
+
+}  // namespace
+
+int main() {
+    age_decides_between_fresh_stale_and_none();
+    only_responses_known_in_full_are_stored();
+    purges_drop_older_responses_of_all_classes();
+    the_uplink_bounds_what_is_answered();
+    the_store_matches_a_model_within_its_capacity();
+    the_least_recently_used_response_is_evicted();
+    std::puts("response cache: every case holds");
+}
--- a/tests/core/guard_test.cpp
+++ b/tests/core/guard_test.cpp
@@ -1,4 +1,4 @@
-// The guard alone: which states may follow, what is held back and why, and what counts as a violation.
+// The guard alone: which states may follow, what is suppressed and why, and what counts as a violation.
 #include "core/guard.h"
 
 #include "../silverrail/check.h"
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr RequestId kCall{7};
-constexpr std::size_t kPure = 0, kUnsafe = 1;
+constexpr RequestId kRequest{7};
+constexpr std::size_t kIdempotentClass = 0, kUnsafeClass = 1;
 
 silverrail::routing::Settings settings() {
     silverrail::routing::Settings s;
@@ -22,152 +22,151 @@
 const silverrail::routing::Settings kSettings = settings();
 
 AttemptKey attempt(std::uint32_t number) {
-    return {kCall, number};
+    return {kRequest, number};
 }
 
-Guard::Facts facts() {
-    Guard::Facts f;
+Guard::FirstByteFacts facts() {
+    Guard::FirstByteFacts f;
     f.now = Time{10s};
-    f.give_up = Time{11s};
+    f.deadline = Time{11s};
     return f;
 }
 
-Guard with_call(std::size_t class_index) {
+Guard with_request(std::size_t class_index) {
     Guard guard{kSettings};
-    guard.taken(kCall, class_index);
+    guard.received(kRequest, class_index);
     return guard;
 }
 
-void usual_life() {
-    Guard guard = with_call(kPure);
-    CHECK(guard.state(kCall) == CallState::taken);
-    CHECK(guard.start(attempt(0)) && guard.state(kCall) == CallState::ordered);
-    CHECK(!guard.send(attempt(0), facts()) && guard.state(kCall) == CallState::sent);
-    guard.ended(attempt(0), AttemptStatus::reset);
-    CHECK(guard.state(kCall) == CallState::deciding);
-    CHECK(guard.start(attempt(1)) && !guard.send(attempt(1), facts()));
-    guard.ended(attempt(1), AttemptStatus::success);
-    guard.answered(kCall);
-    CHECK(guard.state(kCall) == CallState::answered);
-    guard.left(kCall);
-    guard.closed(kCall);
-    CHECK(!guard.state(kCall) && guard.violations() == 0);
+void an_ordinary_request_passes_through_its_states() {
+    Guard guard = with_request(kIdempotentClass);
+    CHECK(guard.state(kRequest) == RequestState::received);
+    CHECK(guard.start_attempt(attempt(0)) && guard.state(kRequest) == RequestState::connecting);
+    CHECK(!guard.check_first_byte(attempt(0), facts()) && guard.state(kRequest) == RequestState::sent);
+    guard.attempt_ended(attempt(0), AttemptStatus::reset);
+    CHECK(guard.state(kRequest) == RequestState::between_attempts);
+    CHECK(guard.start_attempt(attempt(1)) && !guard.check_first_byte(attempt(1), facts()));
+    guard.attempt_ended(attempt(1), AttemptStatus::success);
+    guard.answered(kRequest);
+    CHECK(guard.state(kRequest) == RequestState::answered);
+    guard.client_closed(kRequest);
+    guard.forget(kRequest);
+    CHECK(!guard.state(kRequest) && guard.violations() == 0);
 }
 
-void held_back() {
+void a_first_byte_is_suppressed_for_each_reason() {
     struct Case {
-        Held reason;
-        void (*change)(Guard::Facts&);
+        SuppressionReason reason;
+        void (*change)(Guard::FirstByteFacts&);
     };
     const Case cases[] = {
-        {Held::client_left,
-         [](Guard::Facts& f) {
-             f.client_left = true;
+        {SuppressionReason::client_closed,
+         [](Guard::FirstByteFacts& f) {
+             f.client_closed = true;
          }},
-        {Held::past_deadline,
-         [](Guard::Facts& f) {
-             f.now = f.give_up;
+        {SuppressionReason::past_deadline,
+         [](Guard::FirstByteFacts& f) {
+             f.now = f.deadline;
          }},
-        {Held::past_window,
-         [](Guard::Facts& f) {
+        {SuppressionReason::past_key_window,
+         [](Guard::FirstByteFacts& f) {
              f.repeat_before = f.now;
          }},
-        {Held::target_drained,
-         [](Guard::Facts& f) {
+        {SuppressionReason::target_drained,
+         [](Guard::FirstByteFacts& f) {
              f.target_usable = false;
          }},
-        {Held::source_drained,
-         [](Guard::Facts& f) {
+        {SuppressionReason::source_drained,
+         [](Guard::FirstByteFacts& f) {
              f.source_usable = false;
          }},
     };
     for (const Case& c : cases) {
-        Guard guard = with_call(kPure);
-        CHECK(guard.start(attempt(0)));
-        Guard::Facts f = facts();
+        Guard guard = with_request(kIdempotentClass);
+        CHECK(guard.start_attempt(attempt(0)));
+        Guard::FirstByteFacts f = facts();
         c.change(f);
-        CHECK(guard.send(attempt(0), f) == c.reason && guard.held(c.reason) == 1);
-        CHECK(guard.state(kCall) == CallState::ordered);
-        // What was held back never ran: the next one may go.
-        guard.ended(attempt(0), AttemptStatus::not_sent);
-        CHECK(guard.start(attempt(1)) && !guard.send(attempt(1), facts()) && guard.violations() == 0);
+        CHECK(guard.check_first_byte(attempt(0), f) == c.reason && guard.suppressed(c.reason) == 1);
+        CHECK(guard.state(kRequest) == RequestState::connecting);
+        // What was suppressed never ran: the next one may go.
+        guard.attempt_ended(attempt(0), AttemptStatus::not_sent);
+        CHECK(guard.start_attempt(attempt(1)) && !guard.check_first_byte(attempt(1), facts()) &&
+              guard.violations() == 0);
     }
-    Guard guard = with_call(kPure);
-    CHECK(guard.start(attempt(0)));
-    guard.answered(kCall);
-    CHECK(guard.send(attempt(0), facts()) == Held::answered);
-    CHECK(guard.send(attempt(5), facts()) == Held::answered);  // not on record
+    Guard guard = with_request(kIdempotentClass);
+    CHECK(guard.start_attempt(attempt(0)));
+    guard.answered(kRequest);
+    CHECK(guard.check_first_byte(attempt(0), facts()) == SuppressionReason::answered);
+    CHECK(guard.check_first_byte(attempt(5), facts()) == SuppressionReason::answered);  // not recorded
 }
 
-// Each decision that would break a rule is refused and counted by its rule.
-void violations() {
+void a_decision_that_breaks_a_rule_is_refused_and_counted() {
     for (const AttemptStatus attempt_status :
          {AttemptStatus::error, AttemptStatus::reset, AttemptStatus::timeout, AttemptStatus::cancelled}) {
-        Guard guard = with_call(kUnsafe);
-        CHECK(guard.start(attempt(0)) && !guard.send(attempt(0), facts()));
-        guard.ended(attempt(0), attempt_status);
-        CHECK(!guard.start(attempt(1)) && guard.violations(Violation::repeat) == 1);
+        Guard guard = with_request(kUnsafeClass);
+        CHECK(guard.start_attempt(attempt(0)) && !guard.check_first_byte(attempt(0), facts()));
+        guard.attempt_ended(attempt(0), attempt_status);
+        CHECK(!guard.start_attempt(attempt(1)) && guard.violations(Violation::unsafe_repeat) == 1);
         CHECK(guard.last_violation().find("repeat") == 0);
     }
     // Proof that it never ran: full, missing, refused, or never sent at all.
     for (const AttemptStatus attempt_status : {AttemptStatus::overloaded, AttemptStatus::miss,
                                                AttemptStatus::connect_failed, AttemptStatus::not_sent}) {
-        Guard guard = with_call(kUnsafe);
-        CHECK(guard.start(attempt(0)));
+        Guard guard = with_request(kUnsafeClass);
+        CHECK(guard.start_attempt(attempt(0)));
         if (attempt_status == AttemptStatus::overloaded || attempt_status == AttemptStatus::miss)
-            CHECK(!guard.send(attempt(0), facts()));
-        guard.ended(attempt(0), attempt_status);
-        CHECK(guard.start(attempt(1)) && guard.violations() == 0);
+            CHECK(!guard.check_first_byte(attempt(0), facts()));
+        guard.attempt_ended(attempt(0), attempt_status);
+        CHECK(guard.start_attempt(attempt(1)) && guard.violations() == 0);
     }
     {
-        Guard guard = with_call(kPure);
-        CHECK(guard.start(attempt(0)) && !guard.start(attempt(1)));
-        CHECK(guard.violations(Violation::start_beside) == 1);
+        Guard guard = with_request(kIdempotentClass);
+        CHECK(guard.start_attempt(attempt(0)) && !guard.start_attempt(attempt(1)));
+        CHECK(guard.violations(Violation::concurrent_start) == 1);
     }
     {
-        Guard guard = with_call(kPure);
+        Guard guard = with_request(kIdempotentClass);
         for (std::uint32_t i = 0; i < 3; ++i) {
-            CHECK(guard.start(attempt(i)));
-            guard.ended(attempt(i), AttemptStatus::connect_failed);
+            CHECK(guard.start_attempt(attempt(i)));
+            guard.attempt_ended(attempt(i), AttemptStatus::connect_failed);
         }
-        CHECK(!guard.start(attempt(3)) && guard.violations(Violation::start_past_limit) == 1);
+        CHECK(!guard.start_attempt(attempt(3)) && guard.violations(Violation::start_past_limit) == 1);
     }
-    for (const bool left : {false, true}) {
-        Guard guard = with_call(kPure);
-        if (left)
-            guard.left(kCall);
+    for (const bool client_closed : {false, true}) {
+        Guard guard = with_request(kIdempotentClass);
+        if (client_closed)
+            guard.client_closed(kRequest);
         else
-            guard.answered(kCall);
-        CHECK(!guard.start(attempt(0)) && guard.violations(Violation::start_after_end) == 1);
+            guard.answered(kRequest);
+        CHECK(!guard.start_attempt(attempt(0)) && guard.violations(Violation::start_after_end) == 1);
     }
     {
         Guard guard{kSettings};
-        CHECK(!guard.start(attempt(0)) && guard.violations(Violation::unknown_call) == 1);
+        CHECK(!guard.start_attempt(attempt(0)) && guard.violations(Violation::unknown_request) == 1);
     }
     {
-        Guard guard = with_call(kPure);
-        guard.answered(kCall);
-        guard.answered(kCall);
-        CHECK(guard.violations(Violation::transition) == 1);
+        Guard guard = with_request(kIdempotentClass);
+        guard.answered(kRequest);
+        guard.answered(kRequest);
+        CHECK(guard.violations(Violation::invalid_transition) == 1);
     }
 }
 
-// Nothing leads out of the end, and nothing back to the beginning.
-void table() {
-    for (std::size_t to = 0; to < static_cast<std::size_t>(CallState::count_); ++to) {
-        CHECK(!may_follow(CallState::left, static_cast<CallState>(to)));
-        CHECK(!may_follow(static_cast<CallState>(to), CallState::taken));
+void no_state_follows_the_end_and_none_leads_back() {
+    for (std::size_t to = 0; to < static_cast<std::size_t>(RequestState::count_); ++to) {
+        CHECK(!may_follow(RequestState::client_closed, static_cast<RequestState>(to)));
+        CHECK(!may_follow(static_cast<RequestState>(to), RequestState::received));
     }
-    CHECK(!may_follow(CallState::taken, CallState::sent) &&
-          !may_follow(CallState::answered, CallState::ordered));
+    CHECK(!may_follow(RequestState::received, RequestState::sent) &&
+          !may_follow(RequestState::answered, RequestState::connecting));
 }
 
 }  // namespace
 
 int main() {
-    usual_life();
-    held_back();
-    violations();
-    table();
+    an_ordinary_request_passes_through_its_states();
+    a_first_byte_is_suppressed_for_each_reason();
+    a_decision_that_breaks_a_rule_is_refused_and_counted();
+    no_state_follows_the_end_and_none_leads_back();
     std::puts("guard: every case holds");
 }
--- a/tests/core/unix_time_test.cpp
+++ b/tests/core/unix_time_test.cpp
@@ -1,4 +1,4 @@
-// The span in which the time elsewhere lies, over random steps of this machine's clock: it holds the truth.
+// The span in which the time lies, over random steps of this machine's clock, always holds the true time.
 #include "core/unix_time.h"
 
 #include <random>
@@ -16,12 +16,12 @@
     return kTrueOffsetMs + now.time_since_epoch() / 1ms;
 }
 
-// A clock that was right once, then steps at random by seconds or an hour; stamps come from elsewhere, some
-// old.
-void ages_hold_over_steps(std::uint64_t seed) {
-    std::mt19937_64 dice{seed};
-    const auto draw = [&dice](std::int64_t most) {
-        return static_cast<std::int64_t>(dice() % static_cast<std::uint64_t>(most + 1));
+// A clock that was right once, then steps at random by seconds or an hour; timestamps come from elsewhere,
+// some of them old.
+void the_span_holds_over_steps(std::uint64_t seed) {
+    std::mt19937_64 random{seed};
+    const auto draw = [&random](std::int64_t most) {
+        return static_cast<std::int64_t>(random() % static_cast<std::uint64_t>(most + 1));
     };
     UnixTime unix_time;
     Time now{1000s};
@@ -36,8 +36,8 @@
         }
         unix_time.read(now, true_ms(now) + wrong_ms);
         if (draw(2) == 0)
-            unix_time.passed(now, true_ms(now) - draw(5'000),
-                             draw(1) == 0 ? UnixTime::Source::any : UnixTime::Source::trusted);
+            unix_time.observe_stamp(now, true_ms(now) - draw(5'000),
+                                    draw(1) == 0 ? UnixTime::Source::any : UnixTime::Source::trusted);
         const std::int64_t stamp = true_ms(now) - draw(20'000);
         const Span age = std::chrono::milliseconds{true_ms(now) - stamp};
         CHECK(unix_time.least_age(now, stamp) <= age);
@@ -46,21 +46,20 @@
     }
 }
 
-// From the start the clock may be wrong: then nothing counts as older than stamps prove.
-void proven_from_any_start() {
+void nothing_counts_as_older_than_timestamps_prove() {
     for (const std::int64_t wrong_ms : {-3'600'000, -1'000, 0, 1'000, 3'600'000}) {
         UnixTime unix_time;
         Time now{1000s};
         unix_time.read(now, true_ms(now) + wrong_ms);
         CHECK(unix_time.proven_age(now, true_ms(now) - 700) == 0ms);
-        unix_time.passed(now, true_ms(now) - 200, UnixTime::Source::trusted);
+        unix_time.observe_stamp(now, true_ms(now) - 200, UnixTime::Source::trusted);
         CHECK(unix_time.proven_age(now, true_ms(now) - 700) == 500ms);
         now += 1s;
         CHECK(unix_time.proven_age(now, true_ms(now) - 700) == 500ms);
     }
 }
 
-void slewing_is_no_step() {
+void slewing_is_not_a_step() {
     UnixTime unix_time;
     Time now{1000s};
     std::int64_t slewed_ms = 0;
@@ -76,8 +75,8 @@
 
 int main() {
     for (std::uint64_t seed = 1; seed <= 200; ++seed)
-        ages_hold_over_steps(seed);
-    proven_from_any_start();
-    slewing_is_no_step();
+        the_span_holds_over_steps(seed);
+    nothing_counts_as_older_than_timestamps_prove();
+    slewing_is_not_a_step();
     std::puts("unix time: the truth stays within");
 }
--- a/tests/silverrail/admin_test.cpp
+++ b/tests/silverrail/admin_test.cpp
@@ -177,8 +177,8 @@
     is("success.pages", 2);
     is("backend_calls", 2);
     // A copy of its own: served without a call to a server.
-    router.engine.keep_copies({.bytes = 1 << 20, .link = {1e9, 1e9}});
-    router.engine.told_of_purges(true);
+    router.engine.enable_response_cache({.bytes = 1 << 20, .uplink = {1e9, 1e9}});
+    router.engine.set_purges_reliable(true);
     server.response = Server::hit("bytes");
     server.response.set("Made-At", std::to_string(router.clock.unix_ms()));
     CHECK(done(ask("pages", kObject)) == 200 && done(ask("pages", kObject)) == 200);
--- a/tests/silverrail/dns_test.cpp
+++ b/tests/silverrail/dns_test.cpp
@@ -38,7 +38,7 @@
 
 // Nothing of a referral may ever be sent from here.
 struct NoSender : core::AttemptSender {
-    void start(core::Order, core::AttemptEvents&) override {
+    void start(core::AttemptRequest, core::AttemptEvents&) override {
         CHECK(!"an attempt was sent");
     }
     void cancel(const core::AttemptKey&) override {}
--- a/tests/silverrail/parsers_test.cpp
+++ b/tests/silverrail/parsers_test.cpp
@@ -119,7 +119,8 @@
         r.set("Trace-Id", c.trace);
         r.set("Max-Wait-Ms", c.wait);
         r.set(c.extra, c.value);
-        CHECK(std::holds_alternative<core::Call>(front::parse_call(std::move(r), core::Time{})) == c.good);
+        CHECK(std::holds_alternative<core::ClientRequest>(front::parse_call(std::move(r), core::Time{})) ==
+              c.good);
     }
     net::HttpRequest two_keys{put, kTarget, 11};
     two_keys.set("Trace-Id", kTrace);
@@ -137,7 +138,8 @@
         r.set("Trace-Id", kTrace);
         r.set("Max-Wait-Ms", "5");
         r.set(net::http::field::if_none_match, t.header);
-        CHECK(std::get<core::Call>(front::parse_call(std::move(r), core::Time{})).have == t.bare);
+        CHECK(std::get<core::ClientRequest>(front::parse_call(std::move(r), core::Time{})).client_tag ==
+              t.bare);
     }
 }
 
--- a/tests/silverrail/stand.h
+++ b/tests/silverrail/stand.h
@@ -5,6 +5,7 @@
 #include <memory>
 #include <vector>
 
+#include "../core/sample_settings.h"
 #include "check.h"
 #include "core/engine.h"
 #include "front/platform/platform.h"
@@ -290,58 +291,8 @@
     return r;
 }
 
-inline silverrail::routing::Settings settings() {
-    silverrail::routing::Settings s;
-    s.zone = "edge-1";
-    s.parent_kind = "parent";
-    s.origin_kind = "origin";
-    s.server_weights = silverrail::routing::ServerWeights::nominal;
-    s.outcome_detail = silverrail::routing::OutcomeDetail::all;
-    s.cancellation_supported = true;
-    s.retry_after = true;
-    s.max_retry_after = 500ms;
-    s.max_attempts = 6;
-    s.purge_effective_within = 500ms;
-    s.purge_complete_within = 6s;
-    s.slow_start_share = 0.26;
-    s.slow_start_duration = 14s;
-    s.overload_multiple = 2;
-    s.overload_window = 3s;
-    s.parent_slow_start_share = 0.068;
-    s.parent_slow_start_duration = 21s;
-    s.parent_overload_multiple = 2;
-    s.classes.push_back({.name = "pages",
-                         .latency_objective = 250ms,
-                         .client_timeout = 5s,
-                         .idempotency = silverrail::routing::Idempotency::idempotent,
-                         .max_age = 8s,
-                         .grace = 20s});
-    s.classes.push_back({.name = "lodge",
-                         .latency_objective = 700ms,
-                         .client_timeout = 5s,
-                         .idempotency = silverrail::routing::Idempotency::none,
-                         .uncached = true});
-    s.classes.push_back({.name = "order",
-                         .latency_objective = 700ms,
-                         .client_timeout = 5s,
-                         .idempotency = silverrail::routing::Idempotency::keyed,
-                         .key_scope = silverrail::routing::KeyScope::all,
-                         .window = 900ms,
-                         .uncached = true});
-    return s;
-}
-
-inline core::Server listed(const std::string& id, const std::string& address, const char* kind = "small-box",
-                           silverrail::routing::Condition condition = silverrail::routing::Condition::ready) {
-    core::Server b;
-    b.entry.id = silverrail::routing::ServerId{id};
-    b.entry.condition = condition;
-    b.entry.weight = 10;
-    b.entry.zone = std::string_view{kind} == "small-box" ? "edge-1" : "north";
-    b.entry.kind = kind;
-    b.address = address;
-    return b;
-}
+using core::test::listed;
+using core::test::settings;
 
 // The router's parts as main.cpp wires them, in this process.
 class Router {
