--- a/src/app/failover_part.cpp
+++ b/src/app/failover_part.cpp
@@ -65,7 +65,7 @@
                  server.address,
                  {server.entry.weight,
                   avoided,
-                  world_.engine.bans().contains(server.entry.id),
+                  world_.engine.overrides().excludes(server.entry.id),
                   {},
                   warmth(server)}};
         // Another's word is no reason to believe it, but one to look.
--- a/src/app/program.cpp
+++ b/src/app/program.cpp
@@ -9,13 +9,13 @@
 #include <thread>
 #include <vector>
 
-#include "app/bans_part.h"
 #include "app/control_part.h"
 #include "app/dns_part.h"
 #include "app/endpoint.h"
 #include "app/failover_part.h"
+#include "app/handover.h"
 #include "app/hearsay_part.h"
-#include "app/overlap.h"
+#include "app/overrides_part.h"
 #include "app/peers_part.h"
 #include "app/replica_part.h"
 #include "app/trace_part.h"
@@ -23,7 +23,7 @@
 #include "core/engine.h"
 #include "front/platform/platform.h"
 #include "lifecycle.h"
-#include "members/shares.h"
+#include "limits/process_quota.h"
 #include "net/clock.h"
 #include "net/discovery_watch.h"
 #include "net/http_server.h"
@@ -57,7 +57,7 @@
 constexpr auto kBetweenStarts = 50ms;
 
 core::Span kill_after(const routing::Settings& settings) {
-    const core::Span longest = core::longest_deadline(settings);
+    const core::Span longest = core::longest_client_timeout(settings);
     return (longest > core::Span{} ? std::min(longest, kLongestCounted) : kLongestCounted) + kKilledAfter;
 }
 
@@ -75,16 +75,16 @@
     ::pthread_sigmask(how, &set, nullptr);
 }
 
-members::Whole whole_of(const config::Config& c, const config::OperatorSettings& settings) {
-    return {.sockets = c.sockets,
+limits::RouterLimits router_limits(const config::Config& c, const config::OperatorSettings& settings) {
+    return {.descriptors = c.sockets,
             .memory_bytes = c.memory_mb * 1024 * 1024,
-            .control = !c.control.empty(),
-            .others = settings.dns.on() ? net::DnsLimits{}.connections + 3 : 0};
+            .control_address = !c.control.empty(),
+            .part_descriptors = settings.dns.on() ? net::DnsLimits{}.connections + 3 : 0};
 }
 
-net::UpstreamLimits upstream_limits(const config::Config& c, const members::Shares& shares) {
+net::UpstreamLimits upstream_limits(const config::Config& c, const limits::ProcessQuota& quota) {
     net::UpstreamLimits limits;
-    limits.sockets = shares.servers;
+    limits.sockets = quota.server_connections;
     if (c.connect_timeout > routing::Span{})
         limits.connect_timeout = c.connect_timeout;
     // A connection that both sides may close at the same moment is not worth keeping.
@@ -93,18 +93,18 @@
     return limits;
 }
 
-net::HttpLimits server_limits(const config::Config& c, const members::Shares& shares) {
+net::HttpLimits server_limits(const config::Config& c, const limits::ProcessQuota& quota) {
     net::HttpLimits limits;
-    limits.connections = shares.clients;
+    limits.connections = quota.client_connections;
     // A new version takes over beside the old one where operators can ask it whether it serves.
     if (!c.control.empty())
         limits.port = net::Listener::Port::shared;
     return limits;
 }
 
-cache::CacheLimits cache_limits(const config::Config& c, const members::Shares& shares) {
+cache::CacheLimits cache_limits(const config::Config& c, const limits::ProcessQuota& quota) {
     return {
-        .bytes = shares.copies_bytes,
+        .bytes = quota.cache_bytes,
         .uplink = {.per_response_bytes_per_s = c.flow_bytes_per_s, .total_bytes_per_s = c.link_bytes_per_s}};
 }
 
@@ -125,24 +125,24 @@
         : sources_(std::move(sources)),
           config_(std::move(config)),
           settings_(settings),
-          overlap_(io_, config_.control.empty() ? "" : kept_file(sources_, config_, "presence"), log_),
-          shares_(members::shares_of(whole_of(config_, settings_), overlap_.processes())),
+          handover_(io_, config_.control.empty() ? "" : kept_file(sources_, config_, "presence"), log_),
+          quota_(limits::quota_of(router_limits(config_, settings_), handover_.processes())),
           timers_(io_),
-          upstream_(io_, upstream_limits(config_, shares_), clock_, log_),
+          upstream_(io_, upstream_limits(config_, quota_), clock_, log_),
           engine_(config_.settings, config_.seed, config_.sockets, clock_, timers_, upstream_, log_),
           platform_(engine_, lifecycle_, log_),
           server_(
-              io_, endpoint_of(config_.listen), server_limits(config_, shares_),
+              io_, endpoint_of(config_.listen), server_limits(config_, quota_),
               [this](auto session, auto request) { platform_.handle(session, std::move(request)); }, log_),
           signals_(io_, SIGTERM, SIGINT, SIGUSR1),
           dump_(io_, SIGUSR2),
           hangup_(io_, SIGHUP),
           poll_(io_),
           reload_again_(io_) {
-        engine_.enable_response_cache(cache_limits(config_, shares_));
-        if (const auto processes = overlap_.processes(); processes > 1)
+        engine_.enable_response_cache(cache_limits(config_, quota_));
+        if (const auto processes = handover_.processes(); processes > 1)
             share_with(processes);
-        overlap_.follow([this](std::size_t processes) { share_with(processes); });
+        handover_.on_change([this](std::size_t processes) { share_with(processes); });
         lifecycle_.on_change([this](Lifecycle::Phase phase) { entered(phase); });
         platform_.also_count([this] { return part_counters(); });
         // What watches the core comes first: it has to see the first list.
@@ -194,14 +194,14 @@
         }
         if (!config_.control.empty()) {
             // Before the first list: what is out is out from the first request on.
-            auto bans =
-                std::make_unique<BansPart>(io_, engine_, kept_file(sources_, config_, "bans"), log_, replica);
+            auto bans = std::make_unique<OverridesPart>(io_, engine_, kept_file(sources_, config_, "bans"),
+                                                        log_, replica);
             front::admin::Hands& hands = *bans;
             parts_.push_back(std::move(bans));
             parts_.push_back(std::make_unique<ControlPart>(
                 ControlPart::World{io_, engine_, hands, lifecycle_, log_, [this] { upstream_.shed(32); },
                                    std::move(fleet)},
-                config_.control, shares_.callers));
+                config_.control, quota_.control_connections));
         }
         if (settings_.dns.on())
             parts_.push_back(std::make_unique<DnsPart>(
@@ -247,10 +247,10 @@
 private:
     // During an upgrade the limits, and each budget of the module, are those of all its processes together.
     void share_with(std::size_t processes) {
-        shares_ = members::shares_of(whole_of(config_, settings_), processes);
-        engine_.set_process_share(processes, shares_.copies_bytes);
-        upstream_.limit_sockets(shares_.servers);
-        server_.limit_connections(shares_.clients);
+        quota_ = limits::quota_of(router_limits(config_, settings_), processes);
+        engine_.set_process_share(processes, quota_.cache_bytes);
+        upstream_.limit_sockets(quota_.server_connections);
+        server_.limit_connections(quota_.client_connections);
     }
     // `oldest`: how long ago the news can have come about at most.
     bool take(const Json::Value& item, core::Span oldest) {
@@ -335,7 +335,7 @@
         if (phase == Lifecycle::Phase::draining) {
             last_answers_at_ = clock_.now() + kill_after(config_.settings) - kBeforeKilled;
             // Whoever comes from here on is the other process's: it listens at the same address.
-            if (overlap_.processes() > 1)
+            if (handover_.processes() > 1)
                 server_.retire();
             poll_.expires_after(kDrainFor);
             poll_.async_wait([this](const net::error_code& error) {
@@ -411,8 +411,8 @@
     const config::OperatorSettings settings_;
     Log log_;
     net::asio::io_context io_{1};
-    Overlap overlap_;
-    members::Shares shares_;
+    Handover handover_;
+    limits::ProcessQuota quota_;
     net::SystemClock clock_;
     net::TimerQueue timers_;
     net::Upstream upstream_;
@@ -481,7 +481,7 @@
         try {
             return make_program(sources);
         } catch (const std::exception& error) {
-            const bool momentary = store::is_momentary(system_error_of(error));
+            const bool momentary = store::is_transient(system_error_of(error));
             if (!momentary || std::chrono::steady_clock::now() > until)
                 throw;
             Log{}.line("start-again", "%s", error.what());
--- a/src/cache/response_cache.cpp
+++ b/src/cache/response_cache.cpp
@@ -48,8 +48,8 @@
                           std::int64_t made_ms, std::int64_t purged_ms) {
     if (!enabled_ || !request.group_known || classes_[request.key.class_index].uncached)
         return;
-    // Without its age nothing says how long it may be used. One made before a purge was under way when that
-    // came.
+    // Without its age nothing says how long it may be used. One
+    // made before a purge was under way when that came.
     if (made_ms <= 0 || made_ms <= purged_ms || tag.empty())
         return;
     store_.put(request.key, StoredResponse{.body = std::make_shared<const std::string>(body),
--- a/src/cache/response_cache.h
+++ b/src/cache/response_cache.h
@@ -51,8 +51,8 @@
     // 0: never.
     void store(const Lookup& request, std::string_view body, std::string_view tag, std::int64_t made_ms,
                std::int64_t purged_ms);
-    // A fresh response that is sent within the class's latency objective. A hit reserves its part of the
-    // uplink.
+    // A fresh response that is sent within the class's latency
+    // objective. A hit reserves its part of the uplink.
     std::optional<Hit> find_fresh(const Lookup& request, Time now, std::int64_t unix_ms);
     // For a request that is rejected otherwise: a response, fresh or within its grace, that is sent by
     // `deadline`. A hit reserves its part of the uplink.
--- a/src/config/discovery_event.h
+++ b/src/config/discovery_event.h
@@ -6,8 +6,8 @@
 #include <optional>
 #include <variant>
 
-#include "core/server_registry.h"
 #include "core/purges.h"
+#include "core/server_registry.h"
 
 namespace silverrail::config {
 
--- a/src/config/operator.cpp
+++ b/src/config/operator.cpp
@@ -198,7 +198,7 @@
     } catch (const std::system_error& e) {
         // Not there is one thing; there and not readable in this moment would turn every part off unseen.
         const bool absent = e.code() == std::errc::no_such_file_or_directory;
-        if (!absent && store::is_momentary(e.code().value()))
+        if (!absent && store::is_transient(e.code().value()))
             throw;
         if (must_exist || !absent)
             problems.push_back(path + ": can't be read");
--- a/src/core/discovery_updates.cpp
+++ b/src/core/discovery_updates.cpp
@@ -41,8 +41,8 @@
     return now;
 }
 
-void DiscoveryUpdates::set_bans(const members::Bans& bans) {
-    change_exclusions([&] { state_.servers.set_bans(bans); });
+void DiscoveryUpdates::set_overrides(const overrides::ServerOverrides& overrides) {
+    change_exclusions([&] { state_.servers.set_overrides(overrides); });
 }
 
 void DiscoveryUpdates::set_reported_outliers(std::set<ServerId> ids) {
--- a/src/core/discovery_updates.h
+++ b/src/core/discovery_updates.h
@@ -17,12 +17,12 @@
         : state_(state), cache_(cache), routing_(routing) {}
 
     // Discovery's events, in its order. `max_age`: how long ago the event can have come about at most, by
-    // when discovery was last heard completely. An event that is older by the wall clock counts the clock as
-    // wrong.
+    // when discovery was last heard completely. An event that is older
+    // by the wall clock counts the clock as wrong.
     void apply(ServerChange change, Span max_age);
     void apply(const PurgeNotice& purge, Span max_age);
 
-    void set_bans(const members::Bans& bans);
+    void set_overrides(const overrides::ServerOverrides& overrides);
     void set_reported_outliers(std::set<ServerId> ids);
     void set_zone_factors(const ZoneFactors& factors);
 
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -60,12 +60,12 @@
     void apply(const PurgeNotice& purge, Span max_age = Span::max()) {
         updates_.apply(purge, max_age);
     }
-    // Excludes what `bans` names, and readmits what it names no more.
-    void set_bans(const members::Bans& bans) {
-        updates_.set_bans(bans);
+    // Excludes what `overrides` names, and readmits what it names no more.
+    void set_overrides(const overrides::ServerOverrides& overrides) {
+        updates_.set_overrides(overrides);
     }
-    const members::Bans& bans() const {
-        return state_.servers.bans();
+    const overrides::ServerOverrides& overrides() const {
+        return state_.servers.overrides();
     }
     // Excludes these as outliers on the reports of other routers, and readmits those of the earlier call.
     void set_reported_outliers(std::set<ServerId> ids) {
--- a/src/core/purges.h
+++ b/src/core/purges.h
@@ -28,8 +28,8 @@
     // When the request's object was purged last, as Unix time in ms. Absent: no response that arrives now can
     // be older than a purge of it.
     std::optional<std::int64_t> last_issued_ms(const ClientRequest& request, Time now) const;
-    // The greatest age of a copy that a server may answer with. Absent: no server holds a copy that a purge
-    // concerns.
+    // The greatest age of a copy that a server may answer with.
+    // Absent: no server holds a copy that a purge concerns.
     std::optional<Span> max_copy_age(const ClientRequest& request, Time now, const UnixTime& unix_time) const;
     std::size_t size() const {
         return objects_.size() + groups_.size();
--- a/src/core/server_registry.cpp
+++ b/src/core/server_registry.cpp
@@ -60,7 +60,7 @@
 }
 
 bool ServerRegistry::is_excluded(const Server& server) const {
-    if (bans_.contains(server.entry.id) || reported_outliers_.contains(server.entry.id))
+    if (overrides_.excludes(server.entry.id) || reported_outliers_.contains(server.entry.id))
         return true;
     if (zone_factors_.empty() || server.entry.zone != zone_ || !is_cache_server(server))
         return false;
--- a/src/core/server_registry.h
+++ b/src/core/server_registry.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "core/types.h"
-#include "members/bans.h"
+#include "overrides/server_overrides.h"
 
 namespace silverrail::core {
 
@@ -43,11 +43,11 @@
     // Returns the ids of the servers whose open connections are void: gone, restarted or moved.
     std::vector<ServerId> apply(const ServerChange& change, Time now);
     // Excluded by an operator, whatever the list says; ids that it does not name too.
-    void set_bans(members::Bans bans) {
-        bans_ = std::move(bans);
+    void set_overrides(overrides::ServerOverrides overrides) {
+        overrides_ = std::move(overrides);
     }
-    const members::Bans& bans() const {
-        return bans_;
+    const overrides::ServerOverrides& overrides() const {
+        return overrides_;
     }
     // Excluded as outliers on the reports of other routers. Replaces the earlier set.
     void set_reported_outliers(std::set<ServerId> ids) {
@@ -104,7 +104,7 @@
     std::vector<ServerId> void_connections(const Servers& before) const;
 
     Servers servers_;
-    members::Bans bans_;
+    overrides::ServerOverrides overrides_;
     std::set<ServerId> reported_outliers_;
     ZoneFactors zone_factors_;
     std::string zone_;
--- a/src/core/unix_time.cpp
+++ b/src/core/unix_time.cpp
@@ -12,7 +12,7 @@
 // How old a timestamp usually is that proves a clock to be behind: it was on its way, or stored.
 constexpr std::int64_t kStampDelayMs = 1'000;
 // Clocks are stepped by an hour at most; a timestamp that is further ahead is damaged.
-constexpr std::int64_t kMaxStepMs = 2 * 3'600'000;
+constexpr std::int64_t kMaxStepMs = std::int64_t{2} * 3'600'000;
 
 std::int64_t milliseconds_of(Time now) {
     return now.time_since_epoch() / std::chrono::milliseconds{1};
--- a/src/front/admin/words.cpp
+++ b/src/front/admin/words.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "members/bans.h"
+#include "overrides/server_overrides.h"
 
 namespace silverrail::front::admin {
 
@@ -43,7 +43,7 @@
     }
     if (word == "OFFLINE" || word == "ONLINE") {
         const std::string_view server = alone ? std::string_view{} : line.substr(word.size() + 1);
-        if (!members::Bans::fits(server))
+        if (!overrides::ServerOverrides::is_valid_id(server))
             return std::string{word} + " takes the id of one box behind it";
         return Call{word == "OFFLINE" ? Call::Kind::offline : Call::Kind::online, std::string{server}};
     }
@@ -53,7 +53,7 @@
         const std::string_view zone = rest.substr(0, space);
         const std::string_view how =
             space == std::string_view::npos ? std::string_view{} : rest.substr(space + 1);
-        if (!members::Bans::fits(zone) || (how != "IN" && how != "OUT" && how != "OFF"))
+        if (!overrides::ServerOverrides::is_valid_id(zone) || (how != "IN" && how != "OUT" && how != "OFF"))
             return "PIN takes a zone and IN, OUT or OFF behind it";
         return Call{Call::Kind::pin, std::string{zone}, std::string{how}};
     }
--- a/src/lifecycle.h
+++ b/src/lifecycle.h
@@ -12,8 +12,8 @@
     enum class Phase {
         starting,   // reading the configuration, opening the listeners
         ready,      // serving
-        draining,   // told to end: connections and requests still come in
-        finishing,  // nothing comes in any more; what is open is answered
+        draining,   // asked to end: new connections and requests are still accepted
+        finishing,  // nothing new is accepted; open requests are answered
         stopped
     };
     using Change = std::function<void(Phase)>;
@@ -27,7 +27,7 @@
     bool ready() const {
         return phase_ == Phase::ready;
     }
-    // Only ever forwards; a step back or a repeat is ignored.
+    // Phases only go forwards; a step back or a repeat changes nothing and returns false.
     bool enter(Phase next) {
         if (next <= phase_)
             return false;
--- a/src/limits/gcra.cpp
+++ b/src/limits/gcra.cpp
@@ -6,22 +6,26 @@
 
 namespace silverrail::limits {
 
+namespace {
+constexpr double kNanosecondsPerSecond = 1e9;
+}
+
 Gcra::Gcra(double per_second, std::uint32_t burst) {
-    const double longest = std::chrono::duration<double>(kLongestInterval).count();
-    if (!(per_second >= 1 / longest && per_second <= kMostPerSecond))
+    const double max_interval_s = std::chrono::duration<double>(kMaxInterval).count();
+    if (!(per_second >= 1 / max_interval_s && per_second <= kMaxPerSecond))
         throw std::invalid_argument("a rate from one an hour to 1000000 a second");
-    if (burst < 1 || burst > kMostBurst)
+    if (burst < 1 || burst > kMaxBurst)
         throw std::invalid_argument("a burst from 1 to 1000000");
-    interval_ = Span{static_cast<Span::rep>(std::ceil(1e9 / per_second))};
+    interval_ = Span{static_cast<Span::rep>(std::ceil(kNanosecondsPerSecond / per_second))};
     tolerance_ = interval_ * (burst - 1);
 }
 
-Verdict Gcra::take(Time& paid_until, Time now) const {
+RateDecision Gcra::request(Time& paid_until, Time now) const {
     const Time from = std::max(paid_until, now);
     if (from - now > tolerance_)
-        return {false, from - now - tolerance_};
+        return {.admitted = false, .retry_after = from - now - tolerance_};
     paid_until = from + interval_;
-    return {true, Span{}};
+    return {.admitted = true, .retry_after = {}};
 }
 
 }  // namespace silverrail::limits
--- a/src/limits/gcra.h
+++ b/src/limits/gcra.h
@@ -1,5 +1,5 @@
-// A rate limit by the generic cell rate algorithm (ITU-T I.371): so many a second, with a burst on top. What
-// it remembers of one who asks is a single time, at which all that was let through will have been paid for.
+// A rate limit by the generic cell rate algorithm (ITU-T I.371): so many requests a second, with a burst on
+// top. A client's whole state is one time: when all that was admitted is paid for at the limit's rate.
 #pragma once
 
 #include <cstdint>
@@ -11,26 +11,26 @@
 using routing::Span;
 using routing::Time;
 
-struct Verdict {
+struct RateDecision {
     bool admitted = false;
-    Span hold_off{};  // refused: asked again after that, and nothing else meanwhile, it is admitted; never
-                      // before
+    // Not admitted: after exactly this, and no earlier, a request is admitted if none is made meanwhile.
+    Span retry_after{};
 };
 
 class Gcra {
 public:
-    static constexpr double kMostPerSecond = 1e6;
-    static constexpr std::uint32_t kMostBurst = 1'000'000;
-    // Above that a wait makes no sense to any client, and the arithmetic stays far from its bounds.
-    static constexpr Span kLongestInterval = std::chrono::hours{1};
+    static constexpr double kMaxPerSecond = 1e6;
+    static constexpr std::uint32_t kMaxBurst = 1'000'000;
+    // A longer wait is of no use to any client, and the arithmetic stays far from its bounds.
+    static constexpr Span kMaxInterval = std::chrono::hours{1};
 
-    // `per_second` from one an hour to kMostPerSecond, `burst` from 1 to kMostBurst; else throws
-    // std::invalid_argument. The interval is rounded up to a nanosecond: never more than the rate.
+    // `per_second` from one an hour to kMaxPerSecond, `burst` from 1 to kMaxBurst; else throws
+    // std::invalid_argument. The interval is rounded up to a nanosecond, so the rate is never exceeded.
     Gcra(double per_second, std::uint32_t burst);
 
-    // `paid_until`: what is remembered; Time::min() of one who was never seen. Changed only where it is
-    // admitted.
-    Verdict take(Time& paid_until, Time now) const;
+    // `paid_until` is the client's state, Time::min() at first. It
+    // is changed only when a request is admitted.
+    RateDecision request(Time& paid_until, Time now) const;
     Span interval() const {
         return interval_;
     }
@@ -40,7 +40,7 @@
 
 private:
     Span interval_;
-    Span tolerance_;  // so far ahead one may be and still be admitted
+    Span tolerance_;  // how far ahead of `now` the state may be for a request to be admitted
 };
 
 }  // namespace silverrail::limits
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,4 +1,4 @@
-// The program's one way to say something: a line on standard error, rate-limited by event name.
+// The program's log: lines on standard error, rate-limited by event name.
 #pragma once
 
 #include <chrono>
@@ -10,7 +10,7 @@
 
 class Log {
 public:
-    // At most `per_second` lines of one event a second; what is held back is counted on its next line.
+    // At most `per_second` lines of one event a second; suppressed ones are counted on the event's next line.
     explicit Log(int per_second = 5) : per_second_(per_second) {}
 
     // `event` is one of the fixed names that docs/oncall.md lists; the rest is printf's.
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -349,18 +349,18 @@
     return bytes;
 }
 
-members::Standing HttpSession::standing(std::chrono::steady_clock::time_point now) {
-    using Doing = members::Standing::Doing;
-    members::Standing s;
+limits::ConnectionActivity HttpSession::activity(std::chrono::steady_clock::time_point now) {
+    using Phase = limits::ConnectionActivity::Phase;
+    limits::ConnectionActivity activity;
     if (state_ != State::reading) {
-        s.doing = state_ == State::lingering ? Doing::lingering : Doing::answering;
+        activity.phase = state_ == State::lingering ? Phase::closing : Phase::answering;
     } else if (const std::size_t bytes = came(); bytes != std::exchange(seen_, bytes)) {
         since_ = now;
     }
-    s.asked_before = !first_;
-    s.something_came = seen_ > 0;
-    s.still_for = std::chrono::duration_cast<std::chrono::milliseconds>(now - since_);
-    return s;
+    activity.has_sent_request = !first_;
+    activity.request_begun = seen_ > 0;
+    activity.idle_for = std::chrono::duration_cast<std::chrono::milliseconds>(now - since_);
+    return activity;
 }
 
 HttpServer::HttpServer(asio::io_context& io, const tcp::endpoint& at, HttpLimits limits, Handler handler,
@@ -392,11 +392,11 @@
 // Guards usual clients against a flood: the most dispensable connection goes, the stillest one of its kind.
 bool HttpServer::make_room() {
     std::shared_ptr<HttpSession> victim;
-    std::optional<members::GivesWay> kind;
+    std::optional<limits::EvictionClass> kind;
     const auto now = std::chrono::steady_clock::now();
     for (const auto& [session, weak] : sessions_) {
         const auto alive = weak.lock();
-        const auto gives = alive ? members::gives_way(alive->standing(now)) : std::nullopt;
+        const auto gives = alive ? limits::eviction_class(alive->activity(now)) : std::nullopt;
         if (!gives || (victim && std::pair{*kind, victim->since()} <= std::pair{*gives, alive->since()}))
             continue;
         victim = alive;
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -8,8 +8,8 @@
 #include <optional>
 
 #include "core/types.h"
+#include "limits/connection_eviction.h"
 #include "log/log.h"
-#include "members/give_way.h"
 #include "net/asio.h"
 #include "net/listener.h"
 #include "net/loop_watch.h"
@@ -95,7 +95,7 @@
     void close_if_idle();
 
     // For the decision on who gives way when connections run short.
-    members::Standing standing(std::chrono::steady_clock::time_point now);
+    limits::ConnectionActivity activity(std::chrono::steady_clock::time_point now);
     std::chrono::steady_clock::time_point since() const {
         return since_;
     }
--- /dev/null
+++ b/src/store/file_error.h
@@ -0,0 +1,24 @@
+// An operation on a file that the operating system refused.
+#pragma once
+
+#include <stdexcept>
+#include <string>
+#include <system_error>
+
+namespace silverrail::store {
+
+// Unlike std::system_error, never taken for a failed start of the program that is worth another attempt.
+class FileError : public std::runtime_error {
+public:
+    // `what`: the path, and the operation where that is not obvious. `error`: an errno.
+    FileError(const std::string& what, int error)
+        : std::runtime_error(what + ": " + std::generic_category().message(error)), error_(error) {}
+    int error() const {
+        return error_;
+    }
+
+private:
+    int error_;
+};
+
+}  // namespace silverrail::store
--- a/src/store/read_file.cpp
+++ b/src/store/read_file.cpp
@@ -8,27 +8,16 @@
 #include <cerrno>
 #include <system_error>
 
+#include "store/file_descriptor.h"
+
 namespace silverrail::store {
 
 namespace {
 
-// Closes with its scope.
-class Descriptor {
-public:
-    explicit Descriptor(int fd) : fd_(fd) {}
-    ~Descriptor() {
-        if (fd_ >= 0)
-            ::close(fd_);
-    }
-    Descriptor(const Descriptor&) = delete;
-    Descriptor& operator=(const Descriptor&) = delete;
-    int get() const {
-        return fd_;
-    }
+constexpr std::size_t kChunkBytes = std::size_t{64} * 1024;
 
-private:
-    int fd_;
-};
+constexpr std::array kTransientErrors{EMFILE, ENFILE, ENOBUFS, ENOMEM,        EINTR,
+                                      EAGAIN, EIO,    ENOSPC,  EADDRNOTAVAIL, EADDRINUSE};
 
 [[noreturn]] void fail(const std::string& path) {
     throw std::system_error(errno, std::generic_category(), "cannot read " + path);
@@ -36,14 +25,14 @@
 
 }  // namespace
 
-std::string read_file(const std::string& path, std::size_t most) {
-    const Descriptor file{::open(path.c_str(), O_RDONLY | O_CLOEXEC)};
-    if (file.get() < 0)
+std::string read_file(const std::string& path, std::size_t max_bytes) {
+    const FileDescriptor file{::open(path.c_str(), O_RDONLY | O_CLOEXEC)};
+    if (!file)
         fail(path);
     std::string bytes;
-    std::array<char, 64 * 1024> chunk{};
-    while (bytes.size() < most) {
-        const auto got = ::read(file.get(), chunk.data(), std::min(chunk.size(), most - bytes.size()));
+    std::array<char, kChunkBytes> chunk{};
+    while (bytes.size() < max_bytes) {
+        const auto got = ::read(file.get(), chunk.data(), std::min(chunk.size(), max_bytes - bytes.size()));
         if (got < 0 && errno == EINTR)
             continue;
         if (got < 0)
@@ -55,10 +44,8 @@
     return bytes;
 }
 
-bool is_momentary(int error) {
-    constexpr std::array kErrors{EMFILE, ENFILE, ENOBUFS, ENOMEM,        EINTR,
-                                 EAGAIN, EIO,    ENOSPC,  EADDRNOTAVAIL, EADDRINUSE};
-    return std::find(kErrors.begin(), kErrors.end(), error) != kErrors.end();
+bool is_transient(int error) {
+    return std::ranges::find(kTransientErrors, error) != kTransientErrors.end();
 }
 
 }  // namespace silverrail::store
--- a/src/store/read_file.h
+++ b/src/store/read_file.h
@@ -1,4 +1,4 @@
-// A whole file read at once.
+// Reads a whole file at once.
 #pragma once
 
 #include <cstddef>
@@ -6,12 +6,12 @@
 
 namespace silverrail::store {
 
-// The bytes of the file, `most` of them at the most. Throws std::system_error with the file's name if it
-// can't be opened or read; a read that a signal interrupts is begun anew.
-std::string read_file(const std::string& path, std::size_t most);
+// The file's bytes, at most `max_bytes` of them. Throws std::system_error with its path if it can't be opened
+// or read; a read that a signal interrupts is repeated.
+std::string read_file(const std::string& path, std::size_t max_bytes);
 
-// Does an error of the system tell of this moment alone, so that the same call may work soon: no descriptors,
-// buffers or memory, an interrupted or failed transfer, an address that is not there or not free yet?
-bool is_momentary(int error);
+// Whether the same call may succeed soon after this errno: no descriptors, buffers or memory, an interrupted
+// or failed transfer, an address that is not available yet.
+bool is_transient(int error);
 
 }  // namespace silverrail::store
--- a/src/store/replace_file.cpp
+++ b/src/store/replace_file.cpp
@@ -6,53 +6,57 @@
 
 #include <cerrno>
 #include <cstdio>
-#include <cstring>
-#include <stdexcept>
+
+#include "store/file_descriptor.h"
+#include "store/file_error.h"
 
 namespace silverrail::store {
 
 namespace {
 
-// The new name lasts once its folder is on the disk. Throws where that is not so; the new file is there
-// already.
-void sync_folder(const std::string& path) {
+// The new name lasts once its folder is on the disk. The new file is in place already.
+void sync_folder_of(const std::string& path) {
     const auto slash = path.rfind('/');
     const std::string folder = slash == std::string::npos ? "." : path.substr(0, slash);
-    const int fd = ::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-    if (fd < 0)
-        throw std::runtime_error(folder + ": " + std::strerror(errno));
-    const bool good = ::fsync(fd) == 0;
-    const std::string why = std::strerror(errno);
-    ::close(fd);
-    if (!good)
-        throw std::runtime_error(folder + ": " + why);
+    const FileDescriptor file{::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC)};
+    if (!file || ::fsync(file.get()) != 0)
+        throw FileError(folder, errno);
+}
+
+bool write_all(const FileDescriptor& file, std::string_view bytes) {
+    while (!bytes.empty()) {
+        const auto written = ::write(file.get(), bytes.data(), bytes.size());
+        if (written < 0 && errno == EINTR)
+            continue;
+        if (written <= 0)
+            return false;
+        bytes.remove_prefix(static_cast<std::size_t>(written));
+    }
+    return true;
+}
+
+// Creates a new file that is on the disk when this returns true. Else errno is set.
+bool write_durably(FileDescriptor& file, std::string_view bytes) {
+    const bool written = ::fchmod(file.get(), 0600) == 0 && write_all(file, bytes);
+    const bool synced = ::fsync(file.get()) == 0;
+    const bool closed = file.close();
+    return written && synced && closed;
 }
 
 }  // namespace
 
 void replace_file(const std::string& path, std::string_view bytes) {
-    const std::string scratch = path + ".new";
-    ::unlink(scratch.c_str());
-    const int to = ::open(scratch.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, 0600);
-    if (to < 0)
-        throw std::runtime_error(scratch + ": " + std::strerror(errno));
-    bool good = ::fchmod(to, 0600) == 0;
-    while (good && !bytes.empty()) {
-        const auto put = ::write(to, bytes.data(), bytes.size());
-        if (put < 0 && errno == EINTR)
-            continue;
-        good = put > 0;
-        if (good)
-            bytes.remove_prefix(static_cast<std::size_t>(put));
-    }
-    good = ::fsync(to) == 0 && good;
-    good = ::close(to) == 0 && good;
-    if (!good || std::rename(scratch.c_str(), path.c_str()) != 0) {
-        const std::string why = std::strerror(errno);
-        ::unlink(scratch.c_str());
-        throw std::runtime_error(path + ": " + why);
+    const std::string scratch_path = path + ".new";
+    ::unlink(scratch_path.c_str());
+    FileDescriptor scratch{::open(scratch_path.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, 0600)};
+    if (!scratch)
+        throw FileError(scratch_path, errno);
+    if (!write_durably(scratch, bytes) || std::rename(scratch_path.c_str(), path.c_str()) != 0) {
+        const int error = errno;
+        ::unlink(scratch_path.c_str());
+        throw FileError(path, error);
     }
-    sync_folder(path);
+    sync_folder_of(path);
 }
 
 }  // namespace silverrail::store
--- a/tests/cache/response_cache_test.cpp
+++ b/tests/cache/response_cache_test.cpp
@@ -101,8 +101,8 @@
     CHECK(!cache.find_fresh(lookup(0), kNow + 1s, kNowMs));
 }
 
-// 1,000 bytes take 100 ms alone, 33 ms of the uplink: the objective of 200 ms + 1.5 x 100 ms bears eight at
-// once.
+// 1,000 bytes take 100 ms alone, 33 ms of the uplink: the objective of
+// 200 ms + 1.5 x 100 ms bears eight at once.
 void the_uplink_bounds_what_is_answered() {
     ResponseCache cache{kClasses, kLimits};
     cache.set_purges_reliable(true);
--- a/tests/core/servers_test.cpp
+++ b/tests/core/servers_test.cpp
@@ -23,11 +23,11 @@
     CHECK((f.sender.forgotten == std::vector<std::string>{"s-a", "s-b"}));
 }
 
-silverrail::members::Bans bans(std::initializer_list<const char*> ids) {
-    silverrail::members::Bans named;
+silverrail::overrides::ServerOverrides excluding(std::initializer_list<const char*> ids) {
+    silverrail::overrides::ServerOverrides overrides;
     for (const char* id : ids)
-        CHECK(named.add(ServerId{id}));
-    return named;
+        CHECK(overrides.exclude(ServerId{id}));
+    return overrides;
 }
 
 const char* other_server(const ServerId& id) {
@@ -40,7 +40,7 @@
     const ServerId home = f.sender.in_flight.at(0).target;
     const auto write = f.submit("lodge");
     CHECK(f.sender.in_flight.size() == 2 && f.sender.in_flight[1].target == home);
-    f.engine.set_bans(bans({home.address.c_str()}));
+    f.engine.set_overrides(excluding({home.address.c_str()}));
     CHECK(f.sender.forgotten == std::vector{home.address});
     for (int i = 0; i < 2; ++i) {
         CHECK(!f.sender.first_byte(0));
@@ -59,7 +59,7 @@
     (void)f.submit();
     const ServerId home = f.sender.in_flight.at(0).target;
     f.respond_with_hit();
-    f.engine.set_bans(bans({home.address.c_str()}));
+    f.engine.set_overrides(excluding({home.address.c_str()}));
     // Gone, listed again, and listed as just started.
     f.list({listed(home.address, "127.0.0.1:1", "small-box", Condition::gone)});
     f.list({listed(home.address, "127.0.0.1:1")});
@@ -80,9 +80,9 @@
     (void)f.submit();
     const ServerId home = f.sender.in_flight.at(0).target;
     f.respond_with_hit();
-    f.engine.set_bans(bans({home.address.c_str()}));
+    f.engine.set_overrides(excluding({home.address.c_str()}));
     f.clock.passed += 1s;
-    f.engine.set_bans(bans({}));
+    f.engine.set_overrides(excluding({}));
     CHECK(f.engine.counters().hosts_down == 0);
     f.clock.passed += 500ms;
     const auto reply = f.submit();
@@ -102,7 +102,7 @@
     Fixture f;
     const auto reply = f.submit();
     CHECK(f.sender.in_flight.size() == 1 && f.sender.in_flight[0].source == ServerId{"s-parent"});
-    f.engine.set_bans(bans({"s-parent"}));
+    f.engine.set_overrides(excluding({"s-parent"}));
     CHECK(!f.sender.first_byte(0));
     f.sender.end(0, {.attempt_status = AttemptStatus::not_sent});
     CHECK(f.sender.in_flight.size() == 1 && f.sender.in_flight[0].source != ServerId{"s-parent"});
--- a/tests/core/wall_clock_test.cpp
+++ b/tests/core/wall_clock_test.cpp
@@ -57,8 +57,8 @@
         const auto later = age_limit(f);
         CHECK(later && *later >= 2s && *later <= 2200ms);
         CHECK(f.engine.counters().clock_steps == 2);
-        // A response from elsewhere shows how late it is at least: exact again where the clock had been
-        // behind.
+        // A response from elsewhere shows how late it is at
+        // least: exact again where the clock had been behind.
         f.respond(f.clock.true_unix_ms());
         purge(f, 150ms);
         CHECK(age_limit(f) == Span{150ms});
--- a/tests/limits/limits_test.cpp
+++ b/tests/limits/rate_limits_test.cpp
@@ -1,4 +1,4 @@
-// Limits: what they let through, what they say to those whom they don't, and their bound under attack.
+// Rate limits: what they admit, when rejected clients may retry, and the table's bound in a flood.
 #include <cstdio>
 #include <limits>
 #include <map>
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "../silverrail/check.h"
-#include "limits/limiter.h"
+#include "limits/keyed_rate_limiter.h"
 
 using namespace silverrail::limits;
 using namespace std::chrono_literals;
@@ -18,11 +18,11 @@
     return Time{1000s} + span;
 }
 
-void check_cases() {
+void a_limit_admits_its_rate_and_its_burst() {
     struct Step {
         Span when;
         bool admitted;
-        Span hold_off;
+        Span retry_after;
     };
     const struct {
         double rate;
@@ -55,10 +55,13 @@
         const Gcra limit{c.rate, c.burst};
         Time paid_until = Time::min();
         for (const Step& s : c.steps) {
-            const Verdict v = limit.take(paid_until, at(s.when));
-            CHECK(v.admitted == s.admitted && v.hold_off == s.hold_off);
+            const RateDecision decision = limit.request(paid_until, at(s.when));
+            CHECK(decision.admitted == s.admitted && decision.retry_after == s.retry_after);
         }
     }
+}
+
+void a_limit_outside_its_bounds_is_an_error() {
     for (const auto& [rate, burst] : {std::pair<double, std::uint32_t>{0, 1},
                                       {-1, 1},
                                       {2e6, 1},
@@ -76,30 +79,28 @@
     }
 }
 
-// In no window is more let through than the burst and the window's share of the rate; and who waits for as
-// long as it was told is let in, who comes a nanosecond early is not.
-void check_windows() {
-    std::mt19937_64 dice{3};
+void no_window_exceeds_the_limit_and_retry_after_is_exact() {
+    std::mt19937_64 random{3};
     for (int round = 0; round < 40; ++round) {
-        const double rate = 1 + static_cast<double>(dice() % 2000);
-        const auto burst = static_cast<std::uint32_t>(1 + dice() % 30);
+        const double rate = 1 + static_cast<double>(random() % 2000);
+        const auto burst = static_cast<std::uint32_t>(1 + random() % 30);
         const Gcra limit{rate, burst};
         Time paid_until = Time::min();
         Time now = at(0s);
         std::vector<Time> admitted;
         for (int i = 0; i < 1500; ++i) {
-            now += Span{static_cast<Span::rep>(dice() % static_cast<std::uint64_t>(2e9 / rate))} *
-                   (dice() % 3 == 0 ? 0 : 1);
-            const Verdict v = limit.take(paid_until, now);
-            if (v.admitted) {
+            now += Span{static_cast<Span::rep>(random() % static_cast<std::uint64_t>(2e9 / rate))} *
+                   (random() % 3 == 0 ? 0 : 1);
+            const RateDecision decision = limit.request(paid_until, now);
+            if (decision.admitted) {
                 admitted.push_back(now);
                 continue;
             }
-            CHECK(v.hold_off > Span{});
+            CHECK(decision.retry_after > Span{});
             Time early = paid_until;
-            CHECK(!limit.take(early, now + v.hold_off - 1ns).admitted);
+            CHECK(!limit.request(early, now + decision.retry_after - 1ns).admitted);
             Time in_time = paid_until;
-            CHECK(limit.take(in_time, now + v.hold_off).admitted);
+            CHECK(limit.request(in_time, now + decision.retry_after).admitted);
         }
         for (std::size_t from = 0; from < admitted.size(); from += 7)
             for (std::size_t to = from; to < admitted.size() && to < from + 200; ++to) {
@@ -109,59 +110,58 @@
     }
 }
 
-// While there is room, the table gives the very verdicts that one without a bound would: forgetting those who
-// have paid changes nothing.
-void check_like_unbounded() {
-    std::mt19937_64 dice{8};
+void the_table_decides_like_an_unbounded_one_while_it_has_room() {
+    std::mt19937_64 random{8};
     const Gcra limit{5, 4};
-    Limiter limiter{limit, 500};
+    KeyedRateLimiter limiter{limit, 500};
     std::map<std::uint64_t, Time> reference;
     Time now = at(0s);
     std::uint64_t refused = 0;
     for (int i = 0; i < 100'000; ++i) {
-        now += Span{static_cast<Span::rep>(dice() % 4'000'000)};
-        const std::uint64_t key = dice() % 3 ? dice() % 12 : dice();
+        now += Span{static_cast<Span::rep>(random() % 4'000'000)};
+        const std::uint64_t key = random() % 3 ? random() % 12 : random();
         auto known = reference.try_emplace(key, Time::min()).first;
-        const Verdict expected = limit.take(known->second, now);
-        const Verdict v = limiter.take(key, now);
-        CHECK(v.admitted == expected.admitted && v.hold_off == expected.hold_off);
-        refused += !v.admitted;
+        const RateDecision expected = limit.request(known->second, now);
+        const RateDecision decision = limiter.request(key, now);
+        CHECK(decision.admitted == expected.admitted && decision.retry_after == expected.retry_after);
+        refused += !decision.admitted;
     }
-    CHECK(refused > 1000 && limiter.refused() == refused && limiter.given_up() == 0 && limiter.keys() < 500);
+    CHECK(refused > 1000 && limiter.rejected() == refused && limiter.evicted_unpaid() == 0 &&
+          limiter.keys() < 500);
 }
 
-// Ever new keys, far more than there is room for: the bound holds, and those at their limit are kept there.
-void check_attack() {
+void a_flood_of_new_keys_evicts_its_own_and_no_client_at_its_limit() {
     const Gcra limit{10, 5};
-    Limiter limiter{limit, 1000};
-    std::mt19937_64 dice{1};
+    KeyedRateLimiter limiter{limit, 1000};
+    std::mt19937_64 random{1};
     Time now = at(0s);
     std::map<std::uint64_t, int> usual;
     for (int ms = 0; ms < 11'000; ++ms) {
         now += 1ms;
-        // The usual ones are at their limit when it begins.
+        // The usual clients are at their limit when the flood begins.
         for (int i = 0; ms >= 1000 && i < 50; ++i)
-            limiter.take(1'000'000 + dice(), now);
+            limiter.request(1'000'000 + random(), now);
         for (std::uint64_t key = 0; key < 20; ++key)
             if (ms % 20 == 0)
-                usual[key] += limiter.take(key, now).admitted;  // 50 a second, five times the limit
+                usual[key] += limiter.request(key, now).admitted;  // 50 a second, five times the limit
         CHECK(limiter.keys() <= 1000);
     }
-    CHECK(limiter.given_up() > 400'000);
-    // Each of them got its rate and its burst, and hardly more.
+    CHECK(limiter.evicted_unpaid() > 400'000);
+    // Each usual client got its rate and its burst, and hardly more.
     for (const auto& [key, admitted] : usual)
         CHECK(admitted >= 110 && admitted <= 118);
     // A clock that steps back is taken for standing still.
     const auto keys = limiter.keys();
-    CHECK(!limiter.take(3, now - 1h).admitted && limiter.keys() <= keys);
+    CHECK(!limiter.request(3, now - 1h).admitted && limiter.keys() <= keys);
 }
 
 }  // namespace
 
 int main() {
-    check_cases();
-    check_windows();
-    check_like_unbounded();
-    check_attack();
-    std::puts("limits: no more than they say, and a wait that is kept");
+    a_limit_admits_its_rate_and_its_burst();
+    a_limit_outside_its_bounds_is_an_error();
+    no_window_exceeds_the_limit_and_retry_after_is_exact();
+    the_table_decides_like_an_unbounded_one_while_it_has_room();
+    a_flood_of_new_keys_evicts_its_own_and_no_client_at_its_limit();
+    std::puts("rate limits: every case holds");
 }
--- /dev/null
+++ b/tests/overrides/server_overrides_test.cpp
@@ -0,0 +1,57 @@
+// Operators' overrides and their stored form.
+#include "overrides/server_overrides.h"
+
+#include "../silverrail/check.h"
+
+using silverrail::overrides::ServerOverrides;
+using silverrail::routing::ServerId;
+using ParseError = ServerOverrides::ParseError;
+
+namespace {
+
+ServerOverrides two_servers() {
+    ServerOverrides overrides;
+    for (const char* id : {"s-1", "s-2"})
+        CHECK(overrides.exclude(ServerId{id}) && overrides.exclude(ServerId{id}));
+    return overrides;
+}
+
+void the_stored_form_is_read_back() {
+    const ServerOverrides overrides = two_servers();
+    const std::string text = overrides.to_text();
+    CHECK(text == "silverrail-bans 1\nout s-1\nout s-2\nend 2\n");
+    CHECK(ServerOverrides::parse(text).overrides == overrides);
+    CHECK(ServerOverrides::parse(text).error == ParseError::none);
+    CHECK(ServerOverrides::parse(ServerOverrides{}.to_text()).overrides == ServerOverrides{});
+}
+
+void a_text_that_is_cut_or_damaged_is_recognised() {
+    const std::string text = two_servers().to_text();
+    for (std::size_t i = 0; i < text.size(); ++i) {
+        CHECK(ServerOverrides::parse(text.substr(0, i)).error != ParseError::none);
+        std::string damaged = text;
+        damaged[i] = '\n';
+        CHECK(damaged == text || ServerOverrides::parse(damaged).error != ParseError::none);
+    }
+    const auto other_version = ServerOverrides::parse("silverrail-bans 2\nout s-1\nend 1\n");
+    CHECK(other_version.error == ParseError::unknown_version);
+    CHECK(ServerOverrides::parse(text + "out s-3\n").error == ParseError::damaged);
+}
+
+void invalid_ids_and_too_many_are_refused() {
+    ServerOverrides overrides = two_servers();
+    for (const char* id : {"", "a b", "a\n", "\x80"})
+        CHECK(!overrides.exclude(ServerId{id}));
+    for (std::size_t i = 0; i < 2 * ServerOverrides::kMaxServers; ++i)
+        overrides.exclude(ServerId{"x-" + std::to_string(i)});
+    CHECK(overrides.excluded().size() == ServerOverrides::kMaxServers);
+}
+
+}  // namespace
+
+int main() {
+    the_stored_form_is_read_back();
+    a_text_that_is_cut_or_damaged_is_recognised();
+    invalid_ids_and_too_many_are_refused();
+    std::puts("server overrides: every case holds");
+}
--- a/tests/silverrail/upgrade_test.cpp
+++ b/tests/silverrail/upgrade_test.cpp
@@ -2,106 +2,13 @@
 // killed, the new one killed. Every request is answered exactly once, and no write runs twice.
 #include <map>
 
-#include "members/give_way.h"
-#include "members/shares.h"
 #include "program.h"
-#include "store/presence.h"
 
 using namespace silverrail;
 using namespace silverrail::stand;
 
 namespace {
 
-void shares_by_table() {
-    using members::Whole;
-    for (const std::size_t sockets : {128U, 192U, 256U, 384U, 512U, 1024U})
-        for (const bool control : {false, true}) {
-            const Whole whole{.sockets = sockets, .memory_bytes = 32U << 20, .control = control};
-            for (const std::size_t processes : {1U, 2U}) {
-                const auto s = members::shares_of(whole, processes);
-                const std::size_t each =
-                    members::kFixed + s.clients + s.servers + (control ? s.callers + 1 : 0);
-                // The sum over both stays under the limit of the one router.
-                CHECK(each * processes <= sockets);
-                CHECK(s.clients >= 8 && s.servers >= 8 && (s.callers > 0) == control);
-                CHECK(s.copies_bytes * processes <= whole.memory_bytes / 8);
-            }
-            // Alone, all that the platform's clients hold at most finds room, at the usual limits.
-            if (sockets >= 256)
-                CHECK(members::shares_of(whole, 1).clients >= sockets / 3 + 24);
-        }
-}
-
-void who_gives_way_by_table() {
-    using members::GivesWay;
-    using Doing = members::Standing::Doing;
-    const std::optional<GivesWay> never;
-    struct Row {
-        members::Standing standing;
-        std::optional<GivesWay> gives;
-    };
-    const Row rows[] = {
-        {{Doing::answering, false, false, 60s}, never},  // a call in flight
-        {{Doing::answering, true, true, 60s}, never},
-        {{Doing::lingering, true, false, 0s}, GivesWay::lingering},  // it has had its last answer
-        {{Doing::waiting, false, false, 1s}, GivesWay::silent},      // never asked
-        {{Doing::waiting, false, false, 999ms}, GivesWay::newcomer},
-        {{Doing::waiting, false, false, 0s}, GivesWay::newcomer},
-        {{Doing::waiting, false, true, 0s}, never},  // a slow writer that moves
-        {{Doing::waiting, false, true, 1s}, never},
-        {{Doing::waiting, false, true, 1001ms}, GivesWay::stalled},
-        {{Doing::waiting, true, true, 1s}, never},
-        {{Doing::waiting, true, true, 2s}, GivesWay::stalled},
-        {{Doing::waiting, true, false, 0s}, GivesWay::idle},  // asked once and stayed
-        {{Doing::waiting, true, false, 60s}, GivesWay::idle},
-    };
-    for (const Row& row : rows)
-        CHECK(members::gives_way(row.standing) == row.gives);
-    // Never the one that asks: whoever does not goes before it, and newcomers last.
-    CHECK(GivesWay::lingering < GivesWay::silent && GivesWay::silent < GivesWay::stalled);
-    CHECK(GivesWay::stalled < GivesWay::idle && GivesWay::idle < GivesWay::newcomer);
-}
-
-void presence_is_told_by_locks() {
-    const auto folder =
-        std::filesystem::temp_directory_path() / ("silverrail-locks-" + std::to_string(::getpid()));
-    std::filesystem::create_directory(folder);
-    const std::string file = folder / "presence";
-    {
-        store::Presence one{file};
-        CHECK(one.processes() == 1);
-        {
-            store::Presence two{file};
-            CHECK(one.processes() == 2 && two.processes() == 2);
-        }
-        CHECK(one.processes() == 1);
-        // One that dies of kill -9 leaves no lock behind.
-        int ready[2];
-        CHECK(::pipe(ready) == 0);
-        const pid_t pid = ::fork();
-        if (pid == 0) {
-            const store::Presence child{file};
-            char byte = 1;
-            if (::write(ready[1], &byte, 1) != 1)
-                ::_exit(1);
-            while (true)
-                ::pause();
-        }
-        char byte = 0;
-        CHECK(::read(ready[0], &byte, 1) == 1 && one.processes() == 2);
-        CHECK(::kill(pid, SIGKILL) == 0 && ::waitpid(pid, nullptr, 0) == pid);
-        CHECK(one.processes() == 1);
-    }
-    bool refused = false;
-    try {
-        store::Presence nowhere{folder / "no" / "such"};
-    } catch (const std::system_error& e) {
-        refused = std::string{e.what()}.find("no/such") != std::string::npos;
-    }
-    CHECK(refused);
-    std::filesystem::remove_all(folder);
-}
-
 // Clients that never stop: each asks, reads the answer, and asks again, on the same connection for as long as
 // it is kept, or each time on a new one.
 class Load {
@@ -191,86 +98,102 @@
     return call(io, control, "HEALTH").starts_with("ACK");
 }
 
-void bans_as_text() {
-    using members::Bans;
-    Bans bans;
-    for (const char* id : {"s-1", "s-2"})
-        CHECK(bans.add(silverrail::routing::ServerId{id}) && bans.add(silverrail::routing::ServerId{id}));
-    const std::string text = bans.text();
-    CHECK(Bans::read(text).bans == bans && Bans::read(Bans{}.text()).bans == Bans{});
-    CHECK(Bans::read(text).trouble == Bans::Trouble::none);
-    // Cut at any byte, or with any byte put out of place, it is not taken for another set of bans.
-    for (std::size_t i = 0; i < text.size(); ++i) {
-        CHECK(Bans::read(text.substr(0, i)).trouble != Bans::Trouble::none);
-        std::string other = text;
-        other[i] = '\n';
-        CHECK(other == text || Bans::read(other).trouble != Bans::Trouble::none);
+// Two processes of one router, as during an upgrade.
+struct TwoProcesses {
+    TwoProcesses() : program{discovery.address(), server.address(), text_of(first)} {
+        run_until(io, [&] { return says_yes(io, first); });
+    }
+    void start_second() {
+        next = program.start(text_of(second));
+        run_until(io, [&] { return says_yes(io, second); });
+    }
+    ~TwoProcesses() {
+        CHECK(::kill(next, SIGKILL) == 0);
+        CHECK(::waitpid(next, nullptr, 0) == next);
+    }
+    std::string call(const tcp::endpoint& at, const char* line) {
+        return stand::call(io, at, line);
+    }
+    // How many servers the process counts as down, with the end of the line.
+    std::string down(const tcp::endpoint& at) {
+        const std::string dump = call(at, "DUMP");
+        return dump.substr(dump.find("hosts_down=") + 11, 2);
+    }
+    void wait_for_down(const tcp::endpoint& at, const std::string& count) {
+        run_until(io, [&] { return down(at) == count; });
+    }
+    // The file in which the overrides are stored.
+    std::filesystem::path overrides_file() const {
+        for (const auto& file : std::filesystem::directory_iterator{program.folder()}) {
+            if (file.path().extension() == ".bans")
+                return file.path();
+        }
+        return {};
     }
-    CHECK(Bans::read("silverrail-bans 2\nout s-1\nend 1\n").trouble == Bans::Trouble::other_version);
-    CHECK(Bans::read(text + "out s-3\n").trouble == Bans::Trouble::damaged);
-    for (const char* id : {"", "a b", "a\n", "\x80"})
-        CHECK(!bans.add(silverrail::routing::ServerId{id}));
-    for (std::size_t i = 0; i < 2 * Bans::kMost; ++i)
-        bans.add(silverrail::routing::ServerId{"x-" + std::to_string(i)});
-    CHECK(bans.ids().size() == Bans::kMost);
-}
-
-// A server is taken out at either process of an upgrade, and both heed it; what the file can't keep is said.
-void bans_over_an_upgrade() {
     asio::io_context io;
     DiscoveryWatch discovery{io};
     Server server{io};
-    const tcp::endpoint first = free_endpoint();
-    Program program{discovery.address(), server.address(), text_of(first)};
-    run_until(io, [&] { return says_yes(io, first); });
-    const auto down = [&](const tcp::endpoint& at) {
-        const std::string dump = call(io, at, "DUMP");
-        return dump.substr(dump.find("hosts_down=") + 11, 2);
-    };
-    CHECK(call(io, first, "OFFLINE s-nobody").starts_with("NAK no such box"));
-    CHECK(call(io, first, "ONLINE s-nobody").starts_with("NAK"));
-    CHECK(call(io, first, "OFFLINE s-a") == "ACK out\n" && call(io, first, "OFFLINE s-a") == "ACK out\n");
-    Client client{io, program.at};
+    tcp::endpoint first = free_endpoint();
+    tcp::endpoint second = free_endpoint();
+    Program program;
+    pid_t next = -1;
+};
+
+void overrides_at_either_process_are_in_force_in_both() {
+    TwoProcesses router;
+    CHECK(router.call(router.first, "OFFLINE s-nobody").starts_with("NAK no such box"));
+    CHECK(router.call(router.first, "ONLINE s-nobody").starts_with("NAK"));
+    CHECK(router.call(router.first, "OFFLINE s-a") == "ACK out\n");
+    CHECK(router.call(router.first, "OFFLINE s-a") == "ACK out\n");
+    Client client{router.io, router.program.at};
     client.send(ask("pages", "00000000000000aa"));
-    run_until(io, [&] { return client.done; });
-    CHECK(client.status() == 503 && server.seen.empty() && down(first) == "1\n");
-    // The new process has it out from its start, and its call back reaches the old one.
-    const tcp::endpoint second = free_endpoint();
-    const pid_t next = program.start(text_of(second));
-    run_until(io, [&] { return says_yes(io, second); });
-    CHECK(down(second) == "1\n" && call(io, second, "ONLINE s-a") == "ACK in use\n");
-    run_until(io, [&] { return down(first) == "0\n"; });
-    // And the other way round: out at the old one, heeded by the new.
-    CHECK(call(io, first, "OFFLINE s-p") == "ACK out\n");
-    run_until(io, [&] { return down(second) == "1\n"; });
-    CHECK(call(io, second, "ONLINE s-p") == "ACK in use\n");
-    run_until(io, [&] { return down(first) == "0\n"; });
-    // A file of another version is left alone, and the answers say what is true.
-    std::filesystem::path file;
-    for (const auto& f : std::filesystem::directory_iterator{program.folder()})
-        if (f.path().extension() == ".bans")
-            file = f.path();
+    run_until(router.io, [&] { return client.done; });
+    CHECK(client.status() == 503 && router.server.seen.empty() && router.down(router.first) == "1\n");
+    // In force in the new process from its start, and readmitted there for the old one too.
+    router.start_second();
+    CHECK(router.down(router.second) == "1\n");
+    CHECK(router.call(router.second, "ONLINE s-a") == "ACK in use\n");
+    router.wait_for_down(router.first, "0\n");
+    // And the other way round.
+    CHECK(router.call(router.first, "OFFLINE s-p") == "ACK out\n");
+    router.wait_for_down(router.second, "1\n");
+    CHECK(router.call(router.second, "ONLINE s-p") == "ACK in use\n");
+    router.wait_for_down(router.first, "0\n");
+}
+
+void a_file_that_cant_be_used_readmits_no_server() {
+    TwoProcesses router;
+    CHECK(router.call(router.first, "OFFLINE s-a") == "ACK out\n");
+    router.start_second();
+    CHECK(router.call(router.second, "ONLINE s-a") == "ACK in use\n");
+    router.wait_for_down(router.first, "0\n");
+    const auto file = router.overrides_file();
     CHECK(!file.empty());
+    // One of another version is left alone, and the answers say what is true.
     std::ofstream{file} << "silverrail-bans 2\nout s-a\nend 1\n";
-    CHECK(call(io, second, "OFFLINE s-a").starts_with("NAK out in this process, but not kept for another: "));
-    CHECK(down(second) == "1\n");
-    CHECK(call(io, second, "ONLINE s-a").starts_with("NAK nothing was changed: ") && down(second) == "1\n");
-    // A damaged one lifts no ban, is said, and the next call writes it anew with what is out here.
+    CHECK(router.call(router.second, "OFFLINE s-a")
+              .starts_with("NAK out in this process, but not kept for another: "));
+    CHECK(router.down(router.second) == "1\n");
+    CHECK(router.call(router.second, "ONLINE s-a").starts_with("NAK nothing was changed: "));
+    CHECK(router.down(router.second) == "1\n");
+    // A damaged one is logged, and the next call writes it anew with what is excluded here.
     std::ofstream{file} << "silverrail-bans 1\nout s-";
-    run_until(io, [&] { return program.logged("damaged; what is out here stays out"); });
-    CHECK(down(second) == "1\n" && call(io, second, "OFFLINE s-p") == "ACK out\n" && down(second) == "2\n");
-    run_until(io, [&] { return down(first) == "2\n"; });
-    // No place to write to: a folder where the new file would go.
+    run_until(router.io, [&] { return router.program.logged("damaged; what is out here stays out"); });
+    CHECK(router.down(router.second) == "1\n");
+    CHECK(router.call(router.second, "OFFLINE s-p") == "ACK out\n" && router.down(router.second) == "2\n");
+    router.wait_for_down(router.first, "2\n");
+    // A folder in the place of the new file: nothing can be written.
     std::filesystem::create_directory(file.string() + ".new");
-    CHECK(call(io, second, "ONLINE s-p").starts_with("NAK nothing was changed: ") && down(second) == "2\n");
+    CHECK(router.call(router.second, "ONLINE s-p").starts_with("NAK nothing was changed: "));
+    CHECK(router.down(router.second) == "2\n");
     std::filesystem::remove(file.string() + ".new");
-    CHECK(call(io, second, "ONLINE s-p") == "ACK in use\n" &&
-          call(io, second, "ONLINE s-a") == "ACK in use\n");
+    CHECK(router.call(router.second, "ONLINE s-p") == "ACK in use\n");
+    CHECK(router.call(router.second, "ONLINE s-a") == "ACK in use\n");
+    Client client{router.io, router.program.at};
     client.send(ask("pages", "00000000000000aa"));
-    run_until(io, [&] { return client.done; });
-    run_until(io, [&] { return down(first) == "0\n" && down(second) == "0\n"; });
-    CHECK(::kill(next, SIGKILL) == 0);
-    CHECK(::waitpid(next, nullptr, 0) == next);
+    run_until(router.io, [&] { return client.done; });
+    router.wait_for_down(router.first, "0\n");
+    router.wait_for_down(router.second, "0\n");
 }
 
 bool has_ended(pid_t pid, bool killed) {
@@ -291,7 +214,7 @@
     pid_t pid;
 };
 
-void upgrades_under_load() {
+void upgrades_under_load_lose_no_request_and_repeat_no_write() {
     asio::io_context io;
     DiscoveryWatch discovery{io};
     Server server{io};
@@ -324,7 +247,7 @@
     some_answers();
     const std::size_t lost = load.turned_back + load.unanswered + load.refused_connections;
     CHECK(says_yes(io, control));
-    run_until(io, [&] { return program.logged("overlap 1 processes of this router, 2 before"); });
+    run_until(io, [&] { return program.logged("handover 1 processes of this router, 2 before"); });
 
     // The old one killed: the new one is whole.
     const Next last{io, program};
@@ -356,11 +279,8 @@
 }  // namespace
 
 int main() {
-    shares_by_table();
-    who_gives_way_by_table();
-    presence_is_told_by_locks();
-    bans_as_text();
-    bans_over_an_upgrade();
-    upgrades_under_load();
+    overrides_at_either_process_are_in_force_in_both();
+    a_file_that_cant_be_used_readmits_no_server();
+    upgrades_under_load_lose_no_request_and_repeat_no_write();
     std::puts("upgrade: the new process takes over and nothing is lost");
 }
