--- a/src/app/overrides_part.cpp
+++ b/src/app/overrides_part.cpp
@@ -16,7 +16,7 @@
                              Log& log, ReplicaPart* fleet_state)
     : engine_(engine), log_(log), timer_(io), fleet_state_(fleet_state) {
     if (fleet_state_)
-        fleet_state_->follow([this](const std::set<std::string>& keys) { apply_replicated(keys); });
+        fleet_state_->add_listener([this](const std::set<std::string>& keys) { apply_replicated(keys); });
     if (path.empty()) {
         log_.line("overrides", "TMPDIR is not set: they are kept in this process only");
         return;
@@ -31,7 +31,7 @@
         poll_file();
     // The overrides may be older than this router's peers. Where the replicated state was restored from a
     // store, that is the later one.
-    if (fleet_state_ && fleet_state_->fresh()) {
+    if (fleet_state_ && fleet_state_->started_empty()) {
         for (const auto& server : engine_.overrides().excluded())
             (void)fleet_state_->set(kKeyPrefix + server.address, {});
     }
@@ -45,7 +45,7 @@
             if (!key.starts_with(kKeyPrefix))
                 continue;
             const core::ServerId server{key.substr(kKeyPrefix.size())};
-            if (!fleet_state_->in_force(key))
+            if (!fleet_state_->is_set(key))
                 overrides.readmit(server);
             else if (!overrides.exclude(server))
                 log_.line("overrides", "the fleet's ban of %s has no room here", server.address.c_str());
--- a/src/core/attempt_planner.cpp
+++ b/src/core/attempt_builder.cpp
@@ -1,36 +1,36 @@
-#include "core/attempt_planner.h"
+#include "core/attempt_builder.h"
 
 #include <algorithm>
 
 namespace silverrail::core {
 
-std::optional<AttemptRequest> AttemptPlanner::plan(const routing::Send& send, const ActiveRequest& request,
-                                                   std::uint32_t attempt, Time now) const {
+std::optional<AttemptRequest> AttemptBuilder::build(const routing::Send& send, const ActiveRequest& request,
+                                                    std::uint32_t attempt, Time now) const {
     const Server* server = servers_.find(send.target);
     if (!server)
         return std::nullopt;
-    AttemptRequest planned;
-    planned.key = {send.request, attempt};
-    planned.client_request = request.client_request;
-    planned.target = send.target;
-    planned.address = server->address;
+    AttemptRequest built;
+    built.key = {send.request, attempt};
+    built.client_request = request.client_request;
+    built.target = send.target;
+    built.address = server->address;
     if (send.fill) {
         if (send.fill->source != send.target)
-            planned.source = send.fill->source;
-        planned.retention = static_cast<int>(send.fill->retention);
-        planned.oldest = send.fill->oldest;
-        planned.join = send.fill->join;
-        planned.revalidate = send.fill->revalidate;
-        planned.only_if_cached = send.fill->only_if_cached;
+            built.source = send.fill->source;
+        built.retention = static_cast<int>(send.fill->retention);
+        built.oldest = send.fill->oldest;
+        built.join = send.fill->join;
+        built.revalidate = send.fill->revalidate;
+        built.only_if_cached = send.fill->only_if_cached;
     }
-    planned.repeat_before = send.repeat_before;
-    planned.deadline = request.client_request->deadline;
+    built.repeat_before = send.repeat_before;
+    built.deadline = request.client_request->deadline;
     if (send.timeout > Span{})
-        planned.deadline = std::min(planned.deadline, now + send.timeout);
-    return planned;
+        built.deadline = std::min(built.deadline, now + send.timeout);
+    return built;
 }
 
-AttemptPlanner::CopyAge AttemptPlanner::copy_age_at_first_byte(const AttemptRequest& request,
+AttemptBuilder::CopyAge AttemptBuilder::copy_age_at_first_byte(const AttemptRequest& request,
                                                                Time now) const {
     // Guards rule 5 (purges): one that came during the wait binds by the time of the first byte.
     const auto limit = purges_.max_copy_age(*request.client_request, now, unix_time_);
@@ -39,7 +39,7 @@
     return {.oldest = request.oldest, .tightened = false};
 }
 
-std::optional<std::string> AttemptPlanner::redirect_address(const AttemptRequest& request,
+std::optional<std::string> AttemptBuilder::redirect_address(const AttemptRequest& request,
                                                             const std::string& parent_kind, Time now) const {
     // Neither a limit on a copy's age nor a fill's conditions fit into a name, and left out they would change
     // what the server does. Nor does a source other than the ordinary one.
--- a/src/core/attempt_planner.h
+++ b/src/core/attempt_builder.h
@@ -7,13 +7,13 @@
 
 namespace silverrail::core {
 
-class AttemptPlanner {
+class AttemptBuilder {
 public:
-    AttemptPlanner(const ServerRegistry& servers, const Purges& purges, const UnixTime& unix_time)
+    AttemptBuilder(const ServerRegistry& servers, const Purges& purges, const UnixTime& unix_time)
         : servers_(servers), purges_(purges), unix_time_(unix_time) {}
     // Absent: the server is not known, so nothing may be sent.
-    std::optional<AttemptRequest> plan(const routing::Send& send, const ActiveRequest& request,
-                                       std::uint32_t attempt, Time now) const;
+    std::optional<AttemptRequest> build(const routing::Send& send, const ActiveRequest& request,
+                                        std::uint32_t attempt, Time now) const;
     struct CopyAge {
         Span oldest{};           // as in AttemptRequest
         bool tightened = false;  // by a purge that came after the decision
--- a/src/core/forwarding.cpp
+++ b/src/core/forwarding.cpp
@@ -18,7 +18,7 @@
       cache_(cache),
       completion_(completion),
       routing_(routing),
-      planner_(state.servers, state.purges, state.unix_time),
+      builder_(state.servers, state.purges, state.unix_time),
       accounting_(state.counters) {}
 
 void Forwarding::start(const routing::Send& send_action) {
@@ -29,7 +29,7 @@
     const auto number = static_cast<std::uint32_t>(request->attempts.size());
     const AttemptKey key{send_action.request, number};
     request->attempts.push_back({.started = now});
-    auto attempt = planner_.plan(send_action, *request, number, now);
+    auto attempt = builder_.build(send_action, *request, number, now);
     if (!attempt || request->answered() || now >= attempt->deadline)
         return end_unsent(key);
     // Guards rule 2 (no repeated effect) and the limit of attempts, whatever was decided.
@@ -52,7 +52,7 @@
 // The client goes to the server by itself, so how that ends is not seen here, and the module is notified so.
 void Forwarding::redirect(ActiveRequest& request, const AttemptRequest& attempt) {
     const AttemptKey key = attempt.key;
-    const auto address = planner_.redirect_address(attempt, state_.settings.parent_kind, state_.clock.now());
+    const auto address = builder_.redirect_address(attempt, state_.settings.parent_kind, state_.clock.now());
     if (address) {
         completion_.complete(request, redirected(*address));
     } else {
@@ -111,7 +111,7 @@
         ++state_.counters.held_at_first_byte;
         log_suppression(*request, *attempt->request, *reason);
     } else {
-        const auto copy_age = planner_.copy_age_at_first_byte(*attempt->request, now);
+        const auto copy_age = builder_.copy_age_at_first_byte(*attempt->request, now);
         oldest = copy_age.oldest;
         tightened = copy_age.tightened;
     }
--- a/src/core/forwarding.h
+++ b/src/core/forwarding.h
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "core/accounting.h"
-#include "core/attempt_planner.h"
+#include "core/attempt_builder.h"
 #include "core/completion.h"
 #include "core/engine_state.h"
 #include "core/response_cache_stage.h"
@@ -49,7 +49,7 @@
     ResponseCacheStage& cache_;
     Completion& completion_;
     RoutingStage& routing_;
-    AttemptPlanner planner_;
+    AttemptBuilder builder_;
     Accounting accounting_;
     std::map<std::string, std::uint64_t> attempts_by_remote_zone_;
 };
--- a/tests/wire_test.cpp
+++ b/tests/adapter/simulator_wire_test.cpp
@@ -3,7 +3,7 @@
 
 #include <sstream>
 
-#include "embed_example.h"
+#include "../installed/embed_example.h"
 #include "link.h"
 
 namespace silverrail::routing::adapter {
