--- a/src/app/commands.cpp
+++ b/src/app/commands.cpp
@@ -60,7 +60,7 @@
         try {
             return start_program(sources);
         } catch (const std::exception& error) {
-            const bool temporary = store::is_momentary(errno_of(error));
+            const bool temporary = store::is_transient(errno_of(error));
             if (!temporary || std::chrono::steady_clock::now() > give_up_at)
                 throw;
             Log{}.line("start-retry", "%s", error.what());
--- a/src/app/failover_part.cpp
+++ b/src/app/failover_part.cpp
@@ -85,7 +85,7 @@
         [&](const std::string& reporter) { return reporter != router_ && alive.contains(reporter); });
     std::vector<OwnServer> out;
     weights_.clear();
-    world_.engine.each_server([&](const core::Server& server, bool outlier) {
+    world_.engine.for_each_server([&](const core::Server& server, bool outlier) {
         if (server.entry.condition != routing::Condition::ready || !world_.engine.is_cache_server(server))
             return;
         weights_[server.entry.zone] += server.entry.weight;
@@ -103,7 +103,7 @@
     out.address = server.address;
     out.health.weight = server.entry.weight;
     out.health.outlier = outlier;
-    out.health.banned = world_.engine.bans().contains(server.entry.id);
+    out.health.banned = world_.engine.overrides().excludes(server.entry.id);
     out.health.warm_share = warm_share(server);
     // Another's report is no reason to believe it, but one to probe.
     out.suspected = is_drained() || outlier || reported;
@@ -190,7 +190,7 @@
     factors_ = factors;
     if (was_drained && !is_drained())
         back_since_ = world_.clock.now();
-    world_.engine.steer(factors_);
+    world_.engine.set_zone_factors(factors_);
 }
 
 void FailoverPart::log_change(const cluster::Failover::Change& change) {
@@ -240,7 +240,7 @@
     std::uint64_t out_of_zone = 0;
     std::uint64_t out_of_region = 0;
     const auto& settings = failover_.settings();
-    for (const auto& [zone, sent] : world_.engine.sent_away()) {
+    for (const auto& [zone, sent] : world_.engine.attempts_by_remote_zone()) {
         out_of_zone += sent;
         if (cluster::region_of(settings, zone) != cluster::region_of(settings, zone_))
             out_of_region += sent;
--- a/src/app/graceful_shutdown.cpp
+++ b/src/app/graceful_shutdown.cpp
@@ -20,7 +20,7 @@
 constexpr auto kPollInterval = 10ms;
 
 core::Span grace_period(const routing::Settings& settings) {
-    const core::Span longest = core::longest_deadline(settings);
+    const core::Span longest = core::longest_client_timeout(settings);
     const bool known = longest > core::Span{};
     const core::Span counted = known ? std::min(longest, kMaxCountedDeadline) : kMaxCountedDeadline;
     return counted + kKillMargin - kWriteMargin;
--- a/src/app/optional_parts.cpp
+++ b/src/app/optional_parts.cpp
@@ -1,10 +1,10 @@
 #include "app/optional_parts.h"
 
-#include "app/bans_part.h"
 #include "app/control_part.h"
 #include "app/dns_part.h"
 #include "app/failover_part.h"
 #include "app/outlier_consensus_part.h"
+#include "app/overrides_part.h"
 #include "app/resource_limits.h"
 #include "app/trace_part.h"
 
@@ -86,12 +86,12 @@
 // Reads the servers that operators have taken out before the first server list is applied, so that they get
 // no request from the start on.
 void OptionalParts::add_control() {
-    auto* const overrides = add(std::make_unique<BansPart>(with_.io, with_.engine, shared_file("bans"),
-                                                           with_.log, peer_services_.state));
+    auto* const overrides = add(std::make_unique<OverridesPart>(with_.io, with_.engine, shared_file("bans"),
+                                                                with_.log, peer_services_.state));
     add(std::make_unique<ControlPart>(
         ControlPart::World{with_.io, with_.engine, *overrides, with_.lifecycle, with_.log,
                            with_.free_descriptors, std::move(peer_commands_)},
-        with_.config.control, with_.shares.callers));
+        with_.config.control, with_.quota.control_connections));
 }
 
 void OptionalParts::add_dns() {
--- a/src/app/optional_parts.h
+++ b/src/app/optional_parts.h
@@ -12,7 +12,7 @@
 #include "core/engine.h"
 #include "front/admin/admin.h"
 #include "lifecycle.h"
-#include "members/shares.h"
+#include "limits/process_quota.h"
 
 namespace silverrail::app {
 
@@ -28,7 +28,7 @@
         const config::Config& config;
         const config::OperatorSettings& settings;
         std::string shared_folder;               // of files shared by this router's processes; empty: none
-        const members::Shares& shares;           // of the router's limits, as of create()
+        const limits::ProcessQuota& quota;       // of the router's limits, as of create()
         std::function<void()> free_descriptors;  // closes connections that are not needed
     };
     explicit OptionalParts(Dependencies dependencies) : with_(std::move(dependencies)) {}
--- a/src/app/outlier_consensus_part.cpp
+++ b/src/app/outlier_consensus_part.cpp
@@ -25,9 +25,9 @@
     using routing::Condition;
     std::vector<cluster::ServerObservation> out;
     const auto now = world_.clock.now();
-    world_.engine.each_server([&](const core::Server& server, bool avoided) {
+    world_.engine.for_each_server([&](const core::Server& server, bool avoided) {
         const bool gone = server.entry.condition == Condition::gone;
-        if (gone && (!server.barred || now > *server.barred + kReportGoneFor))
+        if (gone && (!server.unavailable_since || now > *server.unavailable_since + kReportGoneFor))
             return;
         out.push_back({server.entry.id.address, server.entry.zone, server.started_ms, avoided,
                        server.entry.condition != Condition::ready});
@@ -53,7 +53,7 @@
     std::set<core::ServerId> servers;
     for (const auto& id : ids)
         servers.insert(core::ServerId{id});
-    world_.engine.hold_out(std::move(servers));
+    world_.engine.set_reported_outliers(std::move(servers));
     world_.log.line("outlier-consensus", R"({"held_out":%zu,"one":"%s"})", ids.size(),
                     ids.empty() ? "" : ids.begin()->c_str());
 }
--- a/src/app/program.cpp
+++ b/src/app/program.cpp
@@ -33,23 +33,23 @@
     : sources_(std::move(sources)),
       config_(std::move(config)),
       settings_(settings),
-      overlap_(io_, presence_file(sources_, config_), log_),
-      shares_(members::shares_of(total_resources(config_, settings_), overlap_.processes())),
+      handover_(io_, presence_file(sources_, config_), log_),
+      quota_(limits::quota_of(total_resources(config_, settings_), handover_.processes())),
       timers_(io_),
-      upstream_(io_, upstream_limits(config_, shares_), clock_, log_),
+      upstream_(io_, upstream_limits(config_, quota_), clock_, log_),
       engine_(config_.settings, config_.seed, config_.sockets, clock_, timers_, upstream_, log_),
       platform_(engine_, lifecycle_, log_),
       server_(
-          io_, endpoint_of(config_.listen), client_limits(config_, shares_),
+          io_, endpoint_of(config_.listen), client_limits(config_, quota_),
           [this](auto session, auto request) { platform_.handle(session, std::move(request)); }, log_),
       parts_(part_dependencies()),
       signals_(io_, signal_actions()),
       shutdown_(shutdown_dependencies(), config_.settings),
       reloader_(io_, sources_, config_, settings_, log_) {
-    engine_.keep_copies(cache_limits(config_, shares_));
-    if (const auto processes = overlap_.processes(); processes > 1)
+    engine_.enable_response_cache(cache_limits(config_, quota_));
+    if (const auto processes = handover_.processes(); processes > 1)
         on_process_count(processes);
-    overlap_.follow([this](std::size_t processes) { on_process_count(processes); });
+    handover_.on_change([this](std::size_t processes) { on_process_count(processes); });
     lifecycle_.on_change([this](Lifecycle::Phase phase) { on_phase(phase); });
     platform_.also_count([this] { return module_counters(); });
     parts_.create();
@@ -65,7 +65,7 @@
             .config = config_,
             .settings = settings_,
             .shared_folder = sources_.shared_folder,
-            .shares = shares_,
+            .quota = quota_,
             .free_descriptors = [this] {
                 free_descriptors();
             }};
@@ -87,7 +87,7 @@
             .lifecycle = lifecycle_,
             .engine = engine_,
             .server = server_,
-            .successor_runs = [this] { return overlap_.processes() > 1; },
+            .successor_runs = [this] { return handover_.processes() > 1; },
             .stop_parts =
                 [this] {
                     parts_.stop();
@@ -109,7 +109,7 @@
     discovery_.emplace(
         io_, endpoint_of(config_.discovery), config_.known_no,
         [this](std::int64_t, std::string_view data) { return on_discovery_data(data); }, log_, config_.seed);
-    discovery_->when_sure([this](bool synchronized) { engine_.told_of_purges(synchronized); });
+    discovery_->when_sure([this](bool synchronized) { engine_.set_purges_reliable(synchronized); });
     discovery_->start();
     reloader_.attach(*discovery_);
 }
@@ -124,10 +124,10 @@
 
 // The limits, and each of the decision module's budgets, are those of all processes together.
 void Program::on_process_count(std::size_t processes) {
-    shares_ = members::shares_of(total_resources(config_, settings_), processes);
-    engine_.share_with(processes, shares_.copies_bytes);
-    upstream_.limit_sockets(shares_.servers);
-    server_.limit_connections(shares_.clients);
+    quota_ = limits::quota_of(total_resources(config_, settings_), processes);
+    engine_.set_process_share(processes, quota_.cache_bytes);
+    upstream_.limit_sockets(quota_.server_connections);
+    server_.limit_connections(quota_.client_connections);
 }
 
 void Program::on_phase(Lifecycle::Phase phase) {
--- a/src/app/program.h
+++ b/src/app/program.h
@@ -5,8 +5,8 @@
 
 #include "app/config_reload.h"
 #include "app/graceful_shutdown.h"
+#include "app/handover.h"
 #include "app/optional_parts.h"
-#include "app/overlap.h"
 #include "app/settings_sources.h"
 #include "app/signals.h"
 #include "core/engine.h"
@@ -52,8 +52,8 @@
     const config::OperatorSettings settings_;
     Log log_;
     net::asio::io_context io_{1};
-    Overlap overlap_;
-    members::Shares shares_;
+    Handover handover_;
+    limits::ProcessQuota quota_;
     net::SystemClock clock_;
     net::TimerQueue timers_;
     net::Upstream upstream_;
--- a/src/app/resource_limits.cpp
+++ b/src/app/resource_limits.cpp
@@ -14,16 +14,16 @@
 
 }  // namespace
 
-members::Whole total_resources(const config::Config& config, const config::OperatorSettings& settings) {
-    return {.sockets = config.sockets,
+limits::RouterLimits total_resources(const config::Config& config, const config::OperatorSettings& settings) {
+    return {.descriptors = config.sockets,
             .memory_bytes = config.memory_mb * kBytesPerMegabyte,
-            .control = !config.control.empty(),
-            .others = settings.dns.on() ? net::DnsLimits{}.connections + kDnsListeners : 0};
+            .control_address = !config.control.empty(),
+            .part_descriptors = settings.dns.on() ? net::DnsLimits{}.connections + kDnsListeners : 0};
 }
 
-net::UpstreamLimits upstream_limits(const config::Config& config, const members::Shares& shares) {
+net::UpstreamLimits upstream_limits(const config::Config& config, const limits::ProcessQuota& quota) {
     net::UpstreamLimits limits;
-    limits.sockets = shares.servers;
+    limits.sockets = quota.server_connections;
     if (config.connect_timeout > routing::Span{})
         limits.connect_timeout = config.connect_timeout;
     // Well before the server closes it: a request sent on a connection that is closing would be lost.
@@ -32,19 +32,19 @@
     return limits;
 }
 
-net::HttpLimits client_limits(const config::Config& config, const members::Shares& shares) {
+net::HttpLimits client_limits(const config::Config& config, const limits::ProcessQuota& quota) {
     net::HttpLimits limits;
-    limits.connections = shares.clients;
+    limits.connections = quota.client_connections;
     // With a control address an operator can check a new process beside the old one, so both may listen.
     if (!config.control.empty())
         limits.port = net::Listener::Port::shared;
     return limits;
 }
 
-copies::Limits cache_limits(const config::Config& config, const members::Shares& shares) {
-    return {
-        .bytes = shares.copies_bytes,
-        .link = {.flow_bytes_per_s = config.flow_bytes_per_s, .link_bytes_per_s = config.link_bytes_per_s}};
+cache::CacheLimits cache_limits(const config::Config& config, const limits::ProcessQuota& quota) {
+    return {.bytes = quota.cache_bytes,
+            .uplink = {.per_response_bytes_per_s = config.flow_bytes_per_s,
+                       .total_bytes_per_s = config.link_bytes_per_s}};
 }
 
 std::string shared_file_path(const std::string& folder, const std::string& clients_address,
--- a/src/app/resource_limits.h
+++ b/src/app/resource_limits.h
@@ -3,21 +3,21 @@
 
 #include <string>
 
+#include "cache/response_cache.h"
 #include "config/config.h"
 #include "config/operator.h"
-#include "copies/copies.h"
-#include "members/shares.h"
+#include "limits/process_quota.h"
 #include "net/http_server.h"
 #include "net/upstream.h"
 
 namespace silverrail::app {
 
 // What all processes of this router together may use.
-members::Whole total_resources(const config::Config& config, const config::OperatorSettings& settings);
+limits::RouterLimits total_resources(const config::Config& config, const config::OperatorSettings& settings);
 
-net::UpstreamLimits upstream_limits(const config::Config& config, const members::Shares& shares);
-net::HttpLimits client_limits(const config::Config& config, const members::Shares& shares);
-copies::Limits cache_limits(const config::Config& config, const members::Shares& shares);
+net::UpstreamLimits upstream_limits(const config::Config& config, const limits::ProcessQuota& quota);
+net::HttpLimits client_limits(const config::Config& config, const limits::ProcessQuota& quota);
+cache::CacheLimits cache_limits(const config::Config& config, const limits::ProcessQuota& quota);
 
 // The path of a file that all processes of one router share. They are told from other routers by the clients'
 // address, which the name contains. Empty if `folder` is.
