--- a/bench/trace_bench.cpp
+++ b/bench/trace_bench.cpp
@@ -73,9 +73,9 @@
         made = make(120, 1);
         source = std::make_unique<MemorySource>(made.sinks[0]->bytes());
         Reader reader{*source};
-        reader.each({}, [&](const Record& r, bool held, const state::InForce& f) {
+        reader.each({}, [&](const Record& r, bool held, const model::EffectiveState& f) {
             if (!held)
-                lines += config::json_line(json_of(r, f.unix_ns(r.source, r.at))) + '\n';
+                lines += config::json_line(json_of(r, f.unix_ns(r.router_index, r.at))) + '\n';
             return true;
         });
     }
@@ -96,7 +96,7 @@
 BENCHMARK_F(OneRouter, CutTenSeconds)(benchmark::State& state) {
     for (auto _ : state) {
         Reader reader{*source};
-        state::Selection s;
+        model::Selection s;
         s.from_unix_ns = reader.chunks()[0].summary.first_unix_ns + 60 * kSecond;
         s.to_unix_ns = s.from_unix_ns + 10 * kSecond;
         MemorySink out;
@@ -121,7 +121,7 @@
     }
 }
 
-BENCHMARK_F(OneRouter, Summary)(benchmark::State& state) {
+BENCHMARK_F(OneRouter, ChunkSummary)(benchmark::State& state) {
     for (auto _ : state) {
         Reader reader{*source};
         Summarizer s;
@@ -146,8 +146,9 @@
     for (auto _ : state) {
         Reader reader{*source};
         Replay replay{settings_of};
-        reader.each(
-            {}, [&](const Record& r, bool held, const state::InForce&) { return held || replay.take(r); });
+        reader.each({}, [&](const Record& r, bool held, const model::EffectiveState&) {
+            return held || replay.take(r);
+        });
         replay.end();
         if (replay.first())
             state.SkipWithError("decisions differ");
@@ -159,12 +160,12 @@
 // between two rounds, untimed. Allocations are those of this thread.
 BENCHMARK_F(OneRouter, RequestThread)(benchmark::State& state) {
     Reader reader{*source};
-    std::vector<state::Kept> records;
+    std::vector<model::OwnedRecord> records;
     std::uint64_t calls = 0;
-    reader.each({}, [&](const Record& r, bool held, const state::InForce&) {
-        if (!held && !std::holds_alternative<state::Start>(r.body))
+    reader.each({}, [&](const Record& r, bool held, const model::EffectiveState&) {
+        if (!held && !std::holds_alternative<model::RouterStarted>(r.body))
             records.emplace_back(r);
-        calls += std::holds_alternative<state::Taken>(r.body) && !held;
+        calls += std::holds_alternative<model::RequestReceived>(r.body) && !held;
         return records.size() < 20'000;
     });
     RecorderSettings settings;
--- a/src/app/trace_part.cpp
+++ b/src/app/trace_part.cpp
@@ -35,16 +35,16 @@
 
 trace::RecorderSettings recorder_settings(const config::TraceSettings& s) {
     trace::RecorderSettings r;
-    r.retention.most_bytes = static_cast<std::uint64_t>(s.most_mb) << 20;
-    r.retention.file_bytes = static_cast<std::uint64_t>(s.file_mb) << 20;
-    r.retention.file_span_ns = s.file_minutes * 60'000'000'000;
+    r.retention.max_total_bytes = static_cast<std::uint64_t>(s.most_mb) << 20;
+    r.retention.max_file_bytes = static_cast<std::uint64_t>(s.file_mb) << 20;
+    r.retention.max_file_age_ns = s.file_minutes * 60'000'000'000;
     r.flush_ns = s.flush_ms * 1'000'000;
     r.queue_bytes = static_cast<std::size_t>(s.queue_kb) << 10;
     r.flight_bytes = static_cast<std::size_t>(s.flight_mb) << 20;
-    r.trigger.share = s.dump_at_failed_share;
+    r.trigger.failed_share = s.dump_at_failed_share;
     r.trigger.window_ns = s.dump_window_s * 1'000'000'000;
-    r.trigger.least = static_cast<std::uint64_t>(s.dump_least_answers);
-    r.trigger.hold_off_ns = s.dump_hold_off_s * 1'000'000'000;
+    r.trigger.min_responses = static_cast<std::uint64_t>(s.dump_least_answers);
+    r.trigger.min_interval_ns = s.dump_hold_off_s * 1'000'000'000;
     r.left_out = {s.leave_out_clients, s.leave_out_tags};
     return r;
 }
--- a/src/cli/trace.cpp
+++ b/src/cli/trace.cpp
@@ -11,7 +11,7 @@
 
 #include "config/config.h"
 #include "lab/site.h"
-#include "state/words.h"
+#include "trace/model/enum_names.h"
 #include "trace/replay.h"
 #include "trace/synth.h"
 #include "trace/tools.h"
@@ -142,8 +142,8 @@
         app.add_option("--call", calls, "the client's id");
         app.add_option("--object", objects, "16 hex digits");
     }
-    state::Selection selection(const Reader& reader) const {
-        state::Selection s;
+    model::Selection selection(const Reader& reader) const {
+        model::Selection s;
         if (!from.empty())
             s.from_unix_ns = parse_when(from, reader);
         if (!to.empty())
@@ -153,7 +153,7 @@
         s.classes = classes;
         s.outcomes = outcomes;
         s.servers = servers;
-        s.traces = calls;
+        s.client_request_ids = calls;
         for (const std::string& o : objects) {
             std::uint64_t id = 0;
             const auto [end, error] = std::from_chars(o.data(), o.data() + o.size(), id, 16);
@@ -211,9 +211,9 @@
         const Facts f = facts_of(reader);
         Routers routers;
         Reader::Pass pass;
-        pass.wanted = types_of<state::Start>();
+        pass.wanted = types_of<model::RouterStarted>();
         pass.track = false;
-        reader.each(pass, [&](const Record& r, bool, const state::InForce&) {
+        reader.each(pass, [&](const Record& r, bool, const model::EffectiveState&) {
             routers.take(r);
             return true;
         });
@@ -262,7 +262,7 @@
 int verify(const std::string& path) {
     Input in{path};
     std::uint64_t records = 0;
-    in.reader().each({}, [&](const Record&, bool held, const state::InForce&) {
+    in.reader().each({}, [&](const Record&, bool held, const model::EffectiveState&) {
         records += !held;
         return true;
     });
@@ -288,7 +288,7 @@
                           std::numeric_limits<std::int64_t>::max(),
                           false,
                           {}},
-                         [&](const Record& r, bool held, const state::InForce&) {
+                         [&](const Record& r, bool held, const model::EffectiveState&) {
                              routers.take(r);
                              return held || replay.take(r);
                          });
@@ -320,17 +320,17 @@
         std::printf("%llu events, %llu decisions, %llu events answered otherwise%s\n", ull{replay.events()},
                     ull{replay.decisions()}, ull{replay.differences()}, diff ? "" : ": stopped at the first");
         std::printf("first: event %llu, %s, call %llu\n    recorded: %s\n    now:      %s\n",
-                    ull{first->event}, Replay::name_of(first->difference), ull{first->call},
+                    ull{first->event}, Replay::name_of(first->difference), ull{first->request},
                     first->recorded.c_str(), first->now.c_str());
         for (const auto& [key, n] : replay.sums())
             std::printf("%-16s %-32s %llu\n", key.first.c_str(), Replay::name_of(key.second), ull{n});
     }
-    if (first && first->call != 0) {
+    if (first && first->request != 0) {
         // The call itself, as it was.
         for (const std::string& path : files) {
             Input in{path};
-            show(in.reader(), {}, [&](const state::Story& s, const Names& names) {
-                if (!as_json && s.call == first->call && s.source == first->source)
+            show(in.reader(), {}, [&](const model::RequestTimeline& s, const Names& names) {
+                if (!as_json && s.request == first->request && s.router_index == first->source)
                     std::fputs(trace::text_of(s, names).c_str(), stdout);
             });
         }
@@ -345,8 +345,8 @@
 // ---- merge, strip, synth -----------------------------------------------------------------------
 
 const char* from_word(const MergedSource& s) {
-    using From = state::SkewEstimate::From;
-    switch (s.estimate.from) {
+    using From = model::ClockOffsetEstimate::Basis;
+    switch (s.estimate.basis) {
         case From::reference:
             return "reference";
         case From::purges:
@@ -398,8 +398,8 @@
         one["from"] = s.reference ? "reference" : from_word(s);
         one["shared"] = Json::Value{Json::UInt64{e.shared}};
         one["trimmed"] = Json::Value{Json::UInt64{e.trimmed}};
-        if (e.order_gap_ns)
-            one["order_gap_ms"] = *e.order_gap_ns / 1e6;
+        if (e.min_delay_difference_ns)
+            one["order_gap_ms"] = *e.min_delay_difference_ns / 1e6;
         if (!s.borrowed.empty())
             one["borrowed_from_start"] = s.borrowed;
         for (const auto& f : s.files)
@@ -411,15 +411,15 @@
                      time_text(s.incarnation_unix_ns).c_str(), e.offset_ns / 1e6);
         if (s.reference) {
             std::fputs(", the reference\n", to);
-        } else if (e.from == state::SkewEstimate::From::given) {
+        } else if (e.basis == model::ClockOffsetEstimate::Basis::given) {
             std::fputs(", as given\n", to);
         } else {
             std::fprintf(to, " +- %.3f ms, its clock runs %+.1f ppm; from %zu %s (%zu left out)%s%s\n",
                          e.uncertainty_ns / 1e6, -e.drift * 1e6, e.shared, from_word(s), e.trimmed,
                          s.borrowed.empty() ? "" : ", borrowed from its run of ", s.borrowed.c_str());
-            if (e.order_gap_ns && std::abs(*e.order_gap_ns) > 200e6)
+            if (e.min_delay_difference_ns && std::abs(*e.min_delay_difference_ns) > 200e6)
                 std::fprintf(to, "    but the quickest copies come %+.0f ms apart: do not trust it\n",
-                             *e.order_gap_ns / 1e6);
+                             *e.min_delay_difference_ns / 1e6);
         }
     }
     if (as_json)
@@ -558,11 +558,11 @@
         Bar bar;
         show(
             in.reader(), all->choice.selection(in.reader()),
-            [&](const state::Story& story, const Names& names) {
+            [&](const model::RequestTimeline& timeline, const Names& names) {
                 if (all->json)
-                    print(json_of(story, names));
+                    print(json_of(timeline, names));
                 else
-                    std::fputs(trace::text_of(story, names).c_str(), stdout);
+                    std::fputs(trace::text_of(timeline, names).c_str(), stdout);
             },
             all->json ? bar.progress() : Progress{});
         return in.tell();
@@ -580,7 +580,7 @@
         Bar bar;
         const auto result = cut(in.reader(), selection, sink, bar.progress());
         std::fprintf(stderr, "%llu records", ull{result.records});
-        if (!selection.all_calls())
+        if (!selection.selects_all())
             std::fprintf(stderr, " of %llu calls", ull{result.calls});
         std::fputc('\n', stderr);
         return in.tell();
--- a/src/trace/chunk.cpp
+++ b/src/trace/chunk.cpp
@@ -6,8 +6,8 @@
 
 namespace silverrail::trace {
 
-using state::Pack;
-using state::Text;
+using model::Encoding;
+using model::Text;
 
 namespace {
 
@@ -49,11 +49,11 @@
 
 // Small whole numbers of a type come as they are, wherever they would be picked or stepped otherwise.
 template <class T>
-constexpr Pack pack_of(Pack wanted) {
+constexpr Encoding pack_of(Encoding wanted) {
     if constexpr (std::is_same_v<T, Text> || std::is_same_v<T, double>)
-        return Pack::pick;
+        return Encoding::dictionary;
     if constexpr (std::is_same_v<T, bool> || std::is_same_v<T, std::uint8_t>)
-        return Pack::plain;
+        return Encoding::plain;
     return wanted;
 }
 
@@ -62,7 +62,7 @@
 std::size_t field_count() {
     std::size_t n = 0;
     T none{};
-    T::fields(none, [&n](const char*, auto&, Pack) { ++n; });
+    T::fields(none, [&n](const char*, auto&, Encoding) { ++n; });
     return n;
 }
 
@@ -72,27 +72,28 @@
 
 }  // namespace
 
-void Summary::name(std::string_view server) {
+void ChunkSummary::name(std::string_view server) {
     if (server.empty())
         return;
     const auto bit = checksum(server, kServerSeed) & 255;
     servers[bit / 64] |= std::uint64_t{1} << (bit % 64);
 }
-bool Summary::may_name(std::string_view server) const {
+bool ChunkSummary::may_name(std::string_view server) const {
     const auto bit = checksum(server, kServerSeed) & 255;
     return servers[bit / 64] >> (bit % 64) & 1;
 }
 
-std::uint64_t call_key(std::uint64_t trace_id, std::string_view trace) {
+std::uint64_t call_key(std::uint64_t client_request_number, std::string_view trace) {
     if (!trace.empty())
         return checksum(trace, kCallSeed);
-    return checksum({reinterpret_cast<const char*>(&trace_id), sizeof trace_id}, kCallSeed);
+    return checksum({reinterpret_cast<const char*>(&client_request_number), sizeof client_request_number},
+                    kCallSeed);
 }
 std::uint64_t object_key(std::uint64_t object) {
     return checksum({reinterpret_cast<const char*>(&object), sizeof object}, kObjectSeed);
 }
 
-void detail::Packing::clear() {
+void detail::ColumnBuffer::clear() {
     values.clear();
     any = false;
     words.clear();
@@ -103,9 +104,9 @@
 
 // ---- packing -----------------------------------------------------------------------------------
 
-ChunkBuilder::ChunkBuilder() : columns_(state::kTypes) {
-    for (std::size_t type = 0; type < state::kTypes; ++type)
-        state::with_type(type, [&]<class T>(T) { columns_[type].resize(field_count<T>()); });
+ChunkBuilder::ChunkBuilder() : columns_(model::kTypes) {
+    for (std::size_t type = 0; type < model::kTypes; ++type)
+        model::with_type(type, [&]<class T>(T) { columns_[type].resize(field_count<T>()); });
 }
 ChunkBuilder::~ChunkBuilder() = default;
 
@@ -120,18 +121,18 @@
         summary_.types |= Types{1} << record.body.index();
     }
     // What a call that was open before is, is part of what a search may ask for.
-    if (const auto* taken = std::get_if<state::Taken>(&record.body)) {
+    if (const auto* taken = std::get_if<model::RequestReceived>(&record.body)) {
         summary_.classes |= std::uint64_t{1} << std::min<std::uint64_t>(63, taken->class_index);
-        keys_.push_back(call_key(taken->trace_id, taken->trace));
+        keys_.push_back(call_key(taken->client_request_number, taken->client_request_id));
         keys_.push_back(object_key(taken->object));
-    } else if (const auto* sent = std::get_if<state::Sent>(&record.body)) {
+    } else if (const auto* sent = std::get_if<model::AttemptSent>(&record.body)) {
         summary_.name(sent->target);
-        summary_.name(sent->source);
-    } else if (const auto* ended = std::get_if<state::Ended>(&record.body)) {
+        summary_.name(sent->fill_source);
+    } else if (const auto* ended = std::get_if<model::AttemptEnded>(&record.body)) {
         summary_.outcomes |= std::uint64_t{1} << std::min(63, 16 + ended->attempt_status);
-    } else if (const auto* answered = std::get_if<state::Answered>(&record.body)) {
+    } else if (const auto* answered = std::get_if<model::ResponseSent>(&record.body)) {
         summary_.outcomes |= std::uint64_t{1} << std::min<int>(15, answered->kind);
-    } else if (const auto* entry = std::get_if<state::Entry>(&record.body)) {
+    } else if (const auto* entry = std::get_if<model::ServerListEntry>(&record.body)) {
         if (!held)
             summary_.name(entry->id);
     }
@@ -141,19 +142,19 @@
     cache_status(record, unix_ns, held);
     const std::size_t type = record.body.index();
     types_.push_back(static_cast<char>(type));
-    put_varint(sources_, record.source);
-    any_source_ = any_source_ || record.source != 0;
-    std::int64_t& last = last_[record.source];
+    put_varint(sources_, record.router_index);
+    any_source_ = any_source_ || record.router_index != 0;
+    std::int64_t& last = last_[record.router_index];
     times_.push_back(zigzag(difference(record.at, last)));
     last = record.at;
     std::visit(
         [&](const auto& body) {
             using T = std::decay_t<decltype(body)>;
             std::size_t place = 0;
-            T::fields(body, [&](const char*, const auto& value, Pack wanted) {
+            T::fields(body, [&](const char*, const auto& value, Encoding wanted) {
                 using F = std::decay_t<decltype(value)>;
-                Packing& p = columns_[type][place++];
-                const Pack pack = pack_of<F>(wanted);
+                ColumnBuffer& p = columns_[type][place++];
+                const Encoding pack = pack_of<F>(wanted);
                 if constexpr (std::is_same_v<F, Text>) {
                     if (value.empty()) {
                         p.values.push_back(0);
@@ -170,7 +171,7 @@
                 } else {
                     const std::uint64_t bits = bits_of(value);
                     p.any = p.any || bits != 0;
-                    if (pack == Pack::pick) {
+                    if (pack == Encoding::dictionary) {
                         if (bits == 0) {
                             p.values.push_back(0);
                             return;
@@ -236,27 +237,27 @@
         column(columns, body, kSourceColumn, kRaw, types_.size(), sources_, level);
     numbers(columns, body, kTimeColumn, times_, true, level);
     for (std::size_t type = 0; type < columns_.size(); ++type)
-        state::with_type(type, [&]<class T>(T none) {
+        model::with_type(type, [&]<class T>(T none) {
             std::size_t place = 0;
-            T::fields(none, [&](const char*, auto& value, Pack wanted) {
+            T::fields(none, [&](const char*, auto& value, Encoding wanted) {
                 using F = std::decay_t<decltype(value)>;
                 const std::uint64_t id = column_of(type, place);
-                Packing& p = columns_[type][place++];
+                ColumnBuffer& p = columns_[type][place++];
                 if (!p.any)
                     return;  // absent: all are the default
-                const Pack pack = pack_of<F>(wanted);
-                if (pack == Pack::fixed) {
+                const Encoding pack = pack_of<F>(wanted);
+                if (pack == Encoding::fixed) {
                     Bytes raw;
                     raw.reserve(p.values.size() * 8);
                     for (const std::uint64_t v : p.values)
                         put_u64(raw, v);
                     return column(columns, body, id, kRaw, p.values.size(), raw, level);
                 }
-                if (pack == Pack::pick) {
+                if (pack == Encoding::dictionary) {
                     numbers(columns, body, id, p.values, false, level);
                     return column(columns, body, id + 1, kRaw, p.next - 1, p.words, level);
                 }
-                if (pack == Pack::step) {
+                if (pack == Encoding::delta) {
                     std::uint64_t last = 0;
                     for (std::uint64_t& v : p.values)
                         v = zigzag(static_cast<std::int64_t>(v - std::exchange(last, v)));
@@ -287,12 +288,12 @@
     last_.clear();
     keys_.clear();
     for (auto& type : columns_)
-        for (Packing& p : type)
+        for (ColumnBuffer& p : type)
             p.clear();
     return parts;
 }
 
-void put_summary(Bytes& to, const Summary& s) {
+void put_summary(Bytes& to, const ChunkSummary& s) {
     put_varint(to, s.records);
     put_varint(to, s.held);
     put_varint(to, zigzag(s.first_unix_ns));
@@ -304,7 +305,7 @@
         put_u64(to, word);
 }
 
-bool get_summary(View& from, Summary& s) {
+bool get_summary(View& from, ChunkSummary& s) {
     std::uint64_t first = 0;
     std::uint64_t last = 0;
     if (!get_varint(from, s.records) || !get_varint(from, s.held) || !get_varint(from, first) ||
@@ -382,10 +383,10 @@
 std::map<std::string, std::uint64_t> ChunkView::column_bytes() const {
     std::map<std::uint64_t, std::string> names{
         {kTypeColumn, "(types)"}, {kSourceColumn, "(sources)"}, {kTimeColumn, "(times)"}};
-    for (std::size_t type = 0; type < state::kTypes; ++type)
-        state::with_type(type, [&]<class T>(T none) {
+    for (std::size_t type = 0; type < model::kTypes; ++type)
+        model::with_type(type, [&]<class T>(T none) {
             std::size_t place = 0;
-            T::fields(none, [&](const char* name, auto&, Pack) {
+            T::fields(none, [&](const char* name, auto&, Encoding) {
                 const std::string full = std::string{T::kName} + "." + name;
                 names[column_of(type, place)] = full;
                 names[column_of(type, place++) + 1] = full + ".words";
@@ -472,12 +473,12 @@
             return false;
     }
     columns_.clear();
-    columns_.resize(state::kTypes);
+    columns_.resize(model::kTypes);
     std::array<std::size_t, kMostTypes> rows{};
     for (const char type : types_)
         if (static_cast<unsigned char>(type) < kMostTypes)
             ++rows[static_cast<unsigned char>(type)];
-    for (std::size_t type = 0; type < state::kTypes; ++type) {
+    for (std::size_t type = 0; type < model::kTypes; ++type) {
         if (rows[type] == 0 || !(wanted >> type & 1))
             continue;
         columns_[type] = std::make_unique<TypeColumns>();
@@ -495,18 +496,18 @@
 bool ChunkView::prepare(std::size_t type) {
     TypeColumns& columns = *columns_[type];
     bool good = true;
-    state::with_type(type, [&]<class T>(T none) {
+    model::with_type(type, [&]<class T>(T none) {
         columns.fields.resize(field_count<T>());
         std::size_t place = 0;
-        T::fields(none, [&](const char*, auto& value, Pack wanted) {
+        T::fields(none, [&](const char*, auto& value, Encoding wanted) {
             using F = std::decay_t<decltype(value)>;
             const std::uint64_t id = column_of(type, place);
             auto& field = columns.fields[place++];
             if (!good || !places_.contains(id))
                 return;
-            const Pack pack = pack_of<F>(wanted);
+            const Encoding pack = pack_of<F>(wanted);
             int codec = 0;
-            if (pack == Pack::fixed) {
+            if (pack == Encoding::fixed) {
                 Bytes raw;
                 good = unpack(id, raw, codec) && codec == kRaw && raw.size() == columns.rows * 8;
                 if (!good)
@@ -516,11 +517,11 @@
                     field.values[i] = u64_at(raw.data() + i * 8);
                 return;
             }
-            const bool zigzagged = pack == Pack::step || (pack == Pack::plain && kSigned<F>);
+            const bool zigzagged = pack == Encoding::delta || (pack == Encoding::plain && kSigned<F>);
             good = numbers(id, field.values, zigzagged) && field.values.size() == columns.rows;
             if (!good)
                 return;
-            if (pack == Pack::step) {
+            if (pack == Encoding::delta) {
                 std::uint64_t last = 0;
                 for (std::uint64_t& v : field.values)
                     v = last += static_cast<std::uint64_t>(unzigzag(v));
@@ -528,7 +529,7 @@
                 for (std::uint64_t& v : field.values)
                     v = static_cast<std::uint64_t>(unzigzag(v));
             }
-            if (pack != Pack::pick)
+            if (pack != Encoding::dictionary)
                 return;
             good = places_.contains(id + 1) && unpack(id + 1, field.words, codec) && codec == kRaw;
             if (!good)
@@ -563,10 +564,10 @@
     while (!bad_ && at_ < types_.size()) {
         const std::size_t i = at_++;
         const auto type = static_cast<unsigned char>(types_[i]);
-        record.source = sources_.empty() ? 0 : static_cast<std::uint32_t>(sources_[i]);
-        std::int64_t& last = last_[record.source];
+        record.router_index = sources_.empty() ? 0 : static_cast<std::uint32_t>(sources_[i]);
+        std::int64_t& last = last_[record.router_index];
         record.at = last = sum(last, unzigzag(times_[i]));
-        if (type >= state::kTypes) {
+        if (type >= model::kTypes) {
             ++unknown_;
             continue;
         }
@@ -575,10 +576,10 @@
         held = i < summary_.held;
         TypeColumns& columns = *columns_[type];
         const std::size_t row = columns.row++;
-        state::with_type(type, [&]<class T>(T) {
+        model::with_type(type, [&]<class T>(T) {
             T& body = record.body.template emplace<T>();
             std::size_t place = 0;
-            T::fields(body, [&](const char*, auto& value, Pack wanted) {
+            T::fields(body, [&](const char*, auto& value, Encoding wanted) {
                 using F = std::decay_t<decltype(value)>;
                 const auto& field = columns.fields[place++];
                 if (field.values.empty()) {
@@ -587,7 +588,7 @@
                 }
                 if constexpr (std::is_same_v<F, Text>)
                     value = field.texts[field.values[row]];
-                else if (pack_of<F>(wanted) == Pack::pick)
+                else if (pack_of<F>(wanted) == Encoding::dictionary)
                     value = of_bits<F>(field.numbers[field.values[row]]);
                 else
                     value = of_bits<F>(field.values[row]);
--- a/src/trace/chunk.h
+++ b/src/trace/chunk.h
@@ -9,12 +9,12 @@
 #include <unordered_map>
 #include <vector>
 
-#include "state/in_force.h"
 #include "trace/codec.h"
+#include "trace/model/effective_state.h"
 
 namespace silverrail::trace {
 
-using state::Record;
+using model::Record;
 
 inline constexpr std::size_t kMostRecords = 1 << 18;               // in one chunk
 inline constexpr std::size_t kMostHead = 4 << 20;                  // bytes
@@ -24,12 +24,12 @@
 using Types = std::uint64_t;  // a bit for each type of record
 template <class... T>
 constexpr Types types_of() {
-    return ((Types{1} << state::type_of<T>()) | ... | Types{0});
+    return ((Types{1} << model::type_of<T>()) | ... | Types{0});
 }
 inline constexpr Types kAllTypes = ~Types{0};
 
 // What may be known of a chunk without reading it.
-struct Summary {
+struct ChunkSummary {
     std::uint64_t records = 0;
     std::uint64_t held = 0;          // of these, the first ones, which only tell what is in force
     std::int64_t first_unix_ns = 0;  // of the others; the earliest and the latest
@@ -43,16 +43,16 @@
 };
 
 // As heads and the index hold it. `get` reads on from the front; false: it is none.
-void put_summary(Bytes& to, const Summary& summary);
-bool get_summary(View& from, Summary& summary);
+void put_summary(Bytes& to, const ChunkSummary& summary);
+bool get_summary(View& from, ChunkSummary& summary);
 
 // Keys of a chunk's filter.
-std::uint64_t call_key(std::uint64_t trace_id, std::string_view trace);
+std::uint64_t call_key(std::uint64_t client_request_number, std::string_view trace);
 std::uint64_t object_key(std::uint64_t object);
 
 namespace detail {
 // A column's values as they come. `pick` ones hold places in the dictionary.
-struct Packing {
+struct ColumnBuffer {
     std::vector<std::uint64_t> values;
     bool any = false;  // a value that is not the default
     Bytes words;       // new texts or numbers, in order of their first use
@@ -75,7 +75,7 @@
     ~ChunkBuilder();
     // All `held` ones come before all others.
     void add(const Record& record, std::int64_t unix_ns, bool held);
-    const Summary& summary() const {
+    const ChunkSummary& summary() const {
         return summary_;
     }
     std::size_t records() const {
@@ -83,14 +83,14 @@
     }
     // Head and body, and an empty builder. Level 1 to 19 is zstd's.
     struct Parts {
-        Summary summary;
+        ChunkSummary summary;
         Bytes head;
         Bytes body;
     };
     Parts finish(int level);
 
 private:
-    using Packing = detail::Packing;
+    using ColumnBuffer = detail::ColumnBuffer;
     void cache_status(const Record& record, std::int64_t unix_ns, bool held);
     void column(Bytes& head, Bytes& body, std::uint64_t id, int codec, std::uint64_t count, View raw,
                 int level);
@@ -98,13 +98,13 @@
                  bool zigzagged, int level);
 
     Zstd zstd_;
-    Summary summary_;
+    ChunkSummary summary_;
     Bytes types_;
     Bytes sources_;
     bool any_source_ = false;
     std::vector<std::uint64_t> times_;  // zigzag of the step from the same router's last
     std::unordered_map<std::uint32_t, std::int64_t> last_;
-    std::vector<std::vector<Packing>> columns_;  // by type and place
+    std::vector<std::vector<ColumnBuffer>> columns_;  // by type and place
     std::vector<std::uint64_t> keys_;
     std::uint64_t written_ = 0;  // columns of the chunk that is being finished
 };
@@ -115,7 +115,7 @@
     // Absent: not a head that this version can read.
     static std::unique_ptr<ChunkView> open(View head);
     ~ChunkView();
-    const Summary& summary() const {
+    const ChunkSummary& summary() const {
         return summary_;
     }
     bool may_hold(std::uint64_t key) const;
@@ -148,7 +148,7 @@
     bool prepare(std::size_t type);
 
     Zstd zstd_;
-    Summary summary_;
+    ChunkSummary summary_;
     Filter filter_{Bytes{}};
     std::unordered_map<std::uint64_t, Column> places_;
     std::uint64_t body_bytes_ = 0;
--- a/src/trace/file.cpp
+++ b/src/trace/file.cpp
@@ -15,7 +15,7 @@
 constexpr View kChunkKind{"SLCK", 4};
 constexpr View kIndexKind{"SLIX", 4};
 constexpr std::size_t kMostIndex = 256 << 20;
-constexpr Types kClocks = types_of<state::Start, state::Clock>();
+constexpr Types kClocks = types_of<model::RouterStarted, model::ClockSample>();
 constexpr std::size_t kMostDamage = 1000;  // named; more are only counted in the last one
 
 // kind, head length, body length, reserved, checksum of the first 16 and the head | head | body | checksum
@@ -56,11 +56,12 @@
 
 void Writer::begin() {
     began_ = true;
-    in_force_.each([this](const Record& r) { builder_.add(r, in_force_.unix_ns(r.source, r.at), true); });
+    effective_state_.for_each(
+        [this](const Record& r) { builder_.add(r, effective_state_.unix_ns(r.router_index, r.at), true); });
 }
 
-void Writer::open_with(const state::InForce& in_force) {
-    in_force.each([this](const Record& r) { in_force_.take(r); });
+void Writer::open_with(const model::EffectiveState& effective_state) {
+    effective_state.for_each([this](const Record& r) { effective_state_.update(r); });
 }
 
 void Writer::add(const Record& record) {
@@ -68,12 +69,12 @@
         begin();
         first_at_ = record.at;
     }
-    in_force_.take(record);
-    builder_.add(record, in_force_.unix_ns(record.source, record.at), false);
+    effective_state_.update(record);
+    builder_.add(record, effective_state_.unix_ns(record.router_index, record.at), false);
     ++records_;
     const std::size_t fresh = builder_.records() - builder_.summary().held;
     // Routers of a merged trace have clocks of their own: the span is of the index's times.
-    const Summary& s = builder_.summary();
+    const ChunkSummary& s = builder_.summary();
     if (fresh >= limits_.records || builder_.records() >= kMostRecords ||
         (limits_.span > 0 && difference(s.last_unix_ns, s.first_unix_ns) >= limits_.span))
         flush();
@@ -315,7 +316,7 @@
 
 bool Reader::Cursor::open_next() {
     for (; chunk_ < reader_.chunks_.size(); ++chunk_) {
-        const Summary& s = reader_.chunks_[chunk_].summary;
+        const ChunkSummary& s = reader_.chunks_[chunk_].summary;
         const auto may_hold = [this](std::uint64_t key) {
             const auto head = reader_.head(chunk_);
             return head && head->may_hold(key);
@@ -325,7 +326,7 @@
             view_ = reader_.load(chunk_, pass_.wanted);
         if (view_) {
             if (resume_)
-                in_force_ = {};
+                effective_state_ = {};
             loss_ = loss_ || reader_.chunks_[chunk_].after_loss;
             return true;
         }
@@ -340,9 +341,9 @@
 
 bool Reader::Cursor::next(Record& record, bool& held) {
     while (view_ || open_next()) {
-        if (std::exchange(loss_, false) && pass_.wanted >> state::type_of<state::Gap>() & 1) {
+        if (std::exchange(loss_, false) && pass_.wanted >> model::type_of<model::Gap>() & 1) {
             held = false;
-            record = {at_, 0, state::Gap{std::exchange(lost_, 0), at_, at_}};
+            record = {at_, 0, model::Gap{std::exchange(lost_, 0), at_, at_}};
             return true;
         }
         while (view_->next(record, held)) {
@@ -350,7 +351,7 @@
                 continue;
             at_ = record.at;
             if (pass_.track || kClocks >> record.body.index() & 1)
-                in_force_.take(record);
+                effective_state_.update(record);
             return true;
         }
         const Chunk& c = reader_.chunks_[chunk_];
@@ -369,7 +370,7 @@
     Record record;
     bool held = false;
     while (cursor.next(record, held))
-        if (!f(record, held, cursor.in_force()))
+        if (!f(record, held, cursor.effective_state()))
             return;
 }
 
--- a/src/trace/file.h
+++ b/src/trace/file.h
@@ -41,7 +41,7 @@
 struct Placed {
     std::uint64_t offset = 0;
     std::uint64_t bytes = 0;
-    Summary summary{};
+    ChunkSummary summary{};
 };
 // The end of a file whose chunks these are, if it begins at `offset`.
 Bytes index_at(std::uint64_t offset, const std::vector<Placed>& chunks);
@@ -51,7 +51,7 @@
     Writer(ByteSink& sink, std::uint32_t flags, std::int64_t created_unix_ns, WriterLimits limits = {});
     void add(const Record& record);
     // What is in force before the first record, as one record after another; before any `add`.
-    void open_with(const state::InForce& in_force);
+    void open_with(const model::EffectiveState& effective_state);
     // Ends the chunk that is open; nothing if it holds nothing new.
     void flush();
     // Flushes, and writes the index. Nothing may be added any more.
@@ -63,11 +63,11 @@
     std::uint64_t records() const {
         return records_;
     }
-    const state::InForce& in_force() const {
-        return in_force_;
+    const model::EffectiveState& effective_state() const {
+        return effective_state_;
     }
-    state::InForce release() {
-        return std::move(in_force_);
+    model::EffectiveState release() {
+        return std::move(effective_state_);
     }  // for the next writer; this one is done
 
 private:
@@ -77,7 +77,7 @@
     ByteSink& sink_;
     WriterLimits limits_;
     ChunkBuilder builder_;
-    state::InForce in_force_;
+    model::EffectiveState effective_state_;
     std::vector<Placed> index_;
     std::uint64_t bytes_ = 0;
     std::uint64_t records_ = 0;
@@ -134,13 +134,14 @@
         // False: `in_force` knows starts and clocks only, which is faster.
         bool track = true;
         // Chunks for which it is false are not read.
-        std::function<bool(const Summary&, const std::function<bool(std::uint64_t key)>&)> priority_weight{};
+        std::function<bool(const ChunkSummary&, const std::function<bool(std::uint64_t key)>&)>
+            priority_weight{};
     };
     // Calls `f(record, held, in_force)` for the wanted records of the chunks that overlap the times. Held
     // records come only at the head of the first chunk read, and again after a chunk that was passed over.
     // Where a chunk was lost, a `Gap` says so, with as many records as the index told of, or none.
     // `in_force` is fed all wanted records before `f` sees them. `f` returns false to end the pass.
-    using Take = std::function<bool(const Record&, bool held, const state::InForce& in_force)>;
+    using Take = std::function<bool(const Record&, bool held, const model::EffectiveState& effective_state)>;
     void each(const Pass& pass, const Take& f);
 
     // The same, one record at a time; a record's texts live until the next one is asked for.
@@ -148,15 +149,15 @@
     public:
         Cursor(Reader& reader, Pass pass) : reader_(reader), pass_(std::move(pass)) {}
         bool next(Record& record, bool& held);
-        const state::InForce& in_force() const {
-            return in_force_;
+        const model::EffectiveState& effective_state() const {
+            return effective_state_;
         }
 
     private:
         bool open_next();
         Reader& reader_;
         Pass pass_;
-        state::InForce in_force_;
+        model::EffectiveState effective_state_;
         std::unique_ptr<ChunkView> view_;
         std::size_t chunk_ = 0;
         std::int64_t at_ = 0;     // of the last record
--- a/src/trace/json.cpp
+++ b/src/trace/json.cpp
@@ -6,12 +6,12 @@
 #include <cstdio>
 #include <cstring>
 
-#include "state/words.h"
 #include "trace/codec.h"
+#include "trace/model/enum_names.h"
 
 namespace silverrail::trace {
 
-using namespace state;
+using namespace model;
 
 namespace {
 
@@ -29,14 +29,15 @@
     return text;
 }
 
-std::string trace_text(const Story& s) {
-    return s.trace.empty() ? hex(s.taken.trace_id) : std::string{s.trace.text()};
+std::string trace_text(const RequestTimeline& s) {
+    return s.client_request_id.empty() ? hex(s.received.client_request_number)
+                                       : std::string{s.client_request_id.text()};
 }
 
-std::string_view outcome_word(const Story& s) {
+std::string_view outcome_word(const RequestTimeline& s) {
     if (s.closed_at == kNoTime)
         return "open";
-    return s.abandoned ? std::string_view{"abandoned"} : word(kAnswerWords, s.kind);
+    return s.client_closed ? std::string_view{"abandoned"} : enum_name(kResponseKindNames, s.response_kind);
 }
 
 }  // namespace
@@ -131,14 +132,14 @@
 
 Json::Value json_of(const Record& record, std::int64_t unix_ns) {
     Json::Value out;
-    out["type"] = name_of(record.body);
+    out["type"] = type_name(record.body);
     out["time"] = time_text(unix_ns);
     out["at"] = number(record.at);
-    out["source"] = record.source;
+    out["source"] = record.router_index;
     std::visit(
         [&out](const auto& body) {
             using T = std::decay_t<decltype(body)>;
-            T::fields(body, [&out](const char* name, const auto& value, Pack) {
+            T::fields(body, [&out](const char* name, const auto& value, Encoding) {
                 using F = std::decay_t<decltype(value)>;
                 const std::string_view n = name;
                 if constexpr (std::is_same_v<F, Text>) {
@@ -150,17 +151,17 @@
                         out[name] = value;
                 } else if constexpr (std::is_same_v<F, std::uint8_t>) {
                     if (n == "ending")
-                        out[name] = std::string{word(kEndingWords, value)};
+                        out[name] = std::string{enum_name(kAttemptStatusNames, value)};
                     else if (n == "note")
-                        out[name] = std::string{word(kNoteWords, value)};
+                        out[name] = std::string{enum_name(kCacheStatusNames, value)};
                     else if (n == "kind")
-                        out[name] = std::string{word(kAnswerWords, value)};
+                        out[name] = std::string{enum_name(kResponseKindNames, value)};
                     else if (n == "condition")
-                        out[name] = std::string{word(kConditionWords, value)};
+                        out[name] = std::string{enum_name(kConditionNames, value)};
                     else if (n == "front")
-                        out[name] = std::string{word(kFrontWords, value)};
+                        out[name] = std::string{enum_name(kFrontNames, value)};
                     else if (n == "verdict")
-                        out[name] = std::string{word(kVerdictWords, value)};
+                        out[name] = std::string{enum_name(kVerdictNames, value)};
                     else
                         out[name] = value;
                 } else if constexpr (std::is_same_v<F, std::int64_t>) {
@@ -178,132 +179,133 @@
     return out;
 }
 
-Json::Value json_of(const Story& s, const Names& names) {
+Json::Value json_of(const RequestTimeline& s, const Names& names) {
     Json::Value out;
-    out["router"] = names.router(s.source);
-    out["call"] = Json::Value{Json::UInt64{s.call}};
+    out["router"] = names.router(s.router_index);
+    out["call"] = Json::Value{Json::UInt64{s.request}};
     out["outcome"] = std::string{outcome_word(s)};
-    if (s.taken_at != kNoTime) {
-        out["taken"] = time_text(names.unix_ns(s.source, s.taken_at));
-        out["before"] = s.before;
+    if (s.received_at != kNoTime) {
+        out["taken"] = time_text(names.unix_ns(s.router_index, s.received_at));
+        out["before"] = s.open_at_start;
         out["trace"] = trace_text(s);
         out["client"] = address_text(s.client.text());
-        out["front"] = std::string{word(kFrontWords, s.taken.front)};
-        out["class"] = names.class_name(s.source, s.taken.class_index);
-        out["object"] = hex(s.taken.object);
-        out["part"] = Json::Value{Json::UInt64{s.taken.part}};
-        if (s.taken.group_known)
-            out["lot"] = Json::Value{Json::UInt64{s.taken.group}};
-        out["size_kb"] = s.taken.size_kb;
-        out["wait_ms"] = ms(s.taken.wait);
-        out["write"] = s.taken.write;
+        out["front"] = std::string{enum_name(kFrontNames, s.received.front)};
+        out["class"] = names.class_name(s.router_index, s.received.class_index);
+        out["object"] = hex(s.received.object);
+        out["part"] = Json::Value{Json::UInt64{s.received.part}};
+        if (s.received.group_known)
+            out["lot"] = Json::Value{Json::UInt64{s.received.group}};
+        out["size_kb"] = s.received.size_kb;
+        out["wait_ms"] = ms(s.received.time_to_deadline);
+        out["write"] = s.received.write;
         out["has_copy"] = s.has_copy;
     }
     out["attempts"] = Json::Value{Json::arrayValue};
-    for (const AttemptStory& a : s.attempts) {
+    for (const AttemptTimeline& a : s.attempts) {
         Json::Value j;
         j["attempt"] = Json::Value{Json::UInt64{a.number}};
         if (a.sent_at != kNoTime) {
-            j["sent"] = time_text(names.unix_ns(s.source, a.sent_at));
+            j["sent"] = time_text(names.unix_ns(s.router_index, a.sent_at));
             j["box"] = std::string{a.target.text()};
             if (a.fills) {
-                j["source"] = std::string{a.source.text()};
+                j["source"] = std::string{a.fill_source.text()};
                 j["rank"] = a.retention;
                 j["held_only"] = a.only_if_cached;
-                if (a.oldest > 0)
-                    j["oldest_ms"] = ms(a.oldest);
+                if (a.max_age > 0)
+                    j["oldest_ms"] = ms(a.max_age);
             }
             if (a.timeout > 0)
                 j["timeout_ms"] = ms(a.timeout);
         }
         if (a.first_byte_at != kNoTime)
-            j["first_byte"] = std::string{word(kVerdictWords, a.verdict)};
+            j["first_byte"] = std::string{enum_name(kVerdictNames, a.first_byte_verdict)};
         if (a.ended_at != kNoTime) {
-            j["ending"] = std::string{word(kEndingWords, a.attempt_status)};
-            j["took_ms"] = ms(a.took);
+            j["ending"] = std::string{enum_name(kAttemptStatusNames, a.attempt_status)};
+            j["took_ms"] = ms(a.duration);
             if (a.cache_status)
-                j["note"] = std::string{word(kNoteWords, a.cache_status)};
-            if (a.source_wait > 0)
-                j["source_wait_ms"] = ms(a.source_wait);
+                j["note"] = std::string{enum_name(kCacheStatusNames, a.cache_status)};
+            if (a.fill_wait > 0)
+                j["source_wait_ms"] = ms(a.fill_wait);
         }
         out["attempts"].append(std::move(j));
     }
     if (s.closed_at != kNoTime) {
-        out["closed"] = time_text(names.unix_ns(s.source, s.closed_at));
-        if (s.taken_at != kNoTime)
-            out["took_ms"] = ms(s.took());
+        out["closed"] = time_text(names.unix_ns(s.router_index, s.closed_at));
+        if (s.received_at != kNoTime)
+            out["took_ms"] = ms(s.duration());
     }
     if (s.answered()) {
         out["timed_out"] = s.timed_out;
-        out["bytes"] = Json::Value{Json::UInt64{s.bytes}};
-        if (s.hold_off > 0)
-            out["hold_off_ms"] = ms(s.hold_off);
+        out["bytes"] = Json::Value{Json::UInt64{s.response_bytes}};
+        if (s.retry_after > 0)
+            out["hold_off_ms"] = ms(s.retry_after);
         if (!s.server.empty())
             out["named"] = std::string{s.server.text()};
     }
     return out;
 }
 
-std::string text_of(const Story& s, const Names& names) {
-    const bool seen = s.taken_at != kNoTime;
-    std::string out = seen ? time_text(names.unix_ns(s.source, s.taken_at)) : std::string{"(taken earlier)"};
-    out += ' ' + names.router(s.source);
+std::string text_of(const RequestTimeline& s, const Names& names) {
+    const bool seen = s.received_at != kNoTime;
+    std::string out =
+        seen ? time_text(names.unix_ns(s.router_index, s.received_at)) : std::string{"(taken earlier)"};
+    out += ' ' + names.router(s.router_index);
     if (seen) {
-        out += ' ' + names.class_name(s.source, s.taken.class_index) + ' ' + hex(s.taken.object) + '/' +
-               std::to_string(s.taken.part) + " id " + trace_text(s);
+        out += ' ' + names.class_name(s.router_index, s.received.class_index) + ' ' + hex(s.received.object) +
+               '/' + std::to_string(s.received.part) + " id " + trace_text(s);
         if (const std::string client = address_text(s.client.text()); !client.empty())
             out += " from " + client;
-        if (s.before)
+        if (s.open_at_start)
             out += " (open at the begin)";
     } else {
-        out += " call " + std::to_string(s.call);
+        out += " call " + std::to_string(s.request);
     }
     out += ": ";
     out += outcome_word(s);
-    if (s.turned_away())
+    if (s.not_admitted())
         out += " at the door";
-    if (s.answered() && s.bytes > 0)
-        out += ", " + std::to_string(s.bytes) + " bytes";
-    if (s.answered() && s.hold_off > 0)
-        out += ", come back in " + ms_text(s.hold_off);
+    if (s.answered() && s.response_bytes > 0)
+        out += ", " + std::to_string(s.response_bytes) + " bytes";
+    if (s.answered() && s.retry_after > 0)
+        out += ", come back in " + ms_text(s.retry_after);
     if (s.answered() && s.timed_out)
         out += ", past its deadline";
     if (!s.server.empty())
         out += ", named " + std::string{s.server.text()};
-    if (s.took() != kNoTime)
-        out += ", after " + ms_text(s.took());
+    if (s.duration() != kNoTime)
+        out += ", after " + ms_text(s.duration());
     out += '\n';
-    for (const AttemptStory& a : s.attempts) {
+    for (const AttemptTimeline& a : s.attempts) {
         out += "    attempt " + std::to_string(a.number);
         if (a.sent_at != kNoTime) {
             if (seen)
-                out += " +" + ms_text(a.sent_at - s.taken_at);
+                out += " +" + ms_text(a.sent_at - s.received_at);
             out += " to " + std::string{a.target.text()};
             if (!a.fills)
                 out += ", a plain look";
-            else if (a.source.text() == a.target.text())
+            else if (a.fill_source.text() == a.target.text())
                 out += ", no fill";
             else
-                out +=
-                    ", fill from " + std::string{a.source.text()} + " at rank " + std::to_string(a.retention);
-            if (a.oldest > 0)
-                out += ", no older than " + ms_text(a.oldest);
+                out += ", fill from " + std::string{a.fill_source.text()} + " at rank " +
+                       std::to_string(a.retention);
+            if (a.max_age > 0)
+                out += ", no older than " + ms_text(a.max_age);
             if (a.timeout > 0)
                 out += ", for " + ms_text(a.timeout);
         }
-        if (a.first_byte_at != kNoTime && a.verdict != FirstByte::written)
-            out += ", " + std::string{word(kVerdictWords, a.verdict)} + " at its first byte";
+        if (a.first_byte_at != kNoTime && a.first_byte_verdict != FirstByteDue::written)
+            out += ", " + std::string{enum_name(kVerdictNames, a.first_byte_verdict)} + " at its first byte";
         if (a.ended_at == kNoTime) {
             out += ": still out\n";
             continue;
         }
         out += ": ";
-        out += word(kEndingWords, a.attempt_status);
+        out += enum_name(kAttemptStatusNames, a.attempt_status);
         if (a.cache_status)
-            out += " (" + std::string{word(kNoteWords, a.cache_status)} + ")";
-        out += " after " + ms_text(a.took);
-        if (a.source_wait > 0)
-            out += ", waited " + ms_text(a.source_wait) + " for the source";
+            out += " (" + std::string{enum_name(kCacheStatusNames, a.cache_status)} + ")";
+        out += " after " + ms_text(a.duration);
+        if (a.fill_wait > 0)
+            out += ", waited " + ms_text(a.fill_wait) + " for the source";
         out += '\n';
     }
     return out;
--- a/src/trace/json.h
+++ b/src/trace/json.h
@@ -7,8 +7,8 @@
 #include <optional>
 #include <string>
 
-#include "state/in_force.h"
-#include "state/stories.h"
+#include "trace/model/effective_state.h"
+#include "trace/model/request_timeline.h"
 
 namespace silverrail::trace {
 
@@ -21,7 +21,7 @@
 
 // Every field by its name; a whole record on one line of JSON is the baseline that files are measured
 // against.
-Json::Value json_of(const state::Record& record, std::int64_t unix_ns);
+Json::Value json_of(const model::Record& record, std::int64_t unix_ns);
 
 // What is needed to put a story into words.
 struct Names {
@@ -29,8 +29,8 @@
     std::function<std::string(std::uint32_t source, std::uint64_t class_index)> class_name;
     std::function<std::int64_t(std::uint32_t source, std::int64_t at)> unix_ns;
 };
-Json::Value json_of(const state::Story& story, const Names& names);
-std::string text_of(const state::Story& story,
+Json::Value json_of(const model::RequestTimeline& timeline, const Names& names);
+std::string text_of(const model::RequestTimeline& timeline,
                     const Names& names);  // a line for the call and one each attempt
 
 }  // namespace silverrail::trace
--- a/src/trace/observe.cpp
+++ b/src/trace/observe.cpp
@@ -24,10 +24,10 @@
 }  // namespace
 
 void Observing::put_taken(const core::Call& call, std::uint64_t id, std::size_t class_index, core::Time now) {
-    state::Taken t;
-    t.call = id;
-    if (!as_number(call.trace, t.trace_id))
-        t.trace = call.trace;
+    model::RequestReceived t;
+    t.request = id;
+    if (!as_number(call.trace, t.client_request_number))
+        t.client_request_id = call.trace;
     if (!left_out_.clients)
         t.client = {reinterpret_cast<const char*>(call.client.bytes.data()), call.client.size};
     t.front = static_cast<std::uint8_t>(call.front);
@@ -37,9 +37,9 @@
     t.group_known = call.group_known;
     t.part = call.part;
     t.size_kb = call.size_kb;
-    t.wait = (call.deadline - now).count();
+    t.time_to_deadline = (call.deadline - now).count();
     if (!left_out_.tags)
-        t.have = call.have;
+        t.entity_tag = call.have;
     t.write = call.write;
     t.body_bytes = call.body ? call.body->size() : 0;
     t.redirected = call.redirected;
@@ -47,10 +47,10 @@
 }
 
 void Observing::put_list(const routing::ServerList& list, const core::ServerChange* change, core::Time now) {
-    put(now, state::List{list.caches.size(), list.complete});
+    put(now, model::ServerListChanged{list.caches.size(), list.complete});
     for (std::size_t i = 0; i < list.caches.size(); ++i) {
         const routing::ListedServer& c = list.caches[i];
-        state::Entry e;
+        model::ServerListEntry e;
         e.id = c.id.address;
         e.zone = c.zone;
         e.kind = c.kind;
@@ -69,10 +69,10 @@
 
 void Observing::put_action(const routing::Action& action, const core::Origin& origin, core::Time now) {
     if (const auto* send = std::get_if<routing::Send>(&action)) {
-        state::Sent s;
-        s.call = static_cast<std::uint64_t>(send->request);
-        if (s.call != sent_call_) {
-            sent_call_ = s.call;
+        model::AttemptSent s;
+        s.request = static_cast<std::uint64_t>(send->request);
+        if (s.request != sent_call_) {
+            sent_call_ = s.request;
             sent_more_ = 0;
         }
         s.attempt = sent_more_++;
@@ -83,22 +83,23 @@
         s.timeout = send->timeout.count();
         if (send->fill) {
             s.fills = true;
-            s.source = send->fill->source.address;
+            s.fill_source = send->fill->source.address;
             s.retention = static_cast<std::uint8_t>(send->fill->retention);
-            s.oldest = send->fill->oldest.count();
+            s.max_age = send->fill->oldest.count();
             s.join = send->fill->join;
             s.revalidate = send->fill->revalidate;
             s.only_if_cached = send->fill->only_if_cached;
         }
         put(now, s);
     } else if (const auto* cancel = std::get_if<routing::Cancel>(&action)) {
-        put(now, state::Cancelled{static_cast<std::uint64_t>(cancel->request), cancel->attempt});
+        put(now, model::AttemptCancelled{static_cast<std::uint64_t>(cancel->request), cancel->attempt});
     } else if (const auto* refuse = std::get_if<routing::Reject>(&action)) {
-        put(now, state::Refused{static_cast<std::uint64_t>(refuse->request), refuse->retry_after.count()});
+        put(now,
+            model::RequestRejected{static_cast<std::uint64_t>(refuse->request), refuse->retry_after.count()});
     } else if (const auto* fail = std::get_if<routing::Fail>(&action)) {
-        put(now, state::GivenUp{static_cast<std::uint64_t>(fail->request)});
+        put(now, model::RequestFailed{static_cast<std::uint64_t>(fail->request)});
     } else if (const auto* timer = std::get_if<routing::SetTimer>(&action)) {
-        put(now, state::TimerSet{static_cast<std::uint64_t>(timer->id), timer->after.count()});
+        put(now, model::TimerSet{static_cast<std::uint64_t>(timer->id), timer->after.count()});
     }
 }
 
@@ -109,30 +110,30 @@
         if (origin.calls && at != origin.calls->end())
             put_taken(*at->second.call, static_cast<std::uint64_t>(request->id), request->class_index, now);
     } else if (const auto* outcome = std::get_if<routing::Outcome>(&event)) {
-        state::Ended e;
-        e.call = static_cast<std::uint64_t>(outcome->request);
+        model::AttemptEnded e;
+        e.request = static_cast<std::uint64_t>(outcome->request);
         e.attempt = outcome->attempt;
         e.attempt_status = static_cast<std::uint8_t>(outcome->attempt_status);
         e.cache_status = static_cast<std::uint8_t>(outcome->cache_status);
         e.over = outcome->over;
-        e.took = outcome->took.count();
-        e.source_wait = outcome->source_wait.count();
-        e.in_flight = outcome->load.in_flight.value_or(state::kNoFigure);
-        e.utilisation = outcome->load.utilisation.value_or(state::kNoFigure);
-        e.hit_share = outcome->load.hit_share.value_or(state::kNoFigure);
-        e.link_fullness = outcome->load.link_fullness.value_or(state::kNoFigure);
+        e.duration = outcome->took.count();
+        e.fill_wait = outcome->source_wait.count();
+        e.in_flight = outcome->load.in_flight.value_or(model::kNoValue);
+        e.utilisation = outcome->load.utilisation.value_or(model::kNoValue);
+        e.hit_share = outcome->load.hit_share.value_or(model::kNoValue);
+        e.link_utilisation = outcome->load.link_fullness.value_or(model::kNoValue);
         put(now, e);
     } else if (const auto* abandoned = std::get_if<routing::ClientClosed>(&event)) {
-        put(now, state::ClientClosed{static_cast<std::uint64_t>(abandoned->request)});
+        put(now, model::ClientClosed{static_cast<std::uint64_t>(abandoned->request)});
     } else if (const auto* timer = std::get_if<routing::Timer>(&event)) {
-        put(now, state::Fired{static_cast<std::uint64_t>(timer->id)});
+        put(now, model::TimerFired{static_cast<std::uint64_t>(timer->id)});
     } else if (const auto* list = std::get_if<routing::ServerList>(&event)) {
         put_list(*list, origin.change, now);
     } else if (const auto* purge = std::get_if<routing::Purge>(&event)) {
-        put(now, state::Purge{!purge->object.has_value(),
-                              static_cast<std::uint64_t>(purge->object.value_or(routing::ObjectId{})),
-                              static_cast<std::uint64_t>(purge->group),
-                              origin.purge ? origin.purge->issued_ms : 0, purge->age.count()});
+        put(now, model::PurgeReceived{!purge->object.has_value(),
+                                      static_cast<std::uint64_t>(purge->object.value_or(routing::ObjectId{})),
+                                      static_cast<std::uint64_t>(purge->group),
+                                      origin.purge ? origin.purge->issued_ms : 0, purge->age.count()});
     }
     sent_call_ = 0;
     for (const auto& action : actions)
@@ -145,24 +146,24 @@
 
 void Observing::first_byte(const core::AttemptKey& key, std::optional<core::Span> oldest, bool tightened,
                            core::Time now) {
-    using V = state::FirstByte;
+    using V = model::FirstByteDue;
     put(now, V{static_cast<std::uint64_t>(key.request), key.attempt,
-               static_cast<std::uint8_t>(!oldest     ? V::held
-                                         : tightened ? V::tightened
+               static_cast<std::uint8_t>(!oldest     ? V::suppressed
+                                         : tightened ? V::age_bound_tightened
                                                      : V::written),
                oldest.value_or(core::Span{}).count()});
 }
 
 void Observing::answered(core::RequestId id, const core::Answer& answer, core::Time now) {
-    state::Answered a;
-    a.call = static_cast<std::uint64_t>(id);
+    model::ResponseSent a;
+    a.request = static_cast<std::uint64_t>(id);
     a.kind = static_cast<std::uint8_t>(answer.kind);
     a.timed_out = answer.timed_out;
-    a.hold_off = answer.hold_off.count();
+    a.retry_after = answer.hold_off.count();
     a.bytes = answer.body.size();
-    a.made_unix_ms = answer.made_ms;
+    a.generated_unix_ms = answer.made_ms;
     if (!left_out_.tags)
-        a.tag = answer.tag;
+        a.entity_tag = answer.tag;
     a.server = answer.server_address;
     put(now, a);
 }
--- a/src/trace/observe.h
+++ b/src/trace/observe.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "core/observer.h"
-#include "state/records.h"
+#include "trace/model/records.h"
 
 namespace silverrail::trace {
 
@@ -10,7 +10,7 @@
 class RecordSink {
 public:
     virtual ~RecordSink() = default;
-    virtual void take(const state::Record& record) = 0;
+    virtual void take(const model::Record& record) = 0;
 };
 
 // What to leave out of records.
--- a/src/trace/queue.cpp
+++ b/src/trace/queue.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-using state::Pack;
-using state::Text;
+using model::Encoding;
+using model::Text;
 
 constexpr std::uint32_t kSkip = 0xffffffffu;
 constexpr std::size_t kFront = 4 + 8 + 4 + 4;  // size, time, source, type; then the fields
@@ -35,11 +35,11 @@
 RecordQueue::RecordQueue(std::size_t bytes)
     : ring_(std::bit_ceil(std::max<std::size_t>(bytes, 4096))), mask_(ring_.size() - 1) {}
 
-std::size_t RecordQueue::bytes_of(const state::Record& record) {
+std::size_t RecordQueue::bytes_of(const model::Record& record) {
     std::size_t n = kFront;
     std::visit(
         [&n]<class T>(const T& body) {
-            T::fields(body, [&n](const char*, const auto& value, Pack) {
+            T::fields(body, [&n](const char*, const auto& value, Encoding) {
                 if constexpr (std::is_same_v<std::decay_t<decltype(value)>, Text>)
                     n += 4 + value.size();
                 else
@@ -50,7 +50,7 @@
     return rounded(n);
 }
 
-bool RecordQueue::push(const state::Record& record) {
+bool RecordQueue::push(const model::Record& record) {
     const std::size_t bytes = bytes_of(record);
     if (bytes > ring_.size() / 4)
         return false;
@@ -69,11 +69,11 @@
     char* to = ring_.data() + (head & mask_);
     put(to, static_cast<std::uint32_t>(bytes));
     put(to, record.at);
-    put(to, record.source);
+    put(to, record.router_index);
     put(to, static_cast<std::uint32_t>(record.body.index()));
     std::visit(
         [&to]<class T>(const T& body) {
-            T::fields(body, [&to](const char*, const auto& value, Pack) {
+            T::fields(body, [&to](const char*, const auto& value, Encoding) {
                 if constexpr (std::is_same_v<std::decay_t<decltype(value)>, Text>) {
                     put(to, static_cast<std::uint32_t>(value.size()));
                     if (!value.empty())
@@ -89,7 +89,7 @@
     return true;
 }
 
-bool RecordQueue::pop(state::Record& record) {
+bool RecordQueue::pop(model::Record& record) {
     std::size_t tail = tail_.load(std::memory_order_relaxed) + reading_;
     // Only now may the maker write over what the last record's texts pointed to.
     if (reading_)
@@ -108,11 +108,11 @@
     }
     reading_ = bytes;
     record.at = got<std::int64_t>(from);
-    record.source = got<std::uint32_t>(from);
+    record.router_index = got<std::uint32_t>(from);
     const auto type = got<std::uint32_t>(from);
-    state::with_type(type, [&]<class T>(T) {
+    model::with_type(type, [&]<class T>(T) {
         T& body = record.body.template emplace<T>();
-        T::fields(body, [&](const char*, auto& value, Pack) {
+        T::fields(body, [&](const char*, auto& value, Encoding) {
             using F = std::decay_t<decltype(value)>;
             if constexpr (std::is_same_v<F, Text>) {
                 const auto size = got<std::uint32_t>(from);
--- a/src/trace/queue.h
+++ b/src/trace/queue.h
@@ -6,7 +6,7 @@
 #include <cstring>
 #include <vector>
 
-#include "state/records.h"
+#include "trace/model/records.h"
 
 namespace silverrail::trace {
 
@@ -14,15 +14,15 @@
 public:
     explicit RecordQueue(std::size_t bytes);
     // By the maker. False: it is full, or the record has more than a quarter of its bytes.
-    bool push(const state::Record& record);
+    bool push(const model::Record& record);
     // By the writer. The record's texts live until the next call. False: there is none.
-    bool pop(state::Record& record);
+    bool pop(model::Record& record);
     std::size_t capacity() const {
         return ring_.size();
     }
 
 private:
-    static std::size_t bytes_of(const state::Record& record);
+    static std::size_t bytes_of(const model::Record& record);
 
     std::vector<char> ring_;
     std::size_t mask_;
--- a/src/trace/recorder.cpp
+++ b/src/trace/recorder.cpp
@@ -32,8 +32,8 @@
     return std::make_unique<FileSink>((fs::path{path_} / name).string());
 }
 
-std::vector<state::Retention::File> DiskFolder::list() {
-    std::vector<state::Retention::File> files;
+std::vector<model::Retention::File> DiskFolder::list() {
+    std::vector<model::Retention::File> files;
     std::error_code error;
     for (fs::directory_iterator at{path_, error}, end; !error && at != end; at.increment(error)) {
         const std::string name = at->path().filename().string();
@@ -108,8 +108,8 @@
       retention_(settings.retention),
       queue_(settings.queue_bytes),
       trigger_(settings.trigger) {
-    state::Start start;
-    start.router = identity_.router;
+    model::RouterStarted start;
+    start.router_name = identity_.router;
     start.incarnation_unix_ns = identity_.incarnation_unix_ns;
     start.seed = identity_.seed;
     start.program = identity_.program;
@@ -131,15 +131,15 @@
     stop();
 }
 
-void Recorder::take(const state::Record& record) {
-    if (const auto* answered = std::get_if<state::Answered>(&record.body))
-        if (trigger_.answered(answered->kind == static_cast<std::uint8_t>(core::Answer::Kind::failed),
-                              record.at))
+void Recorder::take(const model::Record& record) {
+    if (const auto* answered = std::get_if<model::ResponseSent>(&record.body))
+        if (trigger_.add_response(answered->kind == static_cast<std::uint8_t>(core::Answer::Kind::failed),
+                                  record.at))
             dump();
     const auto count = [](std::atomic<std::uint64_t>& n) {
         n.store(n.load(std::memory_order_relaxed) + 1, std::memory_order_relaxed);  // one thread writes it
     };
-    if (gap_ > 0 && queue_.push({record.at, 0, state::Gap{gap_, gap_from_, gap_to_}}))
+    if (gap_ > 0 && queue_.push({record.at, 0, model::Gap{gap_, gap_from_, gap_to_}}))
         gap_ = 0;
     if (gap_ == 0 && queue_.push(record))
         return count(records_);
@@ -150,7 +150,7 @@
 }
 
 void Recorder::compare_clocks(std::int64_t at, std::int64_t offset) {
-    take({at, 0, state::Clock{offset, 0}});
+    take({at, 0, model::ClockSample{offset, 0}});
 }
 
 void Recorder::dump() {
@@ -203,7 +203,7 @@
 
 // Guards flushing and the bounds: under a steady load there may always be one more record.
 bool Recorder::drain() {
-    state::Record record;
+    model::Record record;
     for (std::size_t n = 0; n < kAtOnce; ++n) {
         if (!queue_.pop(record))
             return false;
@@ -230,11 +230,11 @@
         name = next_name("");
         sink = folder_->create(name);
     }
-    const bool goes_on = in_force_.knows(0);
+    const bool goes_on = effective_state_.knows_router(0);
     const WriterLimits limits{kChunkRecords, 0, 3, settings_.flight_bytes == 0};
     auto writer = std::make_unique<Writer>(flight ? *flight : *sink, goes_on ? std::uint32_t{kCut} : 0u,
                                            identity_.incarnation_unix_ns, limits);
-    writer->open_with(in_force_);
+    writer->open_with(effective_state_);
     sink_ = std::move(sink);
     flight_ = std::move(flight);
     writer_ = std::move(writer);
@@ -254,7 +254,7 @@
     lost_here_ += unwritten_ + std::exchange(told_here_, 0);
     unwritten_ = 0;
     if (writer_)
-        in_force_ = writer_->release();
+        effective_state_ = writer_->release();
     writer_ = nullptr;
     sink_ = nullptr;
     retry_at_ = SteadyClock::now() + settings_.retry;
@@ -267,7 +267,7 @@
     unwritten_ = told_here_ = 0;
 }
 
-void Recorder::write(const state::Record& record) {
+void Recorder::write(const model::Record& record) {
     if (!writer_) {
         if (SteadyClock::now() >= retry_at_) {
             try {
@@ -276,7 +276,7 @@
                     notice("written again; " + std::to_string(lost_here_) + " records were lost");
                 if (lost_here_ > 0) {
                     told_here_ = std::exchange(lost_here_, 0);
-                    writer_->add({lost_to_, 0, state::Gap{told_here_, lost_from_, lost_to_}});
+                    writer_->add({lost_to_, 0, model::Gap{told_here_, lost_from_, lost_to_}});
                 }
             } catch (const IoError& e) {
                 failed(e.what());
@@ -284,7 +284,7 @@
         }
         if (!writer_) {
             // Lost, but what is in force goes on being known.
-            in_force_.take(record);
+            effective_state_.update(record);
             if (lost_here_++ == 0)
                 lost_from_ = record.at;
             lost_to_ = record.at;
@@ -317,7 +317,7 @@
             bytes_ += writer_->bytes() - counted_bytes_;
             counted_bytes_ = writer_->bytes();
         }
-        if (writer_ && !flight_ && retention_.rotate(writer_->bytes(), ns(now - file_begun_)))
+        if (writer_ && !flight_ && retention_.should_rotate(writer_->bytes(), ns(now - file_begun_)))
             end_file();
     } catch (const IoError& e) {
         failed(e.what());
@@ -327,7 +327,8 @@
             auto files = folder_->list();
             if (writer_)
                 std::erase_if(files, [this](const auto& f) { return f.name == file_; });
-            for (const auto& name : retention_.give_up(std::move(files), writer_ ? writer_->bytes() : 0))
+            for (const auto& name :
+                 retention_.files_to_remove(std::move(files), writer_ ? writer_->bytes() : 0))
                 folder_->remove(name);
             not_removed_ = false;
         } catch (const IoError& e) {
@@ -354,7 +355,7 @@
         bytes_ += bytes.size();
         notice("dumped " + std::to_string(bytes.size()) + " bytes to " + name);
         auto files = folder_->list();
-        for (const auto& old : retention_.give_up(std::move(files), 0))
+        for (const auto& old : retention_.files_to_remove(std::move(files), 0))
             folder_->remove(old);
     } catch (const IoError& e) {
         ++write_errors_;
@@ -372,7 +373,7 @@
         writer_->close();
         bytes_ += writer_->bytes() - counted_bytes_;
         written();
-        in_force_ = writer_->release();
+        effective_state_ = writer_->release();
         writer_ = nullptr;
         sink_ = nullptr;
     } catch (const IoError& e) {
--- a/src/trace/recorder.h
+++ b/src/trace/recorder.h
@@ -18,9 +18,9 @@
 #include <thread>
 #include <vector>
 
-#include "state/failure_trigger.h"
-#include "state/retention.h"
 #include "trace/file.h"
+#include "trace/model/failure_trigger.h"
+#include "trace/model/retention.h"
 #include "trace/observe.h"
 #include "trace/queue.h"
 
@@ -31,7 +31,7 @@
 public:
     virtual ~Folder() = default;
     virtual std::unique_ptr<ByteSink> create(const std::string& name) = 0;  // throws IoError
-    virtual std::vector<state::Retention::File> list() = 0;  // of the recorder's; throws IoError
+    virtual std::vector<model::Retention::File> list() = 0;  // of the recorder's; throws IoError
     virtual void remove(const std::string& name) = 0;        // throws IoError
 };
 
@@ -40,7 +40,7 @@
 public:
     DiskFolder(std::string path, std::string prefix) : path_(std::move(path)), prefix_(std::move(prefix)) {}
     std::unique_ptr<ByteSink> create(const std::string& name) override;
-    std::vector<state::Retention::File> list() override;
+    std::vector<model::Retention::File> list() override;
     void remove(const std::string& name) override;
 
 private:
@@ -49,11 +49,11 @@
 };
 
 struct RecorderSettings {
-    state::RetentionSettings retention{};
+    model::RetentionSettings retention{};
     std::int64_t flush_ns = 2'000'000'000;  // a chunk is written after that at the latest
     std::size_t queue_bytes = 4 << 20;
     std::size_t flight_bytes = 0;  // above 0: a flight recorder
-    state::FailureTriggerSettings trigger{};
+    model::FailureTriggerSettings trigger{};
     LeftOut left_out{};
     std::chrono::milliseconds retry{1000};  // after a write that failed
 };
@@ -77,7 +77,7 @@
     Recorder& operator=(const Recorder&) = delete;
 
     // By the request thread, as the next three.
-    void take(const state::Record& record) override;
+    void take(const model::Record& record) override;
     void compare_clocks(std::int64_t at, std::int64_t offset);  // every second or so
     void dump();  // a flight recorder's chunks are written out soon
     // Writes all that was taken and ends the file in good order. Nothing is taken any more.
@@ -105,7 +105,7 @@
     void end_file();
     void failed(const std::string& why);
     void written();
-    void write(const state::Record& record);
+    void write(const model::Record& record);
     void write_flight();
     void notice(std::string text);
     std::string next_name(const char* kind);
@@ -113,11 +113,11 @@
     const RecorderSettings settings_;
     const Identity identity_;
     const std::unique_ptr<Folder> folder_;
-    const state::Retention retention_;
+    const model::Retention retention_;
 
     // The request thread's.
     RecordQueue queue_;
-    state::FailureTrigger trigger_;
+    model::FailureTrigger trigger_;
     std::uint64_t gap_ = 0;
     std::int64_t gap_from_ = 0;
     std::int64_t gap_to_ = 0;
@@ -132,7 +132,7 @@
     std::vector<std::string> notices_;
 
     // The writer thread's.
-    state::InForce in_force_;
+    model::EffectiveState effective_state_;
     std::unique_ptr<ByteSink> sink_;
     std::unique_ptr<Writer> writer_;
     std::unique_ptr<Flight> flight_;
--- a/src/trace/replay.cpp
+++ b/src/trace/replay.cpp
@@ -21,7 +21,7 @@
     return std::isnan(v) ? std::nullopt : std::optional{v};
 }
 
-std::uint64_t call_of(const Action& action) {
+std::uint64_t request_of(const Action& action) {
     return std::visit(
         []<class A>(const A& a) -> std::uint64_t {
             if constexpr (std::is_same_v<A, SetTimer>)
@@ -150,21 +150,21 @@
 
 Replay::Replay(SettingsOf settings_of, bool go_on) : settings_of_(std::move(settings_of)), go_on_(go_on) {}
 
-bool Replay::take(const state::Record& record) {
+bool Replay::take(const model::Record& record) {
     if (stopped_ || (first_ && !go_on_))
         return false;
-    if (const auto* start = std::get_if<state::Start>(&record.body)) {
-        if (const auto before = routers_.find(record.source); before != routers_.end())
-            compare(record.source, before->second);
+    if (const auto* start = std::get_if<model::RouterStarted>(&record.body)) {
+        if (const auto before = routers_.find(record.router_index); before != routers_.end())
+            compare(record.router_index, before->second);
         Router r;
         r.settings = settings_of_(start->settings);
         r.module = std::make_unique<routing::Router>(r.settings, start->seed);
-        routers_.insert_or_assign(record.source, std::move(r));
+        routers_.insert_or_assign(record.router_index, std::move(r));
         return true;
     }
-    const auto at = routers_.find(record.source);
+    const auto at = routers_.find(record.router_index);
     if (at == routers_.end()) {
-        if (std::holds_alternative<state::Clock>(record.body))
+        if (std::holds_alternative<model::ClockSample>(record.body))
             return true;
         stopped_ = "it begins after its router's start: what the module knew then is not in it";
         return false;
@@ -173,58 +173,58 @@
     const auto say = [&r](Action action) {
         r.recorded.push_back(std::move(action));
     };
-    const auto id = [](std::uint64_t call) {
-        return RequestId{call};
+    const auto id = [](std::uint64_t request) {
+        return RequestId{request};
     };
-    if (const auto* t = std::get_if<state::Taken>(&record.body)) {
-        if (t->call == 0)
+    if (const auto* t = std::get_if<model::RequestReceived>(&record.body)) {
+        if (t->request == 0)
             return true;  // the module was not told
         if (t->class_index >= r.settings.classes.size()) {
             stopped_ = "a call of a class that the settings do not know";
             return false;
         }
         Request q;
-        q.id = id(t->call);
+        q.id = id(t->request);
         q.class_index = t->class_index;
         q.object = ObjectId{t->object};
         q.group = t->group_known ? GroupId{t->group} : GroupId{~std::uint64_t{0}};
         q.part = static_cast<std::uint32_t>(t->part);
         q.size_kb = t->size_kb;
-        q.deadline = time_of(record.at + t->wait);
+        q.deadline = time_of(record.at + t->time_to_deadline);
         q.redirected = t->redirected;
-        compare(record.source, r);
+        compare(record.router_index, r);
         if (r.classes.size() >= kMostClasses)
             r.classes.erase(r.classes.begin());
-        r.classes[t->call] = t->class_index;
-        tell(record.source, r, q, record.at, t->call);
-    } else if (const auto* e = std::get_if<state::Ended>(&record.body)) {
+        r.classes[t->request] = t->class_index;
+        tell(record.router_index, r, q, record.at, t->request);
+    } else if (const auto* e = std::get_if<model::AttemptEnded>(&record.body)) {
         Outcome o;
-        o.request = id(e->call);
+        o.request = id(e->request);
         o.attempt = static_cast<std::uint32_t>(e->attempt);
         o.attempt_status = static_cast<AttemptStatus>(e->attempt_status);
         o.cache_status = static_cast<CacheStatus>(e->cache_status);
         o.over = e->over;
-        o.took = Span{e->took};
-        o.source_wait = Span{e->source_wait};
+        o.took = Span{e->duration};
+        o.source_wait = Span{e->fill_wait};
         o.load = {figure(e->in_flight), figure(e->utilisation), figure(e->hit_share),
-                  figure(e->link_fullness)};
-        tell(record.source, r, o, record.at, e->call);
-    } else if (const auto* a = std::get_if<state::ClientClosed>(&record.body)) {
-        tell(record.source, r, routing::ClientClosed{id(a->call)}, record.at, a->call);
-    } else if (const auto* f = std::get_if<state::Fired>(&record.body)) {
-        tell(record.source, r, Timer{TimerId{f->timer}}, record.at, 0);
-    } else if (const auto* p = std::get_if<state::Purge>(&record.body)) {
+                  figure(e->link_utilisation)};
+        tell(record.router_index, r, o, record.at, e->request);
+    } else if (const auto* a = std::get_if<model::ClientClosed>(&record.body)) {
+        tell(record.router_index, r, routing::ClientClosed{id(a->request)}, record.at, a->request);
+    } else if (const auto* f = std::get_if<model::TimerFired>(&record.body)) {
+        tell(record.router_index, r, Timer{TimerId{f->timer}}, record.at, 0);
+    } else if (const auto* p = std::get_if<model::PurgeReceived>(&record.body)) {
         routing::Purge purge{std::nullopt, GroupId{p->group}, Span{p->age}};
         if (!p->whole_group)
             purge.object = ObjectId{p->object};
-        tell(record.source, r, purge, record.at, 0);
-    } else if (const auto* l = std::get_if<state::List>(&record.body)) {
-        compare(record.source, r);
+        tell(record.router_index, r, purge, record.at, 0);
+    } else if (const auto* l = std::get_if<model::ServerListChanged>(&record.body)) {
+        compare(record.router_index, r);
         r.list = {l->complete, {}};
         r.entries = l->entries;
         if (r.entries == 0)
-            tell(record.source, r, std::exchange(r.list, {}), record.at, 0);
-    } else if (const auto* n = std::get_if<state::Entry>(&record.body)) {
+            tell(record.router_index, r, std::exchange(r.list, {}), record.at, 0);
+    } else if (const auto* n = std::get_if<model::ServerListEntry>(&record.body)) {
         if (r.entries == 0)
             return true;
         ListedServer c;
@@ -234,30 +234,30 @@
         c.cell = CellId{n->cell};
         c.zone = n->zone;
         c.kind = n->kind;
-        if (n->started_at != state::kNoTime)
+        if (n->started_at != model::kNoTime)
             c.started_at = time_of(n->started_at);
         r.list.caches.push_back(std::move(c));
         if (--r.entries == 0)
-            tell(record.source, r, std::exchange(r.list, {}), record.at, 0);
-    } else if (const auto* s = std::get_if<state::Sent>(&record.body)) {
-        Send send{id(s->call), ServerId{std::string{s->target}}, Span{s->timeout}, std::nullopt};
+            tell(record.router_index, r, std::exchange(r.list, {}), record.at, 0);
+    } else if (const auto* s = std::get_if<model::AttemptSent>(&record.body)) {
+        Send send{id(s->request), ServerId{std::string{s->target}}, Span{s->timeout}, std::nullopt};
         if (s->fills)
-            send.fill = Fill{ServerId{std::string{s->source}},
+            send.fill = Fill{ServerId{std::string{s->fill_source}},
                              static_cast<RetentionPriority>(s->retention),
-                             Span{s->oldest},
+                             Span{s->max_age},
                              s->join,
                              s->revalidate,
                              s->only_if_cached};
         say(std::move(send));
-    } else if (const auto* c = std::get_if<state::Cancelled>(&record.body)) {
-        say(Cancel{id(c->call), static_cast<std::uint32_t>(c->attempt)});
-    } else if (const auto* f2 = std::get_if<state::Refused>(&record.body)) {
-        say(Reject{id(f2->call), Span{f2->retry_after}});
-    } else if (const auto* g = std::get_if<state::GivenUp>(&record.body)) {
-        say(Fail{id(g->call)});
-    } else if (const auto* t2 = std::get_if<state::TimerSet>(&record.body)) {
+    } else if (const auto* c = std::get_if<model::AttemptCancelled>(&record.body)) {
+        say(Cancel{id(c->request), static_cast<std::uint32_t>(c->attempt)});
+    } else if (const auto* f2 = std::get_if<model::RequestRejected>(&record.body)) {
+        say(Reject{id(f2->request), Span{f2->retry_after}});
+    } else if (const auto* g = std::get_if<model::RequestFailed>(&record.body)) {
+        say(Fail{id(g->request)});
+    } else if (const auto* t2 = std::get_if<model::TimerSet>(&record.body)) {
         say(SetTimer{TimerId{t2->timer}, Span{t2->after}});
-    } else if (const auto* gap = std::get_if<state::Gap>(&record.body)) {
+    } else if (const auto* gap = std::get_if<model::Gap>(&record.body)) {
         // What was said to the last event may be among what is missing: it can't be compared.
         r.comparing = false;
         stopped_ =
@@ -273,13 +273,14 @@
             compare(source, r);
 }
 
-void Replay::tell(std::uint32_t source, Router& r, const Event& event, std::int64_t at, std::uint64_t call) {
+void Replay::tell(std::uint32_t source, Router& r, const Event& event, std::int64_t at,
+                  std::uint64_t request) {
     compare(source, r);
     if (first_ && !go_on_)
         return;
     ++events_;
     r.at = at;
-    r.call = call;
+    r.request = request;
     r.said = r.module->on(event, time_of(at));
     r.comparing = true;
 }
@@ -308,18 +309,18 @@
 
 void Replay::differ(std::uint32_t source, Router& r, Difference d, const Action* then, const Action* now) {
     ++differences_;
-    std::uint64_t call = r.call;
-    if (then && call_of(*then) != 0)
-        call = call_of(*then);
-    else if (now && call_of(*now) != 0)
-        call = call_of(*now);
-    const auto at = r.classes.find(call);
+    std::uint64_t request = r.request;
+    if (then && request_of(*then) != 0)
+        request = request_of(*then);
+    else if (now && request_of(*now) != 0)
+        request = request_of(*now);
+    const auto at = r.classes.find(request);
     const std::size_t class_index = at == r.classes.end() ? r.settings.classes.size() : at->second;
     const std::string name =
         class_index < r.settings.classes.size() ? r.settings.classes[class_index].name : "(none)";
     ++sums_[{name, d}];
     if (!first_)
-        first_ = Found{d, events_, r.at, source, call, class_index, words(then), words(now)};
+        first_ = Found{d, events_, r.at, source, request, class_index, words(then), words(now)};
 }
 
 }  // namespace silverrail::trace
--- a/src/trace/replay.h
+++ b/src/trace/replay.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "silverrail/routing/router.h"
-#include "state/in_force.h"
+#include "trace/model/effective_state.h"
 
 namespace silverrail::trace {
 
@@ -39,7 +39,7 @@
         std::uint64_t event = 0;  // its number, from 1
         std::int64_t at = 0;
         std::uint32_t source = 0;
-        std::uint64_t call = 0;  // 0: none
+        std::uint64_t request = 0;  // 0: none
         std::size_t class_index = 0;
         std::string recorded;  // in words
         std::string now;
@@ -47,7 +47,7 @@
 
     explicit Replay(SettingsOf settings_of, bool go_on = false);
     // In order. False: it has seen enough.
-    bool take(const state::Record& record);
+    bool take(const model::Record& record);
     // `whole`: the trace ended in good order. Otherwise what was said to its last event may be cut off.
     void end(bool whole = true);
 
@@ -80,13 +80,13 @@
         routing::ServerList list;                      // being told
         std::uint64_t entries = 0;                     // of it, still to come
         std::int64_t at = 0;                           // of the event that is being compared
-        std::uint64_t call = 0;
+        std::uint64_t request = 0;
         std::vector<routing::Action> said;      // by the module now
         std::vector<routing::Action> recorded;  // by the module then
         bool comparing = false;
     };
     void tell(std::uint32_t source, Router& r, const routing::Event& event, std::int64_t at,
-              std::uint64_t call);
+              std::uint64_t request);
     void compare(std::uint32_t source, Router& r);
     void differ(std::uint32_t source, Router& r, Difference d, const routing::Action* then,
                 const routing::Action* now);
--- a/src/trace/synth.cpp
+++ b/src/trace/synth.cpp
@@ -263,7 +263,7 @@
           random_(seed ^ 0xc0ffee) {
         incarnation_unix_ns = clock_.unix_ns();
         const std::string settings = config::json_line(config_);
-        state::Start start{name, incarnation_unix_ns, seed, "synthetic", settings, offset(), 0};
+        model::RouterStarted start{name, incarnation_unix_ns, seed, "synthetic", settings, offset(), 0};
         writer_.add({clock_.steady(), 0, start});
         engine_.watch(&observing_);
         core::ServerChange all{true, {}};
@@ -299,7 +299,7 @@
     std::uint64_t calls = 0;
 
 private:
-    void take(const state::Record& record) override {
+    void take(const model::Record& record) override {
         writer_.add(record);
     }
     Ns offset() const {
@@ -315,7 +315,7 @@
         world_.at(world_.now() + kSecond, [this] {
             if (dead_)
                 return;
-            writer_.add({clock_.steady(), 0, state::Clock{offset(), 0}});
+            writer_.add({clock_.steady(), 0, model::ClockSample{offset(), 0}});
             tick();
         });
     }
@@ -409,7 +409,7 @@
                               const std::function<void(double share)>& progress) {
     if (!(plan.seconds > 0 && plan.rate > 0 && plan.routers >= 1 && plan.routers <= 64))
         throw std::invalid_argument("seconds and rate above 0, 1 to 64 routers");
-    if (plan.seconds * plan.rate * plan.routers > SynthPlan::kMostCalls)
+    if (plan.seconds * plan.rate * plan.routers > SynthPlan::kMaxRequests)
         throw std::invalid_argument("over 100 million calls");
     if (plan.restart && (plan.routers < 2 || plan.seconds < 10))
         throw std::invalid_argument("a restart needs two routers and 10 seconds");
--- a/src/trace/synth.h
+++ b/src/trace/synth.h
@@ -21,7 +21,7 @@
         false;  // router 1 dies half-way and comes back after 3 s: its second trace is one more file
     double purges = 0.6;  // a second
     std::int64_t begin_unix_ns = 1'764'576'000'000'000'000;
-    static constexpr double kMostCalls = 100e6;
+    static constexpr double kMaxRequests = 100e6;
 };
 
 // What the routers' clocks were, for judging an estimate.
--- a/src/trace/tools.cpp
+++ b/src/trace/tools.cpp
@@ -9,11 +9,11 @@
 #include <unordered_map>
 
 #include "config/config.h"
-#include "state/words.h"
+#include "trace/model/enum_names.h"
 
 namespace silverrail::trace {
 
-using namespace state;
+using namespace model;
 
 namespace {
 
@@ -60,12 +60,12 @@
 }
 
 void Routers::take(const Record& record) {
-    const auto* start = std::get_if<Start>(&record.body);
+    const auto* start = std::get_if<RouterStarted>(&record.body);
     if (!start)
         return;
-    Router& r = routers_[record.source];
-    std::string& read = read_from_[record.source];
-    r.name = start->router;
+    Router& r = routers_[record.router_index];
+    std::string& read = read_from_[record.router_index];
+    r.name = start->router_name;
     r.incarnation_unix_ns = start->incarnation_unix_ns;
     if (r.settings_read && read == start->settings)
         return;
@@ -107,44 +107,46 @@
 // ---- show --------------------------------------------------------------------------------------
 
 std::uint64_t show(Reader& reader, const Selection& selection,
-                   const std::function<void(const Story&, const Names&)>& f, const Progress& progress) {
+                   const std::function<void(const RequestTimeline&, const Names&)>& f,
+                   const Progress& progress) {
     Routers routers;
     // Which clock a time is put by: the newest seen.
-    InForce clocks;
+    EffectiveState clocks;
     const Names names{[&](std::uint32_t s) { return routers.name(s); },
                       [&](std::uint32_t s, std::uint64_t c) { return routers.class_name(s, c); },
                       [&](std::uint32_t s, std::int64_t at) {
                           return clocks.unix_ns(s, at);
                       }};
     std::uint64_t shown = 0;
-    Stories stories{[&](const Story& s) {
+    TimelineBuilder timelines{[&](const RequestTimeline& s) {
         const std::int64_t begun =
-            s.taken_at == kNoTime ? selection.from_unix_ns : clocks.unix_ns(s.source, s.taken_at);
+            s.received_at == kNoTime ? selection.from_unix_ns : clocks.unix_ns(s.router_index, s.received_at);
         const std::int64_t closed =
-            s.closed_at == kNoTime ? selection.to_unix_ns : clocks.unix_ns(s.source, s.closed_at);
+            s.closed_at == kNoTime ? selection.to_unix_ns : clocks.unix_ns(s.router_index, s.closed_at);
         if (begun >= selection.to_unix_ns || closed < selection.from_unix_ns)
             return;
-        const std::string name =
-            s.taken_at == kNoTime ? "(taken earlier)" : routers.class_name(s.source, s.taken.class_index);
-        if (!selection.wants(s, name))
+        const std::string name = s.received_at == kNoTime
+                                     ? "(taken earlier)"
+                                     : routers.class_name(s.router_index, s.received.class_index);
+        if (!selection.matches(s, name))
             return;
         ++shown;
         f(s, names);
     }};
     Reader::Pass pass;
     pass.track = false;
-    pass.wanted = ~types_of<Fired, TimerSet, List, Entry, Purge>();
+    pass.wanted = ~types_of<TimerFired, TimerSet, ServerListChanged, ServerListEntry, PurgeReceived>();
     pass.from_unix_ns = selection.from_unix_ns;
     pass.to_unix_ns = add_clamped(selection.to_unix_ns, kTail);
     // A call's id and object stand in the filter of every chunk in which it is open, so the others hold
     // nothing of it.
-    if (!selection.traces.empty() || !selection.objects.empty())
-        pass.priority_weight = [&](const Summary&, const std::function<bool(std::uint64_t)>& may_hold) {
+    if (!selection.client_request_ids.empty() || !selection.objects.empty())
+        pass.priority_weight = [&](const ChunkSummary&, const std::function<bool(std::uint64_t)>& may_hold) {
             const auto one_of = [&](const auto& list, auto key_of) {
                 return list.empty() || std::any_of(list.begin(), list.end(),
                                                    [&](const auto& v) { return may_hold(key_of(v)); });
             };
-            return one_of(selection.traces,
+            return one_of(selection.client_request_ids,
                           [](const std::string& t) {
                               char* end = nullptr;
                               const auto number = std::strtoull(t.c_str(), &end, 16);
@@ -153,15 +155,15 @@
                    one_of(selection.objects, [](std::uint64_t o) { return object_key(o); });
         };
     Pace pace{progress, records_of(reader)};
-    reader.each(pass, [&](const Record& r, bool held, const InForce&) {
+    reader.each(pass, [&](const Record& r, bool held, const EffectiveState&) {
         pace.step();
         routers.take(r);
-        if (std::holds_alternative<Start>(r.body) || std::holds_alternative<Clock>(r.body))
-            clocks.take(r);
-        stories.take(r, held);
+        if (std::holds_alternative<RouterStarted>(r.body) || std::holds_alternative<ClockSample>(r.body))
+            clocks.update(r);
+        timelines.add(r, held);
         return true;
     });
-    stories.end();
+    timelines.finish();
     return shown;
 }
 
@@ -169,69 +171,70 @@
 
 CutResult cut(Reader& reader, const Selection& selection, ByteSink& to, const Progress& progress) {
     CutResult result;
-    WantedCalls wanted;
+    RequestSet wanted;
     // A call that was turned away has no number: its place among these, with the top bit set.
     constexpr std::uint64_t kDoor = std::uint64_t{1} << 47;
     Reader::Pass pass;
     pass.track = false;
     pass.from_unix_ns = selection.from_unix_ns;
     pass.to_unix_ns = selection.to_unix_ns;
-    if (!selection.all_calls()) {
+    if (!selection.selects_all()) {
         Routers routers;
         std::map<std::uint32_t, std::uint64_t> door;
-        Stories stories{[&](const Story& s) {
-            const std::uint64_t key = s.turned_away() ? kDoor | door[s.source]++ : s.call;
-            const std::string name =
-                s.taken_at == kNoTime ? "(taken earlier)" : routers.class_name(s.source, s.taken.class_index);
-            if (!selection.wants(s, name))
+        TimelineBuilder timelines{[&](const RequestTimeline& s) {
+            const std::uint64_t key = s.not_admitted() ? kDoor | door[s.router_index]++ : s.request;
+            const std::string name = s.received_at == kNoTime
+                                         ? "(taken earlier)"
+                                         : routers.class_name(s.router_index, s.received.class_index);
+            if (!selection.matches(s, name))
                 return;
             if (wanted.full())
                 throw ToolError("over 50 million calls are wanted: cut by time first");
-            wanted.want(s.source, key);
+            wanted.insert(s.router_index, key);
             ++result.calls;
         }};
-        reader.each(pass, [&](const Record& r, bool held, const InForce&) {
+        reader.each(pass, [&](const Record& r, bool held, const EffectiveState&) {
             routers.take(r);
-            stories.take(r, held);
+            timelines.add(r, held);
             return true;
         });
-        stories.end();
+        timelines.finish();
     }
     std::map<std::uint32_t, std::uint64_t> door;
     const auto keeps = [&](const Record& r) {
-        if (selection.all_calls())
+        if (selection.selects_all())
             return true;
-        if (std::holds_alternative<Fired>(r.body) || std::holds_alternative<TimerSet>(r.body))
+        if (std::holds_alternative<TimerFired>(r.body) || std::holds_alternative<TimerSet>(r.body))
             return false;
-        const auto call = call_of(r.body);
+        const auto call = request_of(r.body);
         if (!call)
             return true;
         if (*call != 0)
-            return wanted.wants(r.source, *call);
-        std::uint64_t& place = door[r.source];
-        const bool kept = wanted.wants(r.source, kDoor | place);
-        if (std::holds_alternative<Answered>(r.body))
+            return wanted.contains(r.router_index, *call);
+        std::uint64_t& place = door[r.router_index];
+        const bool kept = wanted.contains(r.router_index, kDoor | place);
+        if (std::holds_alternative<ResponseSent>(r.body))
             ++place;
         return kept;
     };
     Writer writer{to, reader.flags() | kCut, reader.created_unix_ns()};
-    InForce before;
+    EffectiveState before;
     bool open = false;
     Pace pace{progress, records_of(reader)};
-    reader.each(pass, [&](const Record& r, bool held, const InForce&) {
+    reader.each(pass, [&](const Record& r, bool held, const EffectiveState&) {
         pace.step();
         if (held) {
-            before.take(r);
+            before.update(r);
             return true;
         }
         // A clock's own record is put by the clock that it tells.
-        std::int64_t unix_ns = before.unix_ns(r.source, r.at);
-        if (const auto* start = std::get_if<Start>(&r.body))
+        std::int64_t unix_ns = before.unix_ns(r.router_index, r.at);
+        if (const auto* start = std::get_if<RouterStarted>(&r.body))
             unix_ns = r.at + start->offset;
-        if (const auto* clock = std::get_if<Clock>(&r.body))
+        if (const auto* clock = std::get_if<ClockSample>(&r.body))
             unix_ns = r.at + clock->offset;
         if (unix_ns < selection.from_unix_ns) {
-            before.take(r);
+            before.update(r);
             return true;
         }
         if (unix_ns >= selection.to_unix_ns) {
@@ -239,14 +242,14 @@
             return true;
         }
         if (!std::exchange(open, true)) {
-            InForce kept;
-            before.each([&](const Record& held_one) {
+            EffectiveState kept;
+            before.for_each([&](const Record& held_one) {
                 if (keeps(held_one))
-                    kept.take(held_one);
+                    kept.update(held_one);
             });
             writer.open_with(kept);
         }
-        before.take(r);
+        before.update(r);
         if (!keeps(r))
             return true;
         writer.add(r);
@@ -263,7 +266,7 @@
 
 using Run = std::pair<std::string, std::int64_t>;  // a router and when it began: one life of it
 
-std::uint64_t purge_key(const Purge& p) {
+std::uint64_t purge_key(const PurgeReceived& p) {
     const std::uint64_t parts[] = {p.whole_group, p.whole_group ? p.group : p.object,
                                    static_cast<std::uint64_t>(p.issued_unix_ms)};
     return checksum({reinterpret_cast<const char*>(parts), sizeof parts});
@@ -285,24 +288,23 @@
     }
 
     void estimate() {
-        reference_ = skew_.best_reference().value_or(0);
+        reference_ = clock_offsets_.best_reference().value_or(0);
         std::map<std::uint32_t, std::string> missing;
         for (auto& [run, number] : runs_) {
             MergedSource& s = sources_[number];
             if (const auto at = given_.find(run.first); at != given_.end()) {
                 s.estimate.offset_ns = at->second * 1e6;
-                s.estimate.from = SkewEstimate::From::given;
+                s.estimate.basis = ClockOffsetEstimate::Basis::given;
                 continue;
             }
             if (number == reference_) {
                 s.reference = true;
                 continue;
             }
-            std::string why;
-            if (auto e = skew_.estimate(number, reference_, why))
-                s.estimate = *e;
+            if (const auto estimate = clock_offsets_.estimate(number, reference_))
+                s.estimate = *estimate;
             else
-                missing[number] = why;
+                missing[number] = estimate.error().message();
         }
         for (const auto& [number, why] : missing) {
             // The clock of a machine goes on while its router restarts.
@@ -340,7 +342,7 @@
         };
         std::priority_queue<std::size_t, std::vector<std::size_t>, decltype(later)> due{later};
         // What was in force at the begin of each file, unless an earlier file of the same run tells it.
-        InForce begin;
+        EffectiveState begin;
         std::vector<std::pair<std::int64_t, std::size_t>> order;
         for (std::size_t i = 0; i < inputs_.size(); ++i)
             order.emplace_back(inputs_[i].reader->chunks().empty()
@@ -351,10 +353,10 @@
         for (const auto& [first, i] : order) {
             std::set<std::uint32_t> fresh;
             if (!advance(streams[i], [&](const Record& r) {
-                    if (std::holds_alternative<Start>(r.body) && !begin.knows(r.source))
-                        fresh.insert(r.source);
-                    if (fresh.contains(r.source))
-                        begin.take(r);
+                    if (std::holds_alternative<RouterStarted>(r.body) && !begin.knows_router(r.router_index))
+                        fresh.insert(r.router_index);
+                    if (fresh.contains(r.router_index))
+                        begin.update(r);
                 }))
                 continue;
             due.push(i);
@@ -391,43 +393,43 @@
     void look(std::size_t file) {
         Reader::Pass pass;
         pass.track = false;
-        pass.wanted = types_of<Start, Clock, Purge, Answered>();
+        pass.wanted = types_of<RouterStarted, ClockSample, PurgeReceived, ResponseSent>();
         std::map<std::uint32_t, std::int64_t> began;
-        inputs_[file].reader->each(pass, [&](const Record& r, bool held, const InForce& clocks) {
-            const std::int64_t unix_ns = clocks.unix_ns(r.source, r.at);
-            if (const auto* start = std::get_if<Start>(&r.body)) {
-                const std::uint32_t n = number_of(*start);
+        inputs_[file].reader->each(pass, [&](const Record& r, bool held, const EffectiveState& clocks) {
+            const std::int64_t unix_ns = clocks.unix_ns(r.router_index, r.at);
+            if (const auto* start = std::get_if<RouterStarted>(&r.body)) {
+                const std::uint32_t n = router_index_of(*start);
                 auto& files = sources_[n].files;
                 if (files.empty() || files.back() != inputs_[file].name)
                     files.push_back(inputs_[file].name);
-                of_file_[{file, r.source}] = n;
+                of_file_[{file, r.router_index}] = n;
                 if (!held)
                     began[n] = r.at;
                 return true;
             }
-            const auto at = of_file_.find({file, r.source});
+            const auto at = of_file_.find({file, r.router_index});
             if (at == of_file_.end() || held)
                 return true;
-            if (const auto* p = std::get_if<Purge>(&r.body)) {
+            if (const auto* p = std::get_if<PurgeReceived>(&r.body)) {
                 const auto start = began.find(at->second);
                 if (start != began.end() && r.at < start->second + kSettled)
                     return true;
-                skew_.heard(at->second, purge_key(*p), unix_ns);
-            } else if (const auto* a = std::get_if<Answered>(&r.body); a && a->made_unix_ms > 0) {
-                skew_.copied(at->second, unix_ns, a->made_unix_ms * 1'000'000);
+                clock_offsets_.observe_purge(at->second, purge_key(*p), unix_ns);
+            } else if (const auto* a = std::get_if<ResponseSent>(&r.body); a && a->generated_unix_ms > 0) {
+                clock_offsets_.observe_copy(at->second, unix_ns, a->generated_unix_ms * 1'000'000);
             }
             return true;
         });
     }
 
-    std::uint32_t number_of(const Start& start) {
-        const auto [at, fresh] = runs_.try_emplace(Run{start.router, start.incarnation_unix_ns},
+    std::uint32_t router_index_of(const RouterStarted& start) {
+        const auto [at, fresh] = runs_.try_emplace(Run{start.router_name, start.incarnation_unix_ns},
                                                    static_cast<std::uint32_t>(sources_.size()));
         if (fresh) {
-            if (sources_.size() >= InForce::kMostSources)
+            if (sources_.size() >= EffectiveState::kMaxRouters)
                 throw ToolError("over 256 router runs");
             MergedSource s;
-            s.router = start.router;
+            s.router = start.router_name;
             s.incarnation_unix_ns = start.incarnation_unix_ns;
             sources_.push_back(std::move(s));
         }
@@ -440,14 +442,16 @@
         bool held = false;
         while (s.cursor.next(s.record, held)) {
             Record& r = s.record;
-            auto at = s.clocks.find(r.source);
-            if (const auto* start = std::get_if<Start>(&r.body))
-                at = s.clocks.insert_or_assign(r.source, std::pair{number_of(*start), start->offset}).first;
+            auto at = s.clocks.find(r.router_index);
+            if (const auto* start = std::get_if<RouterStarted>(&r.body))
+                at = s.clocks
+                         .insert_or_assign(r.router_index, std::pair{router_index_of(*start), start->offset})
+                         .first;
             if (at == s.clocks.end())
                 continue;  // of no router that is told of
             const std::uint32_t number = at->second.first;
             std::int64_t& offset = at->second.second;
-            const SkewEstimate& e = sources_[number].estimate;
+            const ClockOffsetEstimate& e = sources_[number].estimate;
             const auto correct = [&](auto& clock) {
                 offset = clock.offset;
                 const std::int64_t by = e.correction_ns(r.at + offset);
@@ -456,11 +460,11 @@
                 s.unix_ns = r.at + clock.offset;
             };
             s.unix_ns = r.at + offset + e.correction_ns(r.at + offset);
-            if (auto* start = std::get_if<Start>(&r.body))
+            if (auto* start = std::get_if<RouterStarted>(&r.body))
                 correct(*start);
-            if (auto* clock = std::get_if<Clock>(&r.body))
+            if (auto* clock = std::get_if<ClockSample>(&r.body))
                 correct(*clock);
-            r.source = number;
+            r.router_index = number;
             if (!held)
                 return true;
             held_one(r);
@@ -470,7 +474,7 @@
 
     const std::vector<MergeInput>& inputs_;
     const std::map<std::string, double>& given_;
-    Skew skew_;
+    ClockOffsetEstimator clock_offsets_;
     std::map<Run, std::uint32_t> runs_;
     std::vector<MergedSource> sources_;
     std::map<std::pair<std::size_t, std::uint32_t>, std::uint32_t> of_file_;
@@ -548,49 +552,51 @@
     Pseudonyms names{options.key};
     StripResult result;
     std::set<std::uint64_t> clients;
-    InForce begin;
+    EffectiveState begin;
     bool open = false;
     Pace pace{progress, records_of(reader)};
     Reader::Pass pass;
     pass.track = false;
-    reader.each(pass, [&](const Record& original, bool held, const InForce&) {
+    reader.each(pass, [&](const Record& original, bool held, const EffectiveState&) {
         pace.step();
         Record r = original;
         Bytes client;
-        if (auto* t = std::get_if<Taken>(&r.body)) {
+        if (auto* t = std::get_if<RequestReceived>(&r.body)) {
             if (!t->client.empty()) {
                 const std::uint64_t name = names.of('c', plain_address(t->client));
                 clients.insert(name);
                 put_u64(client, name);
                 t->client = client;
             }
-            if (!t->trace.empty() || t->trace_id != 0)
-                t->trace_id = t->trace.empty() ? names.of('t', t->trace_id) : names.of('T', t->trace);
-            t->trace = {};
-            t->have = {};
+            if (!t->client_request_id.empty() || t->client_request_number != 0)
+                t->client_request_number = t->client_request_id.empty()
+                                               ? names.of('t', t->client_request_number)
+                                               : names.of('T', t->client_request_id);
+            t->client_request_id = {};
+            t->entity_tag = {};
             if (options.objects)
                 t->object = names.of('o', t->object);
-        } else if (auto* a = std::get_if<Answered>(&r.body)) {
-            a->tag = {};
-            if (a->made_unix_ms > 0)
-                a->made_unix_ms += shift / 1'000'000;
-        } else if (auto* p = std::get_if<Purge>(&r.body)) {
+        } else if (auto* a = std::get_if<ResponseSent>(&r.body)) {
+            a->entity_tag = {};
+            if (a->generated_unix_ms > 0)
+                a->generated_unix_ms += shift / 1'000'000;
+        } else if (auto* p = std::get_if<PurgeReceived>(&r.body)) {
             if (options.objects && !p->whole_group)
                 p->object = names.of('o', p->object);
             if (p->issued_unix_ms > 0)
                 p->issued_unix_ms += shift / 1'000'000;
-        } else if (auto* s = std::get_if<Start>(&r.body)) {
+        } else if (auto* s = std::get_if<RouterStarted>(&r.body)) {
             s->offset += shift;
             s->incarnation_unix_ns += shift;
-        } else if (auto* c = std::get_if<Clock>(&r.body)) {
+        } else if (auto* c = std::get_if<ClockSample>(&r.body)) {
             c->offset += shift;
-        } else if (auto* e = std::get_if<Entry>(&r.body)) {
+        } else if (auto* e = std::get_if<ServerListEntry>(&r.body)) {
             if (e->started_unix_ms > 0)
                 e->started_unix_ms += shift / 1'000'000;
         }
         if (held) {
             if (!open)
-                begin.take(r);
+                begin.update(r);
             return true;
         }
         if (!std::exchange(open, true))
@@ -607,8 +613,8 @@
 // ---- summary -----------------------------------------------------------------------------------
 
 void Summarizer::add(Reader& reader, const Progress& progress) {
-    const auto tally = [this] {
-        return Tally{[this](std::uint32_t s, std::uint64_t c, double kb) {
+    const auto summary = [this] {
+        return RequestSummary{[this](std::uint32_t s, std::uint64_t c, double kb) {
             return routers_.latency_objective(s, c, kb);
         }};
     };
@@ -616,50 +622,53 @@
     std::map<std::int64_t, std::size_t> places;
     for (std::size_t i = 0; i < result_.intervals.size(); ++i)
         places[result_.intervals[i].from_unix_ns] = i;
-    const auto of = [&](std::int64_t unix_ns) -> Tally& {
+    const auto of = [&](std::int64_t unix_ns) -> RequestSummary& {
         const std::int64_t from = every_ns_ > 0 ? unix_ns - (unix_ns % every_ns_ + every_ns_) % every_ns_ : 0;
         auto at = places.find(from);
         if (at == places.end()) {
             if (places.size() >= kMostIntervals)
                 throw ToolError("over 100000 intervals: choose a longer one");
             at = places.emplace(from, result_.intervals.size()).first;
-            result_.intervals.push_back({from, tally()});
+            result_.intervals.push_back({from, summary()});
         }
-        return result_.intervals[at->second].tally;
+        return result_.intervals[at->second].summary;
     };
-    InForce clocks;
+    EffectiveState clocks;
     // Names of classes, put together once for each router.
     std::map<std::pair<std::uint32_t, std::uint64_t>, std::string> names;
-    Stories stories{[&](const Story& s) {
-        const std::int64_t at = s.taken_at != kNoTime ? s.taken_at : s.closed_at != kNoTime ? s.closed_at : 0;
-        auto name = names.find({s.source, s.taken.class_index});
+    TimelineBuilder timelines{[&](const RequestTimeline& s) {
+        const std::int64_t at = s.received_at != kNoTime ? s.received_at
+                                : s.closed_at != kNoTime ? s.closed_at
+                                                         : 0;
+        auto name = names.find({s.router_index, s.received.class_index});
         if (name == names.end())
             name = names
-                       .emplace(std::pair{s.source, s.taken.class_index},
-                                routers_.class_name(s.source, s.taken.class_index))
+                       .emplace(std::pair{s.router_index, s.received.class_index},
+                                routers_.class_name(s.router_index, s.received.class_index))
                        .first;
-        of(clocks.unix_ns(s.source, at)).take(s, s.taken_at == kNoTime ? "(taken earlier)" : name->second);
+        of(clocks.unix_ns(s.router_index, at))
+            .add(s, s.received_at == kNoTime ? "(taken earlier)" : name->second);
     }};
     Reader::Pass pass;
     pass.track = false;
-    pass.wanted = ~types_of<Fired, TimerSet, Cancelled, FirstByte, Entry>();
+    pass.wanted = ~types_of<TimerFired, TimerSet, AttemptCancelled, FirstByteDue, ServerListEntry>();
     std::uint64_t records = 0;
     Pace pace{progress, records_of(reader)};
-    reader.each(pass, [&](const Record& r, bool held, const InForce&) {
+    reader.each(pass, [&](const Record& r, bool held, const EffectiveState&) {
         pace.step();
         ++records;
-        if (std::holds_alternative<Start>(r.body)) {
+        if (std::holds_alternative<RouterStarted>(r.body)) {
             routers_.take(r);
             names.clear();
         }
-        if (std::holds_alternative<Start>(r.body) || std::holds_alternative<Clock>(r.body))
-            clocks.take(r);
-        stories.take(r, held);
+        if (std::holds_alternative<RouterStarted>(r.body) || std::holds_alternative<ClockSample>(r.body))
+            clocks.update(r);
+        timelines.add(r, held);
         if (held)
             return true;
-        if (std::holds_alternative<List>(r.body))
+        if (std::holds_alternative<ServerListChanged>(r.body))
             ++result_.lists;
-        if (std::holds_alternative<Purge>(r.body))
+        if (std::holds_alternative<PurgeReceived>(r.body))
             ++result_.purges;
         if (const auto* gap = std::get_if<Gap>(&r.body)) {
             ++result_.gaps;
@@ -667,7 +676,7 @@
         }
         return true;
     });
-    stories.end();
+    timelines.finish();
     for (const auto& c : reader.chunks()) {
         const bool first = result_.records == 0;
         result_.first_unix_ns =
@@ -697,7 +706,7 @@
     return out;
 }
 
-Json::Value json_of(const Times& t) {
+Json::Value json_of(const LatencyHistogram& t) {
     Json::Value out;
     out["count"] = Json::Value{Json::UInt64{t.count()}};
     out["mean_ms"] = t.mean_ms();
@@ -708,30 +717,32 @@
     return out;
 }
 
-double late_share(const ClassTally& c) {
-    return c.served.count() ? static_cast<double>(c.late) / static_cast<double>(c.served.count()) : 0;
+double late_share(const ClassSummary& c) {
+    return c.success_latency.count()
+               ? static_cast<double>(c.late) / static_cast<double>(c.success_latency.count())
+               : 0;
 }
 
-Json::Value json_of(const ClassTally& c) {
+Json::Value json_of(const ClassSummary& c) {
     Json::Value out;
-    out["calls"] = Json::Value{Json::UInt64{c.calls}};
-    out["outcomes"] = counts_json(c.outcomes, kTallyWords);
+    out["calls"] = Json::Value{Json::UInt64{c.received}};
+    out["outcomes"] = counts_json(c.outcomes, kOutcomeNames);
     out["late"] = Json::Value{Json::UInt64{c.late}};
     out["late_share"] = late_share(c);
     out["bytes"] = Json::Value{Json::UInt64{c.bytes}};
-    out["served"] = json_of(c.served);
-    out["turned_down"] = json_of(c.turned_down);
+    out["served"] = json_of(c.success_latency);
+    out["turned_down"] = json_of(c.error_latency);
     Json::Value attempts{Json::arrayValue};
     for (const auto n : c.attempts)
         attempts.append(Json::Value{Json::UInt64{n}});
     out["calls_by_attempts"] = attempts;
-    out["notes"] = counts_json(c.notes, kNoteWords);
-    out["endings"] = counts_json(c.endings, kEndingWords);
+    out["notes"] = counts_json(c.cache_statuses, kCacheStatusNames);
+    out["endings"] = counts_json(c.attempt_statuses, kAttemptStatusNames);
     out["fills"] = counts_json(c.fills);
-    out["refusals"] = counts_json(c.refusals);
-    out["hold_off"]["count"] = Json::Value{Json::UInt64{c.hold_offs}};
-    out["hold_off"]["mean_ms"] = c.hold_offs ? c.hold_off_sum_ms / static_cast<double>(c.hold_offs) : 0;
-    out["hold_off"]["max_ms"] = c.hold_off_most_ms;
+    out["refusals"] = counts_json(c.error_reasons);
+    out["hold_off"]["count"] = Json::Value{Json::UInt64{c.retry_after.count}};
+    out["hold_off"]["mean_ms"] = c.retry_after.mean_ms();
+    out["hold_off"]["max_ms"] = c.retry_after.max_ms;
     return out;
 }
 
@@ -752,7 +763,7 @@
         if (i.from_unix_ns != 0)
             interval["from"] = time_text(i.from_unix_ns);
         interval["classes"] = Json::Value{Json::objectValue};
-        for (const auto& [name, c] : i.tally.classes())
+        for (const auto& [name, c] : i.summary.classes())
             interval["classes"][name] = json_of(c);
         out["intervals"].append(std::move(interval));
     }
@@ -776,12 +787,12 @@
             put("\nfrom %s\n", time_text(i.from_unix_ns).c_str());
         put("%-16s %9s %9s %9s %7s %7s %7s %7s | %8s %8s %8s | %6s\n", "class", "calls", "served",
             "unchanged", "refused", "failed", "aband.", "open", "p50 ms", "p90 ms", "p99 ms", "late");
-        for (const auto& [name, c] : i.tally.classes())
+        for (const auto& [name, c] : i.summary.classes())
             put("%-16s %9llu %9llu %9llu %7llu %7llu %7llu %7llu | %8.1f %8.1f %8.1f | %5.2f%%\n",
-                name.c_str(), ull{c.calls}, ull{c.outcomes[0]}, ull{c.outcomes[1]}, ull{c.outcomes[3]},
-                ull{c.outcomes[4]}, ull{c.outcomes[5]}, ull{c.outcomes[6]}, c.served.quantile(0.5),
-                c.served.quantile(0.9), c.served.quantile(0.99), late_share(c) * 100);
-        for (const auto& [name, c] : i.tally.classes()) {
+                name.c_str(), ull{c.received}, ull{c.outcomes[0]}, ull{c.outcomes[1]}, ull{c.outcomes[3]},
+                ull{c.outcomes[4]}, ull{c.outcomes[5]}, ull{c.outcomes[6]}, c.success_latency.quantile(0.5),
+                c.success_latency.quantile(0.9), c.success_latency.quantile(0.99), late_share(c) * 100);
+        for (const auto& [name, c] : i.summary.classes()) {
             put("%s: %llu bytes", name.c_str(), ull{c.bytes});
             out += "; calls by attempts";
             for (std::size_t n = 0; n < c.attempts.size(); ++n)
@@ -796,8 +807,8 @@
                         put(" %s:%llu", std::string{words[n]}.c_str(), ull{counts[n]});
                     }
             };
-            list("endings", c.endings, kEndingWords);
-            list("notes", c.notes, kNoteWords);
+            list("endings", c.attempt_statuses, kAttemptStatusNames);
+            list("notes", c.cache_statuses, kCacheStatusNames);
             const auto named = [&](const char* title, const auto& counts) {
                 if (!counts.empty())
                     put("; %s", title);
@@ -805,10 +816,10 @@
                     put(" %s:%llu", what.c_str(), ull{n});
             };
             named("fills", c.fills);
-            named("turned down", c.refusals);
-            if (c.hold_offs)
-                put("; hold-off %.0f ms in the mean, %.0f at most",
-                    c.hold_off_sum_ms / static_cast<double>(c.hold_offs), c.hold_off_most_ms);
+            named("turned down", c.error_reasons);
+            if (c.retry_after.count)
+                put("; hold-off %.0f ms in the mean, %.0f at most", c.retry_after.mean_ms(),
+                    c.retry_after.max_ms);
             out += '\n';
         }
     }
--- a/src/trace/tools.h
+++ b/src/trace/tools.h
@@ -8,11 +8,11 @@
 #include <vector>
 
 #include "silverrail/routing/router.h"
-#include "state/selection.h"
-#include "state/skew.h"
-#include "state/tally.h"
 #include "trace/file.h"
 #include "trace/json.h"
+#include "trace/model/clock_offset.h"
+#include "trace/model/request_summary.h"
+#include "trace/model/selection.h"
 
 namespace silverrail::trace {
 
@@ -51,15 +51,15 @@
 using Progress = std::function<void(double)>;
 
 // Calls that the selection wants, each with its attempts, as they end. Returns how many.
-std::uint64_t show(Reader& reader, const state::Selection& selection,
-                   const std::function<void(const state::Story&, const Names&)>& f,
+std::uint64_t show(Reader& reader, const model::Selection& selection,
+                   const std::function<void(const model::RequestTimeline&, const Names&)>& f,
                    const Progress& progress = {});
 
 struct CutResult {
     std::uint64_t records = 0;
     std::uint64_t calls = 0;  // wanted, where the selection is not of all
 };
-CutResult cut(Reader& reader, const state::Selection& selection, ByteSink& to, const Progress& progress = {});
+CutResult cut(Reader& reader, const model::Selection& selection, ByteSink& to, const Progress& progress = {});
 
 struct MergeInput {
     std::string name;  // for messages
@@ -69,7 +69,7 @@
     std::string router;
     std::int64_t incarnation_unix_ns = 0;
     std::vector<std::string> files;
-    state::SkewEstimate estimate;
+    model::ClockOffsetEstimate estimate;
     bool reference = false;
     std::string borrowed;  // the estimate is that of this router's other run
 };
@@ -95,7 +95,7 @@
 struct SummaryResult {
     struct Interval {
         std::int64_t from_unix_ns = 0;
-        state::Tally tally;
+        model::RequestSummary summary;
     };
     std::vector<Interval> intervals;  // one where none were asked for
     std::uint64_t records = 0;
--- a/tests/trace/format_test.cpp
+++ b/tests/trace/format_test.cpp
@@ -7,39 +7,39 @@
 
 using namespace silverrail;
 using namespace silverrail::trace;
-using state::Kept;
-using state::Record;
+using model::OwnedRecord;
+using model::Record;
 
 namespace {
 
-std::vector<Kept> some_records(int count, std::uint64_t seed) {
+std::vector<OwnedRecord> some_records(int count, std::uint64_t seed) {
     RandomRecords random{seed};
-    std::vector<Kept> out;
+    std::vector<OwnedRecord> out;
     for (int i = 0; i < count; ++i)
         out.emplace_back(random.next());
     return out;
 }
 
-Bytes file_of(const std::vector<Kept>& records, std::size_t per_chunk) {
+Bytes file_of(const std::vector<OwnedRecord>& records, std::size_t per_chunk) {
     return written(
         [&](Writer& w) {
-            for (const Kept& k : records)
+            for (const OwnedRecord& k : records)
                 w.add(k.record());
         },
         {per_chunk, 0, 3});
 }
 
 // Everything that was read is one of those written, in their order; gaps tell of what is not there.
-std::size_t check_part(const std::vector<Kept>& read, const std::vector<Kept>& all, bool& gap) {
+std::size_t check_part(const std::vector<OwnedRecord>& read, const std::vector<OwnedRecord>& all, bool& gap) {
     std::size_t at = 0;
     std::size_t found = 0;
-    for (const Kept& k : read) {
+    for (const OwnedRecord& k : read) {
         std::size_t next = at;
         while (next < all.size() && !same(all[next].record(), k.record()))
             ++next;
         if (next == all.size()) {
             // Not written: only a gap that the reader itself tells of may be that.
-            CHECK(std::holds_alternative<state::Gap>(k.record().body));
+            CHECK(std::holds_alternative<model::Gap>(k.record().body));
             gap = true;
             continue;
         }
@@ -62,13 +62,14 @@
     // Types that are not wanted are passed over, and the others are what they were.
     std::size_t sent = 0;
     std::size_t expected = 0;
-    for (const Kept& k : records)
-        expected += std::holds_alternative<state::Sent>(k.record().body);
-    reader.each({.wanted = types_of<state::Sent>()}, [&](const Record& r, bool held, const state::InForce&) {
-        CHECK(std::holds_alternative<state::Sent>(r.body));
-        sent += !held;
-        return true;
-    });
+    for (const OwnedRecord& k : records)
+        expected += std::holds_alternative<model::AttemptSent>(k.record().body);
+    reader.each({.wanted = types_of<model::AttemptSent>()},
+                [&](const Record& r, bool held, const model::EffectiveState&) {
+                    CHECK(std::holds_alternative<model::AttemptSent>(r.body));
+                    sent += !held;
+                    return true;
+                });
     CHECK(sent == expected && sent > 500);
 }
 
@@ -124,10 +125,11 @@
 void check_later_minor() {
     ChunkBuilder builder;
     for (int i = 0; i < 5; ++i)
-        builder.add({100 + i, 0, state::List{}}, 100 + i, false);
+        builder.add({100 + i, 0, model::ServerListChanged{}}, 100 + i, false);
     auto parts = builder.finish(3);
     // The types stand as they are, since there are few: one becomes a type that nobody knows.
-    const auto types = parts.body.find(Bytes(5, static_cast<char>(state::type_of<state::List>())));
+    const auto types =
+        parts.body.find(Bytes(5, static_cast<char>(model::type_of<model::ServerListChanged>())));
     CHECK(types != Bytes::npos);
     parts.body[types + 2] = 50;
     parts.head += "what a later version adds";
@@ -269,28 +271,28 @@
     const std::string settings = "{}";
     const auto bytes = written(
         [&](Writer& w) {
-            state::Start start;
-            start.router = "n1";
+            model::RouterStarted start;
+            start.router_name = "n1";
             start.settings = settings;
             start.offset = 1'000'000;
             w.add({1000, 0, start});
-            w.add({1001, 0, state::List{2, true}});
+            w.add({1001, 0, model::ServerListChanged{2, true}});
             for (const char* id : {"s-a", "s-b"}) {
-                state::Entry e;
+                model::ServerListEntry e;
                 e.id = id;
                 w.add({1001, 0, e});
             }
-            w.add({1002, 0, state::Purge{false, 7, 3, 0, 0}});
-            state::Taken taken;
-            taken.call = 5;
-            taken.trace = "kept";
+            w.add({1002, 0, model::PurgeReceived{false, 7, 3, 0, 0}});
+            model::RequestReceived taken;
+            taken.request = 5;
+            taken.client_request_id = "kept";
             w.add({1003, 0, taken});
-            state::Sent sent;
-            sent.call = 5;
+            model::AttemptSent sent;
+            sent.request = 5;
             sent.target = "s-a";
             w.add({1004, 0, sent});
             for (int i = 0; i < 20; ++i)
-                w.add({2000 + i, 0, state::Fired{1}});
+                w.add({2000 + i, 0, model::TimerFired{1}});
         },
         {8, 0, 3});
     MemorySource source{bytes};
@@ -298,15 +300,18 @@
     CHECK(reader.chunks().size() == 4);
     const auto last = reader.load(3);
     CHECK(last && last->summary().held == 7);
-    state::InForce in_force;
+    model::EffectiveState effective_state;
     Record r;
     bool held = false;
     while (last->next(r, held))
-        in_force.take(r);
-    CHECK(in_force.start(0) && in_force.start(0)->router == "n1" && in_force.servers(0) == 2);
-    CHECK(in_force.call(0, 5) && in_force.call(0, 5)->out.size() == 1);
-    CHECK(std::get<state::Taken>(in_force.call(0, 5)->taken.record().body).trace == "kept");
-    CHECK(in_force.unix_ns(0, 2000) == 1'002'000);
+        effective_state.update(r);
+    CHECK(effective_state.start(0) && effective_state.start(0)->router_name == "n1" &&
+          effective_state.server_count(0) == 2);
+    CHECK(effective_state.open_request(0, 5) &&
+          effective_state.open_request(0, 5)->open_attempts.size() == 1);
+    CHECK(std::get<model::RequestReceived>(effective_state.open_request(0, 5)->received.record().body)
+              .client_request_id == "kept");
+    CHECK(effective_state.unix_ns(0, 2000) == 1'002'000);
 }
 
 }  // namespace
--- a/tests/trace/reader_fuzz.cpp
+++ b/tests/trace/reader_fuzz.cpp
@@ -13,10 +13,12 @@
     try {
         Reader reader{source};
         std::uint64_t records = 0;
-        reader.each(
-            {}, [&](const Record&, bool, const silverrail::state::InForce&) { return ++records < 100'000; });
-        show(reader, {},
-             [](const silverrail::state::Story& s, const Names& names) { (void)text_of(s, names); });
+        reader.each({}, [&](const Record&, bool, const silverrail::trace::model::EffectiveState&) {
+            return ++records < 100'000;
+        });
+        show(reader, {}, [](const silverrail::trace::model::RequestTimeline& s, const Names& names) {
+            (void)text_of(s, names);
+        });
         MemorySink out;
         cut(reader, {}, out);
     } catch (const Unreadable&) {}
--- a/tests/trace/recorder_test.cpp
+++ b/tests/trace/recorder_test.cpp
@@ -15,7 +15,7 @@
 
 using namespace silverrail;
 using namespace silverrail::trace;
-using state::Record;
+using model::Record;
 namespace fs = std::filesystem;
 
 namespace {
@@ -37,9 +37,9 @@
         shelf_.files[name];
         return std::make_unique<Sink>(shelf_, name);
     }
-    std::vector<state::Retention::File> list() override {
+    std::vector<model::Retention::File> list() override {
         const std::lock_guard lock{shelf_.mutex};
-        std::vector<state::Retention::File> out;
+        std::vector<model::Retention::File> out;
         for (const auto& [name, bytes] : shelf_.files)
             out.push_back({name, bytes.size()});
         return out;
@@ -73,19 +73,19 @@
     return i;
 }
 
-Record taken(std::uint64_t call) {
-    state::Taken t;
-    t.call = call;
-    t.trace_id = call * 7919;
+Record taken(std::uint64_t request) {
+    model::RequestReceived t;
+    t.request = request;
+    t.client_request_number = request * 7919;
     t.client = {"\x0a\0\0\x01", 4};
-    return {static_cast<std::int64_t>(call) * 1000, 0, t};
+    return {static_cast<std::int64_t>(request) * 1000, 0, t};
 }
 
-void take_and_answer(Recorder& recorder, std::uint64_t call) {
-    recorder.take(taken(call));
-    state::Answered done;
-    done.call = call;
-    recorder.take({static_cast<std::int64_t>(call) * 1000, 0, done});
+void take_and_answer(Recorder& recorder, std::uint64_t request) {
+    recorder.take(taken(request));
+    model::ResponseSent done;
+    done.request = request;
+    recorder.take({static_cast<std::int64_t>(request) * 1000, 0, done});
 }
 
 template <class Test>
@@ -106,16 +106,16 @@
 void read_into(Seen& seen, const Bytes& bytes) {
     MemorySource source{bytes};
     Reader reader{source};
-    reader.each({}, [&](const Record& r, bool held, const state::InForce&) {
+    reader.each({}, [&](const Record& r, bool held, const model::EffectiveState&) {
         if (held)
             return true;
-        if (const auto* t = std::get_if<state::Taken>(&r.body)) {
-            CHECK(t->trace_id == t->call * 7919 && t->client.size() == 4);
-            seen.calls.push_back(t->call);
+        if (const auto* t = std::get_if<model::RequestReceived>(&r.body)) {
+            CHECK(t->client_request_number == t->request * 7919 && t->client.size() == 4);
+            seen.calls.push_back(t->request);
         }
-        if (const auto* g = std::get_if<state::Gap>(&r.body))
+        if (const auto* g = std::get_if<model::Gap>(&r.body))
             seen.missing += g->records;
-        seen.starts += std::holds_alternative<state::Start>(r.body);
+        seen.starts += std::holds_alternative<model::RouterStarted>(r.body);
         return true;
     });
     seen.whole = seen.whole && reader.indexed() && reader.damage().empty();
@@ -147,7 +147,7 @@
     maker.join();
     // What is too large for it is refused, and what does not fit now is.
     const std::string large(8192, 'x');
-    state::Entry e;
+    model::ServerListEntry e;
     e.id = large;
     CHECK(!queue.push({0, 0, e}));
     int fits = 0;
@@ -192,15 +192,15 @@
     s.queue_bytes = 64 << 20;  // nothing is to be dropped here, however slow the machine
     s.retry = std::chrono::milliseconds{1};
     Recorder recorder{s, who(), std::make_unique<ShelfFolder>(shelf)};
-    std::uint64_t call = 0;
-    recorder.take(taken(++call));
+    std::uint64_t request = 0;
+    recorder.take(taken(++request));
     wait_until([&] { return recorder.counts().bytes > 200; });
     {
         const std::lock_guard lock{shelf.mutex};
         shelf.full = true;
     }
     wait_until([&] {
-        recorder.take(taken(++call));
+        recorder.take(taken(++request));
         return recorder.counts().write_errors >= 3 && recorder.counts().lost > 0;
     });
     const auto said = recorder.notices();
@@ -210,7 +210,7 @@
         shelf.full = false;
     }
     wait_until([&] {
-        recorder.take(taken(++call));
+        recorder.take(taken(++request));
         return recorder.counts().files >= 2;
     });
     recorder.stop();
@@ -222,8 +222,8 @@
         read_into(seen, bytes);
     CHECK(counts.dropped == 0 && counts.lost > 0);
     CHECK(seen.missing == counts.lost);
-    CHECK(seen.calls.size() + seen.missing == call);
-    CHECK(seen.calls.front() == 1 && seen.calls.back() == call);
+    CHECK(seen.calls.size() + seen.missing == request);
+    CHECK(seen.calls.front() == 1 && seen.calls.back() == request);
 }
 
 // Files are changed by size, the oldest go, and the newest stand alone.
@@ -231,14 +231,15 @@
     Shelf shelf;
     RecorderSettings s;
     s.flush_ns = 1;
-    s.retention = {.most_bytes = 60'000, .file_bytes = 10'000, .file_span_ns = std::int64_t{1} << 60};
+    s.retention = {
+        .max_total_bytes = 60'000, .max_file_bytes = 10'000, .max_file_age_ns = std::int64_t{1} << 60};
     Recorder recorder{s, who(), std::make_unique<ShelfFolder>(shelf)};
-    std::uint64_t call = 0;
+    std::uint64_t request = 0;
     wait_until([&] {
         // No faster than it is written, so that chunks are small beside the bound.
         const auto before = recorder.counts().bytes;
         for (int i = 0; i < 200; ++i) {
-            take_and_answer(recorder, ++call);
+            take_and_answer(recorder, ++request);
         }
         wait_until([&] { return recorder.counts().bytes > before; });
         return recorder.counts().files >= 12;
@@ -252,14 +253,14 @@
     Seen seen;
     for (const auto& [name, bytes] : shelf.files)
         read_into(seen, bytes);
-    CHECK(seen.whole && seen.starts == 0 && seen.calls.back() == call);
+    CHECK(seen.whole && seen.starts == 0 && seen.calls.back() == request);
     for (std::size_t i = 1; i < seen.calls.size(); ++i)
         CHECK(seen.calls[i] == seen.calls[i - 1] + 1);
     MemorySource newest{shelf.files.rbegin()->second};
     Reader reader{newest};
     CHECK(reader.flags() & kCut);
     Routers routers;
-    reader.each({}, [&](const Record& r, bool, const state::InForce&) {
+    reader.each({}, [&](const Record& r, bool, const model::EffectiveState&) {
         routers.take(r);
         return true;
     });
@@ -272,22 +273,25 @@
     RecorderSettings s;
     s.flush_ns = 1;
     s.flight_bytes = 20'000;
-    s.trigger = {.share = 0.5, .window_ns = 1'000'000'000, .least = 20, .hold_off_ns = std::int64_t{1} << 60};
+    s.trigger = {.failed_share = 0.5,
+                 .window_ns = 1'000'000'000,
+                 .min_responses = 20,
+                 .min_interval_ns = std::int64_t{1} << 60};
     Recorder recorder{s, who(), std::make_unique<ShelfFolder>(shelf)};
-    std::uint64_t call = 0;
+    std::uint64_t request = 0;
     for (int round = 0; round < 60; ++round) {
         for (int i = 0; i < 100; ++i)
-            take_and_answer(recorder, ++call);
+            take_and_answer(recorder, ++request);
         std::this_thread::yield();
     }
     CHECK(shelf.files.empty());
     recorder.dump();
     wait_until([&] { return recorder.counts().dumps == 1; });
-    take_and_answer(recorder, ++call);
+    take_and_answer(recorder, ++request);
     for (int i = 0; i < 60; ++i) {
-        state::Answered a;
+        model::ResponseSent a;
         a.kind = static_cast<std::uint8_t>(core::Answer::Kind::failed);
-        a.call = static_cast<std::uint64_t>(i) + 1;
+        a.request = static_cast<std::uint64_t>(i) + 1;
         recorder.take({5'000'000'000 + i, 0, a});
     }
     wait_until([&] { return recorder.counts().dumps == 2; });
@@ -313,9 +317,9 @@
         RecorderSettings s;
         s.flush_ns = 1;
         Recorder recorder{s, who(), std::make_unique<DiskFolder>(folder.string(), "n1-")};
-        for (std::uint64_t call = 1;; ++call) {
-            recorder.take(taken(call));
-            if (call % 50 == 0)
+        for (std::uint64_t request = 1;; ++request) {
+            recorder.take(taken(request));
+            if (request % 50 == 0)
                 ::usleep(500);
             if (recorder.counts().bytes > 20'000) {
                 const char byte = 1;
@@ -335,9 +339,9 @@
     Reader reader{*source};
     CHECK(!reader.indexed() && !reader.damage().empty());
     std::uint64_t last = 0;
-    reader.each({}, [&](const Record& r, bool held, const state::InForce&) {
-        if (const auto* t = std::get_if<state::Taken>(&r.body); t && !held)
-            CHECK(t->call == ++last);
+    reader.each({}, [&](const Record& r, bool held, const model::EffectiveState&) {
+        if (const auto* t = std::get_if<model::RequestReceived>(&r.body); t && !held)
+            CHECK(t->request == ++last);
         return true;
     });
     CHECK(last > 100);
--- a/tests/trace/records.h
+++ b/tests/trace/records.h
@@ -12,21 +12,21 @@
 public:
     explicit RandomRecords(std::uint64_t seed) : random_(seed) {}
     // Good until the next one.
-    state::Record next() {
-        state::Record r;
+    model::Record next() {
+        model::Record r;
         at_ += static_cast<std::int64_t>(random_() % 5'000'000);
         r.at = at_;
         texts_.clear();
         texts_.reserve(64);
-        state::with_type(random_() % state::kTypes, [&]<class T>(T body) {
-            T::fields(body, [&](const char*, auto& value, state::Pack) { fill(value); });
+        model::with_type(random_() % model::kTypes, [&]<class T>(T body) {
+            T::fields(body, [&](const char*, auto& value, model::Encoding) { fill(value); });
             r.body = body;
         });
         return r;
     }
 
 private:
-    void fill(state::Text& v) {
+    void fill(model::Text& v) {
         // Mostly from few; now and then any bytes at all.
         std::string t = random_() % 8 ? "s-" + std::to_string(random_() % 20) : std::string{};
         if (random_() % 16 == 0)
@@ -45,10 +45,10 @@
         v = any();
     }
     void fill(std::int64_t& v) {
-        v = random_() % 16 ? static_cast<std::int64_t>(any()) : state::kNoTime;
+        v = random_() % 16 ? static_cast<std::int64_t>(any()) : model::kNoTime;
     }
     void fill(double& v) {
-        v = random_() % 4 ? static_cast<double>(random_() % 100) / 7 : state::kNoFigure;
+        v = random_() % 4 ? static_cast<double>(random_() % 100) / 7 : model::kNoValue;
     }
     std::uint64_t any() {
         switch (random_() % 4) {
@@ -67,8 +67,8 @@
     std::int64_t at_ = 1'000'000'000'000;
 };
 
-inline bool same(const state::Record& a, const state::Record& b) {
-    if (a.at != b.at || a.source != b.source || a.body.index() != b.body.index())
+inline bool same(const model::Record& a, const model::Record& b) {
+    if (a.at != b.at || a.router_index != b.router_index || a.body.index() != b.body.index())
         return false;
     return std::visit(
         [&](const auto& x) {
@@ -77,9 +77,9 @@
             std::vector<std::string> left;
             std::vector<std::string> right;
             const auto into = [](std::vector<std::string>& to) {
-                return [&to](const char*, const auto& v, state::Pack) {
+                return [&to](const char*, const auto& v, model::Encoding) {
                     using F = std::decay_t<decltype(v)>;
-                    if constexpr (std::is_same_v<F, state::Text>)
+                    if constexpr (std::is_same_v<F, model::Text>)
                         to.emplace_back(v);
                     else if constexpr (std::is_same_v<F, double>)
                         to.push_back(std::isnan(v) ? "nan" : std::to_string(std::bit_cast<std::uint64_t>(v)));
@@ -104,9 +104,9 @@
     return std::move(sink.bytes());
 }
 
-inline std::vector<state::Kept> read_all(Reader& reader, bool with_held = false) {
-    std::vector<state::Kept> out;
-    reader.each({}, [&](const Record& r, bool held, const state::InForce&) {
+inline std::vector<model::OwnedRecord> read_all(Reader& reader, bool with_held = false) {
+    std::vector<model::OwnedRecord> out;
+    reader.each({}, [&](const Record& r, bool held, const model::EffectiveState&) {
         if (!held || with_held)
             out.emplace_back(r);
         return true;
--- a/tests/trace/tools_test.cpp
+++ b/tests/trace/tools_test.cpp
@@ -11,7 +11,7 @@
 
 using namespace silverrail;
 using namespace silverrail::trace;
-using namespace silverrail::state;
+using namespace silverrail::trace::model;
 
 namespace {
 
@@ -42,7 +42,8 @@
 
 Replay replayed(Open& trace, bool go_on = false) {
     Replay replay{settings_of, go_on};
-    trace.reader.each({}, [&](const Record& r, bool held, const InForce&) { return held || replay.take(r); });
+    trace.reader.each(
+        {}, [&](const Record& r, bool held, const EffectiveState&) { return held || replay.take(r); });
     replay.end();
     return replay;
 }
@@ -58,10 +59,10 @@
         return written([&](Writer& w) {
             Open again{trace};
             sends = 0;
-            again.reader.each({}, [&](const Record& r, bool held, const InForce&) {
+            again.reader.each({}, [&](const Record& r, bool held, const EffectiveState&) {
                 Record copy = r;
-                if (auto* s = std::get_if<Sent>(&copy.body); s && !held && ++sends == 1000) {
-                    changed_call = s->call;
+                if (auto* s = std::get_if<AttemptSent>(&copy.body); s && !held && ++sends == 1000) {
+                    changed_call = s->request;
                     change(*s);
                 }
                 if (!held)
@@ -70,12 +71,12 @@
             });
         });
     };
-    Open target{spoil([](Sent& s) { s.target = "s-elsewhere"; })};
+    Open target{spoil([](AttemptSent& s) { s.target = "s-elsewhere"; })};
     const Replay found = replayed(target);
     CHECK(found.first() && found.first()->difference == Replay::Difference::other_target);
-    CHECK(found.first()->call == changed_call &&
+    CHECK(found.first()->request == changed_call &&
           found.first()->recorded.find("s-elsewhere") != std::string::npos);
-    Open retention{spoil([](Sent& s) { s.retention ^= 1; })};
+    Open retention{spoil([](AttemptSent& s) { s.retention ^= 1; })};
     const Replay other = replayed(retention, true);
     CHECK(other.differences() == 1 && other.events() == same.events());
     CHECK(other.sums().begin()->first.second == Replay::Difference::other_fill);
@@ -83,7 +84,7 @@
     Open gap{written([&](Writer& w) {
         Open again{trace};
         std::size_t n = 0;
-        again.reader.each({}, [&](const Record& r, bool held, const InForce&) {
+        again.reader.each({}, [&](const Record& r, bool held, const EffectiveState&) {
             if (!held && ++n == 3000)
                 w.add({r.at, 0, Gap{5, r.at, r.at}});
             if (!held)
@@ -103,16 +104,16 @@
     std::uint64_t edge_call = 0;
     std::size_t before = 0;
     std::size_t all = 0;
-    whole.reader.each({}, [&](const Record& r, bool held, const InForce& f) {
+    whole.reader.each({}, [&](const Record& r, bool held, const EffectiveState& f) {
         if (held)
             return true;
         ++all;
-        const std::int64_t at = f.unix_ns(r.source, r.at);
+        const std::int64_t at = f.unix_ns(r.router_index, r.at);
         if (edge == 0) {
-            const auto* a = std::get_if<Answered>(&r.body);
-            if (a && at > first + 4 * kSecond && f.call(0, a->call)) {
+            const auto* a = std::get_if<ResponseSent>(&r.body);
+            if (a && at > first + 4 * kSecond && f.open_request(0, a->request)) {
                 edge = at;
-                edge_call = a->call;
+                edge_call = a->request;
             } else {
                 ++before;
             }
@@ -131,9 +132,9 @@
     };
     const auto has = [&](Open& o) {
         bool found = false;
-        o.reader.each({}, [&](const Record& r, bool held, const InForce&) {
-            const auto* a = std::get_if<Answered>(&r.body);
-            found = found || (!held && a && a->call == edge_call);
+        o.reader.each({}, [&](const Record& r, bool held, const EffectiveState&) {
+            const auto* a = std::get_if<ResponseSent>(&r.body);
+            found = found || (!held && a && a->request == edge_call);
             return true;
         });
         return found;
@@ -152,19 +153,19 @@
         CHECK(same((i < a.size() ? a[i] : b[i - a.size()]).record(), both[i].record()));
     // The tail stands alone: router, servers and the call that was open at the edge are known from its head.
     const auto chunk = tail->reader.load(0);
-    InForce f;
+    EffectiveState f;
     Record r;
     bool held = false;
     while (chunk->next(r, held) && held)
-        f.take(r);
-    CHECK(f.start(0) && f.servers(0) == 14 && f.call(0, edge_call));
+        f.update(r);
+    CHECK(f.start(0) && f.server_count(0) == 14 && f.open_request(0, edge_call));
     bool shown = false;
-    show(tail->reader, {}, [&](const Story& s, const Names& names) {
-        if (s.call != edge_call)
+    show(tail->reader, {}, [&](const RequestTimeline& s, const Names& names) {
+        if (s.request != edge_call)
             return;
         shown = true;
-        CHECK(s.before && s.answered() &&
-              names.class_name(0, s.taken.class_index).find('-') != std::string::npos);
+        CHECK(s.open_at_start && s.answered() &&
+              names.class_name(0, s.received.class_index).find('-') != std::string::npos);
     });
     CHECK(shown);
     // By class and outcome, the same calls as `show` finds.
@@ -172,14 +173,14 @@
     refused.classes = {"portal-pages", "bulk-files"};
     refused.outcomes = {"refused", "failed", "error", "reset", "abandoned"};
     std::size_t expected = 0;
-    show(whole.reader, refused, [&](const Story&, const Names&) { ++expected; });
+    show(whole.reader, refused, [&](const RequestTimeline&, const Names&) { ++expected; });
     MemorySink sink;
     Open again{trace};
     const auto result = cut(again.reader, refused, sink);
     Open some{std::move(sink.bytes())};
     std::size_t found = 0;
-    show(some.reader, {}, [&](const Story& s, const Names& names) {
-        CHECK(refused.wants(s, names.class_name(0, s.taken.class_index)));
+    show(some.reader, {}, [&](const RequestTimeline& s, const Names& names) {
+        CHECK(refused.matches(s, names.class_name(0, s.received.class_index)));
         ++found;
     });
     CHECK(expected > 5 && found == expected && result.calls == expected);
@@ -191,10 +192,10 @@
     std::set<std::uint64_t> ids;
     std::set<std::uint64_t> objects;
     bool v4 = false, v6 = false, mapped = false;
-    whole.reader.each({}, [&](const Record& r, bool, const InForce&) {
-        if (const auto* t = std::get_if<Taken>(&r.body)) {
+    whole.reader.each({}, [&](const Record& r, bool, const EffectiveState&) {
+        if (const auto* t = std::get_if<RequestReceived>(&r.body)) {
             addresses.emplace(t->client);
-            ids.insert(t->trace_id);
+            ids.insert(t->client_request_number);
             objects.insert(t->object);
             v4 = v4 || t->client.size() == 4;
             v6 = v6 || t->client.starts_with('\xfd');
@@ -216,12 +217,12 @@
     std::string everything;
     std::map<std::string, std::string> pseudonyms;
     std::size_t calls = 0;
-    stripped.reader.each({}, [&](const Record& r, bool, const InForce&) {
+    stripped.reader.each({}, [&](const Record& r, bool, const EffectiveState&) {
         std::visit(
             [&]<class T>(const T& body) {
-                if constexpr (std::is_same_v<T, Start>)
+                if constexpr (std::is_same_v<T, RouterStarted>)
                     return;  // the operators' settings
-                T::fields(body, [&](const char*, const auto& v, Pack) {
+                T::fields(body, [&](const char*, const auto& v, Encoding) {
                     using F = std::decay_t<decltype(v)>;
                     if constexpr (std::is_same_v<F, Text>)
                         everything += std::string{v} + '\n';
@@ -230,12 +231,12 @@
                 });
             },
             r.body);
-        if (const auto* t = std::get_if<Taken>(&r.body)) {
-            CHECK(t->client.size() == 8 && t->trace.empty() && t->have.empty());
+        if (const auto* t = std::get_if<RequestReceived>(&r.body)) {
+            CHECK(t->client.size() == 8 && t->client_request_id.empty() && t->entity_tag.empty());
             ++calls;
         }
-        if (const auto* a = std::get_if<Answered>(&r.body))
-            CHECK(a->tag.empty());
+        if (const auto* a = std::get_if<ResponseSent>(&r.body))
+            CHECK(a->entity_tag.empty());
         return true;
     });
     CHECK(calls > 1000);
@@ -248,8 +249,8 @@
     const auto client_names = [](Bytes bytes) {
         Open o{std::move(bytes)};
         std::vector<std::string> names;
-        o.reader.each({}, [&](const Record& r, bool held, const InForce&) {
-            if (const auto* t = std::get_if<Taken>(&r.body); t && !held)
+        o.reader.each({}, [&](const Record& r, bool held, const EffectiveState&) {
+            if (const auto* t = std::get_if<RequestReceived>(&r.body); t && !held)
                 names.emplace_back(t->client);
             return true;
         });
@@ -263,9 +264,9 @@
         Writer w{two, 0, 0};
         for (const Text c :
              {Text{"\x0a\x01\x02\x03", 4}, Text{"\0\0\0\0\0\0\0\0\0\0\xff\xff\x0a\x01\x02\x03", 16}}) {
-            Taken t;
+            RequestReceived t;
             t.client = c;
-            t.call = 1;
+            t.request = 1;
             w.add({1, 0, t});
         }
         w.close();
@@ -322,8 +323,8 @@
             CHECK(std::abs(residual) < 40);
         }
         // Copies' ages bear the purges out.
-        if (s.estimate.order_gap_ns) {
-            CHECK(std::abs(*s.estimate.order_gap_ns) < 60e6);
+        if (s.estimate.min_delay_difference_ns) {
+            CHECK(std::abs(*s.estimate.min_delay_difference_ns) < 60e6);
             ++borne_out;
         }
         spread = std::max(spread, std::abs(ahead(i, 0) - ahead(reference, 0)));
@@ -334,13 +335,13 @@
     std::map<std::uint32_t, std::int64_t> last;
     std::int64_t newest = 0;
     std::uint64_t records = 0;
-    merged.reader.each({}, [&](const Record& r, bool held, const InForce& f) {
+    merged.reader.each({}, [&](const Record& r, bool held, const EffectiveState& f) {
         if (held)
             return true;
         ++records;
-        CHECK(r.at >= last[r.source]);
-        last[r.source] = r.at;
-        const std::int64_t at = f.unix_ns(r.source, r.at);
+        CHECK(r.at >= last[r.router_index]);
+        last[r.router_index] = r.at;
+        const std::int64_t at = f.unix_ns(r.router_index, r.at);
         CHECK(at > newest - 5'000'000);
         newest = std::max(newest, at);
         return true;
@@ -352,7 +353,8 @@
     CHECK(records == written_records && records == result.records && last.size() == 4);
     // A call's number means another call at another router and after a restart: none is mixed up.
     std::uint64_t calls = 0;
-    show(merged.reader, {}, [&](const Story& s, const Names&) { calls += s.taken_at != kNoTime; });
+    show(merged.reader, {},
+         [&](const RequestTimeline& s, const Names&) { calls += s.received_at != kNoTime; });
     std::uint64_t truth = 0;
     for (const auto& t : traces.truth)
         truth += t.calls;
@@ -364,7 +366,7 @@
     const MergeResult given = merge(inputs, {{"n1", -250.0}}, given_sink);
     for (const auto& s : given.sources)
         if (s.router == "n1")
-            CHECK(s.estimate.from == SkewEstimate::From::given && s.estimate.offset_ns == -250e6);
+            CHECK(s.estimate.basis == ClockOffsetEstimate::Basis::given && s.estimate.offset_ns == -250e6);
     SynthPlan quiet;
     quiet.seconds = 2;
     quiet.rate = 20;
@@ -390,8 +392,8 @@
     CHECK(r.intervals.size() == 1 && r.gaps == 0);
     std::uint64_t counted = 0;
     std::uint64_t outcomes = 0;
-    for (const auto& [name, c] : r.intervals[0].tally.classes()) {
-        counted += c.calls;
+    for (const auto& [name, c] : r.intervals[0].summary.classes()) {
+        counted += c.received;
         for (std::size_t i = 0; i < 7; ++i)
             outcomes += c.outcomes[i];
     }
@@ -401,8 +403,8 @@
     parts.add(again.reader);
     std::uint64_t in_parts = 0;
     for (const auto& i : parts.result().intervals)
-        for (const auto& [name, c] : i.tally.classes())
-            in_parts += c.calls;
+        for (const auto& [name, c] : i.summary.classes())
+            in_parts += c.received;
     CHECK(parts.result().intervals.size() == 5 && in_parts == calls);
     CHECK(json_of(r)["intervals"][0]["classes"].isMember("bulk-files"));
 }
