--- a/bench/trace_bench.cpp
+++ b/bench/trace_bench.cpp
@@ -57,9 +57,9 @@
         m.calls += t.calls;
     for (const auto& s : m.sinks) {
         const MemorySource source{s->bytes()};
-        Reader reader{source};
+        TraceReader reader{source};
         for (const auto& c : reader.chunks())
-            m.records += c.summary.records - c.summary.held;
+            m.records += c.summary.new_records();
     }
     return m;
 }
@@ -72,9 +72,9 @@
             return;
         made = make(120, 1);
         source = std::make_unique<MemorySource>(made.sinks[0]->bytes());
-        Reader reader{*source};
-        reader.each({}, [&](const Record& r, bool held, const model::EffectiveState& f) {
-            if (!held)
+        TraceReader reader{*source};
+        reader.for_each({}, [&](const Record& r, bool from_snapshot, const model::EffectiveState& f) {
+            if (!from_snapshot)
                 lines += config::json_line(json_of(r, f.unix_ns(r.router_index, r.at))) + '\n';
             return true;
         });
@@ -95,7 +95,7 @@
 
 BENCHMARK_F(OneRouter, CutTenSeconds)(benchmark::State& state) {
     for (auto _ : state) {
-        Reader reader{*source};
+        TraceReader reader{*source};
         model::Selection s;
         s.from_unix_ns = reader.chunks()[0].summary.first_unix_ns + 60 * kSecond;
         s.to_unix_ns = s.from_unix_ns + 10 * kSecond;
@@ -123,7 +123,7 @@
 
 BENCHMARK_F(OneRouter, ChunkSummary)(benchmark::State& state) {
     for (auto _ : state) {
-        Reader reader{*source};
+        TraceReader reader{*source};
         Summarizer s;
         s.add(reader);
         benchmark::DoNotOptimize(s.result().records);
@@ -144,10 +144,10 @@
 
 BENCHMARK_F(OneRouter, Replay)(benchmark::State& state) {
     for (auto _ : state) {
-        Reader reader{*source};
+        TraceReader reader{*source};
         Replay replay{settings_of};
-        reader.each({}, [&](const Record& r, bool held, const model::EffectiveState&) {
-            return held || replay.take(r);
+        reader.for_each({}, [&](const Record& r, bool from_snapshot, const model::EffectiveState&) {
+            return from_snapshot || replay.take(r);
         });
         replay.end();
         if (replay.first())
@@ -159,13 +159,13 @@
 // What a call costs the request thread: all its records taken by a recorder. It is given time to write them
 // between two rounds, untimed. Allocations are those of this thread.
 BENCHMARK_F(OneRouter, RequestThread)(benchmark::State& state) {
-    Reader reader{*source};
+    TraceReader reader{*source};
     std::vector<model::OwnedRecord> records;
     std::uint64_t calls = 0;
-    reader.each({}, [&](const Record& r, bool held, const model::EffectiveState&) {
-        if (!held && !std::holds_alternative<model::RouterStarted>(r.body))
+    reader.for_each({}, [&](const Record& r, bool from_snapshot, const model::EffectiveState&) {
+        if (!from_snapshot && !std::holds_alternative<model::RouterStarted>(r.body))
             records.emplace_back(r);
-        calls += std::holds_alternative<model::RequestReceived>(r.body) && !held;
+        calls += std::holds_alternative<model::RequestReceived>(r.body) && !from_snapshot;
         return records.size() < 20'000;
     });
     RecorderSettings settings;
@@ -192,11 +192,11 @@
     const Made made = make(120, 4);
     for (auto _ : state) {
         std::vector<std::unique_ptr<MemorySource>> sources;
-        std::vector<std::unique_ptr<Reader>> readers;
+        std::vector<std::unique_ptr<TraceReader>> readers;
         std::vector<MergeInput> inputs;
         for (const auto& s : made.sinks) {
             sources.push_back(std::make_unique<MemorySource>(s->bytes()));
-            readers.push_back(std::make_unique<Reader>(*sources.back()));
+            readers.push_back(std::make_unique<TraceReader>(*sources.back()));
             inputs.push_back({"", readers.back().get()});
         }
         MemorySink out;
--- a/src/cli/trace.cpp
+++ b/src/cli/trace.cpp
@@ -38,12 +38,12 @@
 public:
     explicit Input(const std::string& path) : path_(path), source_(open_source(path)) {
         try {
-            reader_ = std::make_unique<Reader>(*source_);
+            reader_ = std::make_unique<TraceReader>(*source_);
         } catch (const Unreadable& e) {
             throw Unreadable(path + ": " + e.what());
         }
     }
-    Reader& reader() {
+    TraceReader& reader() {
         return *reader_;
     }
     const std::string& path() const {
@@ -56,18 +56,18 @@
     int tell() const {
         for (const Damage& d : reader_->damage())
             std::fprintf(stderr, "%s: at %llu, %llu bytes: %s\n", path_.c_str(), ull{d.offset}, ull{d.bytes},
-                         d.what.c_str());
-        if (reader_->unknown())
+                         d.description.c_str());
+        if (reader_->unknown_records())
             std::fprintf(stderr,
                          "%s: %llu records of types that this program does not know were passed over\n",
-                         path_.c_str(), ull{reader_->unknown()});
+                         path_.c_str(), ull{reader_->unknown_records()});
         return reader_->damage().empty() ? 0 : kDamaged;
     }
 
 private:
     std::string path_;
     std::unique_ptr<ByteSource> source_;
-    std::unique_ptr<Reader> reader_;
+    std::unique_ptr<TraceReader> reader_;
 };
 
 // A line on standard error that is written over, where that is a terminal.
@@ -92,7 +92,7 @@
     bool any_ = false;
 };
 
-std::int64_t first_time(const Reader& reader) {
+std::int64_t first_time(const TraceReader& reader) {
     std::int64_t first = std::numeric_limits<std::int64_t>::max();
     for (const auto& c : reader.chunks())
         first = std::min(first, c.summary.first_unix_ns);
@@ -118,7 +118,7 @@
     return static_cast<std::int64_t>(value * by);
 }
 
-std::int64_t parse_when(const std::string& text, const Reader& reader) {
+std::int64_t parse_when(const std::string& text, const TraceReader& reader) {
     if (text.starts_with('+'))
         return first_time(reader) + parse_span(text.substr(1));
     if (const auto t = parse_time(text))
@@ -142,7 +142,7 @@
         app.add_option("--call", calls, "the client's id");
         app.add_option("--object", objects, "16 hex digits");
     }
-    model::Selection selection(const Reader& reader) const {
+    model::Selection selection(const TraceReader& reader) const {
         model::Selection s;
         if (!from.empty())
             s.from_unix_ns = parse_when(from, reader);
@@ -174,25 +174,24 @@
 // ---- info, verify ------------------------------------------------------------------------------
 
 struct Facts {
-    std::uint64_t records = 0, held = 0;
+    std::uint64_t records = 0;
     std::int64_t first = 0, last = 0;
 };
-Facts facts_of(const Reader& reader) {
+Facts facts_of(const TraceReader& reader) {
     Facts f;
     for (const auto& c : reader.chunks()) {
         const bool first = f.records == 0;
         f.first = first ? c.summary.first_unix_ns : std::min(f.first, c.summary.first_unix_ns);
         f.last = first ? c.summary.last_unix_ns : std::max(f.last, c.summary.last_unix_ns);
-        f.records += c.summary.records - c.summary.held;
-        f.held += c.summary.held;
+        f.records += c.summary.new_records();
     }
     return f;
 }
 
-void print_columns(Reader& reader) {
+void print_columns(TraceReader& reader) {
     std::map<std::string, std::uint64_t> all;
     for (std::size_t i = 0; i < reader.chunks().size(); ++i)
-        if (const auto head = reader.head(i))
+        if (const auto head = reader.read_chunk_head(i))
             for (const auto& [name, bytes] : head->column_bytes())
                 all[name] += bytes;
     std::vector<std::pair<std::uint64_t, std::string>> largest;
@@ -207,19 +206,19 @@
     int code = 0;
     for (const std::string& path : files) {
         Input in{path};
-        Reader& reader = in.reader();
+        TraceReader& reader = in.reader();
         const Facts f = facts_of(reader);
         Routers routers;
-        Reader::Pass pass;
-        pass.wanted = types_of<model::RouterStarted>();
-        pass.track = false;
-        reader.each(pass, [&](const Record& r, bool, const model::EffectiveState&) {
+        ReadOptions options;
+        options.types = types_of<model::RouterStarted>();
+        options.track_state = false;
+        reader.for_each(options, [&](const Record& r, bool, const model::EffectiveState&) {
             routers.take(r);
             return true;
         });
         Json::Value j;
         j["file"] = path;
-        j["version"] = std::to_string(kMajor) + "." + std::to_string(reader.minor());
+        j["version"] = std::to_string(kMajorVersion) + "." + std::to_string(reader.minor());
         j["bytes"] = Json::Value{Json::UInt64{in.bytes()}};
         j["chunks"] = Json::Value{Json::UInt64{reader.chunks().size()}};
         j["records"] = Json::Value{Json::UInt64{f.records}};
@@ -262,8 +261,8 @@
 int verify(const std::string& path) {
     Input in{path};
     std::uint64_t records = 0;
-    in.reader().each({}, [&](const Record&, bool held, const model::EffectiveState&) {
-        records += !held;
+    in.reader().for_each({}, [&](const Record&, bool from_snapshot, const model::EffectiveState&) {
+        records += !from_snapshot;
         return true;
     });
     const int code = in.tell();
@@ -283,15 +282,15 @@
         if (in.reader().flags() & kCut && !replay.events())
             throw ToolError(
                 path + ": cut, or begun after its router's start: what the module knew then is not in it");
-        in.reader().each({kAllTypes,
-                          std::numeric_limits<std::int64_t>::min(),
-                          std::numeric_limits<std::int64_t>::max(),
-                          false,
-                          {}},
-                         [&](const Record& r, bool held, const model::EffectiveState&) {
-                             routers.take(r);
-                             return held || replay.take(r);
-                         });
+        in.reader().for_each({kAllTypes,
+                              std::numeric_limits<std::int64_t>::min(),
+                              std::numeric_limits<std::int64_t>::max(),
+                              false,
+                              {}},
+                             [&](const Record& r, bool from_snapshot, const model::EffectiveState&) {
+                                 routers.take(r);
+                                 return from_snapshot || replay.take(r);
+                             });
         whole = in.reader().indexed();
         code = std::max(code, in.tell());
     }
--- a/src/trace/bytes.h
+++ b/src/trace/format/byte_stream.h
@@ -1,35 +1,37 @@
-// Where the bytes of a trace come from and go to: files, standard streams, memory.
+// Sources and sinks of bytes: files, standard streams, memory.
 #pragma once
 
 #include <memory>
-#include <stdexcept>
 #include <string>
 
-#include "trace/codec.h"
+#include "trace/format/coding.h"
+#include "trace/result.h"
 
 namespace silverrail::trace {
 
-struct IoError : std::runtime_error {
-    using std::runtime_error::runtime_error;
+// The environment failed: a file can't be opened, read or written.
+struct IoError : TraceError {
+    using TraceError::TraceError;
 };
 
 class ByteSink {
 public:
     virtual ~ByteSink() = default;
-    virtual void write(View bytes) = 0;  // all of it; throws IoError
+    // Writes all bytes; throws IoError.
+    virtual void write(ByteView bytes) = 0;
 };
 
 class ByteSource {
 public:
     virtual ~ByteSource() = default;
     virtual std::uint64_t size() const = 0;
-    // Fewer bytes than asked for where the source ends; throws IoError.
-    virtual void read(std::uint64_t offset, std::size_t bytes, Bytes& to) const = 0;
+    // Reads `bytes` bytes, or fewer at the end of the source; throws IoError.
+    virtual void read(std::uint64_t offset, std::size_t bytes, Bytes& out) const = 0;
 };
 
 class MemorySink : public ByteSink {
 public:
-    void write(View bytes) override {
+    void write(ByteView bytes) override {
         bytes_.append(bytes);
     }
     Bytes& bytes() {
@@ -46,29 +48,30 @@
     std::uint64_t size() const override {
         return bytes_.size();
     }
-    void read(std::uint64_t offset, std::size_t bytes, Bytes& to) const override {
-        to = offset < bytes_.size() ? bytes_.substr(offset, bytes) : Bytes{};
+    void read(std::uint64_t offset, std::size_t bytes, Bytes& out) const override {
+        out = offset < bytes_.size() ? bytes_.substr(offset, bytes) : Bytes{};
     }
 
 private:
     Bytes bytes_;
 };
 
-// Creates or empties the file. Nothing is buffered here.
+// Unbuffered.
 class FileSink : public ByteSink {
 public:
-    explicit FileSink(const std::string& path);  // throws IoError; `-`: standard output
+    // Creates or truncates the file; `-` is standard output. Throws IoError.
+    explicit FileSink(const std::string& path);
     ~FileSink() override;
     FileSink(const FileSink&) = delete;
     FileSink& operator=(const FileSink&) = delete;
-    void write(View bytes) override;
+    void write(ByteView bytes) override;
 
 private:
     int fd_;
     std::string path_;
 };
 
-// `-`: standard input, read whole into memory first.
-std::unique_ptr<ByteSource> open_source(const std::string& path);  // throws IoError
+// `-` is standard input. That and other streams are read into memory, up to 4 GiB. Throws IoError.
+std::unique_ptr<ByteSource> open_source(const std::string& path);
 
 }  // namespace silverrail::trace
--- a/src/trace/json.cpp
+++ b/src/trace/json.cpp
@@ -6,7 +6,7 @@
 #include <cstdio>
 #include <cstring>
 
-#include "trace/codec.h"
+#include "trace/format/coding.h"
 #include "trace/model/enum_names.h"
 
 namespace silverrail::trace {
@@ -61,7 +61,7 @@
         return ip::address_v6{b}.to_string();
     }
     if (bytes.size() == 8)
-        return "~" + hex(u64_at(bytes.data()));
+        return "~" + hex(u64_at(bytes));
     return {};
 }
 
--- a/src/trace/recorder.cpp
+++ b/src/trace/recorder.cpp
@@ -62,7 +62,7 @@
 class Recorder::Flight : public ByteSink {
 public:
     explicit Flight(std::size_t most) : most_(most) {}
-    void write(View bytes) override {
+    void write(ByteView bytes) override {
         if (header_.empty()) {
             header_ = bytes;
             return;
@@ -78,13 +78,13 @@
     // As a file that stands alone. The first chunk opens with what was in force.
     Bytes file(std::int64_t created_unix_ns) const {
         MemorySink sink;
-        Writer header{sink, cut_ ? std::uint32_t{kCut} : 0u, created_unix_ns};
+        TraceWriter header{sink, cut_ ? std::uint32_t{kCut} : 0u, created_unix_ns};
         Bytes all = std::move(sink.bytes());
         for (const Bytes& block : blocks_)
             all += block;
         const MemorySource source{all};
-        Reader reader{source};
-        all += index_at(all.size(), {reader.chunks().begin(), reader.chunks().end()});
+        TraceReader reader{source};
+        all += encode_index(all.size(), {reader.chunks().begin(), reader.chunks().end()});
         return all;
     }
     bool empty() const {
@@ -231,10 +231,10 @@
         sink = folder_->create(name);
     }
     const bool goes_on = effective_state_.knows_router(0);
-    const WriterLimits limits{kChunkRecords, 0, 3, settings_.flight_bytes == 0};
-    auto writer = std::make_unique<Writer>(flight ? *flight : *sink, goes_on ? std::uint32_t{kCut} : 0u,
-                                           identity_.incarnation_unix_ns, limits);
-    writer->open_with(effective_state_);
+    const TraceWriterOptions limits{kChunkRecords, 0, 3, settings_.flight_bytes == 0};
+    auto writer = std::make_unique<TraceWriter>(flight ? *flight : *sink, goes_on ? std::uint32_t{kCut} : 0u,
+                                                identity_.incarnation_unix_ns, limits);
+    writer->begin_with(effective_state_);
     sink_ = std::move(sink);
     flight_ = std::move(flight);
     writer_ = std::move(writer);
@@ -254,7 +254,7 @@
     lost_here_ += unwritten_ + std::exchange(told_here_, 0);
     unwritten_ = 0;
     if (writer_)
-        effective_state_ = writer_->release();
+        effective_state_ = writer_->release_state();
     writer_ = nullptr;
     sink_ = nullptr;
     retry_at_ = SteadyClock::now() + settings_.retry;
@@ -373,7 +373,7 @@
         writer_->close();
         bytes_ += writer_->bytes() - counted_bytes_;
         written();
-        effective_state_ = writer_->release();
+        effective_state_ = writer_->release_state();
         writer_ = nullptr;
         sink_ = nullptr;
     } catch (const IoError& e) {
--- a/src/trace/recorder.h
+++ b/src/trace/recorder.h
@@ -18,7 +18,8 @@
 #include <thread>
 #include <vector>
 
-#include "trace/file.h"
+#include "trace/format/trace_reader.h"
+#include "trace/format/trace_writer.h"
 #include "trace/model/failure_trigger.h"
 #include "trace/model/retention.h"
 #include "trace/observe.h"
@@ -134,7 +135,7 @@
     // The writer thread's.
     model::EffectiveState effective_state_;
     std::unique_ptr<ByteSink> sink_;
-    std::unique_ptr<Writer> writer_;
+    std::unique_ptr<TraceWriter> writer_;
     std::unique_ptr<Flight> flight_;
     std::string file_;
     std::uint64_t counted_bytes_ = 0;
--- a/src/trace/synth.cpp
+++ b/src/trace/synth.cpp
@@ -395,7 +395,7 @@
     WorldTimers timers_;
     MadeUpSender sender_;
     Json::Value config_;
-    Writer writer_;
+    TraceWriter writer_;
     Observing observing_;
     core::Engine engine_;
     std::mt19937_64 random_;
--- a/src/trace/synth.h
+++ b/src/trace/synth.h
@@ -6,7 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "trace/file.h"
+#include "trace/format/trace_reader.h"
+#include "trace/format/trace_writer.h"
 
 namespace silverrail::trace {
 
--- a/src/trace/tools.cpp
+++ b/src/trace/tools.cpp
@@ -36,10 +36,10 @@
     std::uint64_t done_ = 0;
 };
 
-std::uint64_t records_of(const Reader& reader) {
+std::uint64_t records_of(const TraceReader& reader) {
     std::uint64_t n = 0;
     for (const auto& c : reader.chunks())
-        n += c.summary.records - c.summary.held;
+        n += c.summary.new_records();
     return n;
 }
 
@@ -106,7 +106,7 @@
 
 // ---- show --------------------------------------------------------------------------------------
 
-std::uint64_t show(Reader& reader, const Selection& selection,
+std::uint64_t show(TraceReader& reader, const Selection& selection,
                    const std::function<void(const RequestTimeline&, const Names&)>& f,
                    const Progress& progress) {
     Routers routers;
@@ -133,34 +133,35 @@
         ++shown;
         f(s, names);
     }};
-    Reader::Pass pass;
-    pass.track = false;
-    pass.wanted = ~types_of<TimerFired, TimerSet, ServerListChanged, ServerListEntry, PurgeReceived>();
-    pass.from_unix_ns = selection.from_unix_ns;
-    pass.to_unix_ns = add_clamped(selection.to_unix_ns, kTail);
+    ReadOptions options;
+    options.track_state = false;
+    options.types = ~types_of<TimerFired, TimerSet, ServerListChanged, ServerListEntry, PurgeReceived>();
+    options.from_unix_ns = selection.from_unix_ns;
+    options.to_unix_ns = add_clamped(selection.to_unix_ns, kTail);
     // A call's id and object stand in the filter of every chunk in which it is open, so the others hold
     // nothing of it.
     if (!selection.client_request_ids.empty() || !selection.objects.empty())
-        pass.priority_weight = [&](const ChunkSummary&, const std::function<bool(std::uint64_t)>& may_hold) {
+        options.chunk_filter = [&](const ChunkSummary&,
+                                   const std::function<bool(std::uint64_t)>& may_contain) {
             const auto one_of = [&](const auto& list, auto key_of) {
                 return list.empty() || std::any_of(list.begin(), list.end(),
-                                                   [&](const auto& v) { return may_hold(key_of(v)); });
+                                                   [&](const auto& v) { return may_contain(key_of(v)); });
             };
             return one_of(selection.client_request_ids,
                           [](const std::string& t) {
                               char* end = nullptr;
                               const auto number = std::strtoull(t.c_str(), &end, 16);
-                              return t.size() == 16 && !*end ? call_key(number, {}) : call_key(0, t);
+                              return t.size() == 16 && !*end ? request_key(number, {}) : request_key(0, t);
                           }) &&
                    one_of(selection.objects, [](std::uint64_t o) { return object_key(o); });
         };
     Pace pace{progress, records_of(reader)};
-    reader.each(pass, [&](const Record& r, bool held, const EffectiveState&) {
+    reader.for_each(options, [&](const Record& r, bool from_snapshot, const EffectiveState&) {
         pace.step();
         routers.take(r);
         if (std::holds_alternative<RouterStarted>(r.body) || std::holds_alternative<ClockSample>(r.body))
             clocks.update(r);
-        timelines.add(r, held);
+        timelines.add(r, from_snapshot);
         return true;
     });
     timelines.finish();
@@ -169,15 +170,15 @@
 
 // ---- cut ---------------------------------------------------------------------------------------
 
-CutResult cut(Reader& reader, const Selection& selection, ByteSink& to, const Progress& progress) {
+CutResult cut(TraceReader& reader, const Selection& selection, ByteSink& to, const Progress& progress) {
     CutResult result;
     RequestSet wanted;
     // A call that was turned away has no number: its place among these, with the top bit set.
     constexpr std::uint64_t kDoor = std::uint64_t{1} << 47;
-    Reader::Pass pass;
-    pass.track = false;
-    pass.from_unix_ns = selection.from_unix_ns;
-    pass.to_unix_ns = selection.to_unix_ns;
+    ReadOptions options;
+    options.track_state = false;
+    options.from_unix_ns = selection.from_unix_ns;
+    options.to_unix_ns = selection.to_unix_ns;
     if (!selection.selects_all()) {
         Routers routers;
         std::map<std::uint32_t, std::uint64_t> door;
@@ -193,9 +194,9 @@
             wanted.insert(s.router_index, key);
             ++result.calls;
         }};
-        reader.each(pass, [&](const Record& r, bool held, const EffectiveState&) {
+        reader.for_each(options, [&](const Record& r, bool from_snapshot, const EffectiveState&) {
             routers.take(r);
-            timelines.add(r, held);
+            timelines.add(r, from_snapshot);
             return true;
         });
         timelines.finish();
@@ -217,13 +218,13 @@
             ++place;
         return kept;
     };
-    Writer writer{to, reader.flags() | kCut, reader.created_unix_ns()};
+    TraceWriter writer{to, reader.flags() | kCut, reader.created_unix_ns()};
     EffectiveState before;
     bool open = false;
     Pace pace{progress, records_of(reader)};
-    reader.each(pass, [&](const Record& r, bool held, const EffectiveState&) {
+    reader.for_each(options, [&](const Record& r, bool from_snapshot, const EffectiveState&) {
         pace.step();
-        if (held) {
+        if (from_snapshot) {
             before.update(r);
             return true;
         }
@@ -247,7 +248,7 @@
                 if (keeps(held_one))
                     kept.update(held_one);
             });
-            writer.open_with(kept);
+            writer.begin_with(kept);
         }
         before.update(r);
         if (!keeps(r))
@@ -330,12 +331,12 @@
             flags |= in.reader->flags();
             all += records_of(*in.reader);
         }
-        Writer writer{to, flags, created};
+        TraceWriter writer{to, flags, created};
         std::vector<Stream> streams;
         for (std::size_t i = 0; i < inputs_.size(); ++i) {
-            Reader::Pass pass;
-            pass.track = false;
-            streams.push_back({Reader::Cursor{*inputs_[i].reader, pass}, {}, 0, {}});
+            ReadOptions options;
+            options.track_state = false;
+            streams.push_back({TraceReader::Cursor{*inputs_[i].reader, options}, {}, 0, {}});
         }
         const auto later = [&streams](std::size_t a, std::size_t b) {
             return std::pair{streams[a].unix_ns, a} > std::pair{streams[b].unix_ns, b};
@@ -361,7 +362,7 @@
                 continue;
             due.push(i);
         }
-        writer.open_with(begin);
+        writer.begin_with(begin);
         Pace pace{progress, all};
         std::uint64_t records = 0;
         while (!due.empty()) {
@@ -383,7 +384,7 @@
 
 private:
     struct Stream {
-        Reader::Cursor cursor;
+        TraceReader::Cursor cursor;
         Record record;
         std::int64_t unix_ns;  // after the correction
         std::map<std::uint32_t, std::pair<std::uint32_t, std::int64_t>>
@@ -391,11 +392,12 @@
     };
 
     void look(std::size_t file) {
-        Reader::Pass pass;
-        pass.track = false;
-        pass.wanted = types_of<RouterStarted, ClockSample, PurgeReceived, ResponseSent>();
+        ReadOptions options;
+        options.track_state = false;
+        options.types = types_of<RouterStarted, ClockSample, PurgeReceived, ResponseSent>();
         std::map<std::uint32_t, std::int64_t> began;
-        inputs_[file].reader->each(pass, [&](const Record& r, bool held, const EffectiveState& clocks) {
+        inputs_[file].reader->for_each(options, [&](const Record& r, bool from_snapshot,
+                                                    const EffectiveState& clocks) {
             const std::int64_t unix_ns = clocks.unix_ns(r.router_index, r.at);
             if (const auto* start = std::get_if<RouterStarted>(&r.body)) {
                 const std::uint32_t n = router_index_of(*start);
@@ -403,12 +405,12 @@
                 if (files.empty() || files.back() != inputs_[file].name)
                     files.push_back(inputs_[file].name);
                 of_file_[{file, r.router_index}] = n;
-                if (!held)
+                if (!from_snapshot)
                     began[n] = r.at;
                 return true;
             }
             const auto at = of_file_.find({file, r.router_index});
-            if (at == of_file_.end() || held)
+            if (at == of_file_.end() || from_snapshot)
                 return true;
             if (const auto* p = std::get_if<PurgeReceived>(&r.body)) {
                 const auto start = began.find(at->second);
@@ -436,11 +438,11 @@
         return at->second;
     }
 
-    // On to the file's next record that is no repeat of what is in force; those go to `held`.
+    // On to the file's next record that is no repeat of what is in force; those go to `from_snapshot`.
     template <class F>
     bool advance(Stream& s, F&& held_one) {
-        bool held = false;
-        while (s.cursor.next(s.record, held)) {
+        bool from_snapshot = false;
+        while (s.cursor.next(s.record, from_snapshot)) {
             Record& r = s.record;
             auto at = s.clocks.find(r.router_index);
             if (const auto* start = std::get_if<RouterStarted>(&r.body))
@@ -465,7 +467,7 @@
             if (auto* clock = std::get_if<ClockSample>(&r.body))
                 correct(*clock);
             r.router_index = number;
-            if (!held)
+            if (!from_snapshot)
                 return true;
             held_one(r);
         }
@@ -502,7 +504,7 @@
 class Pseudonyms {
 public:
     explicit Pseudonyms(std::string key) : key_(std::move(key)) {}
-    std::uint64_t of(char domain, View name) {
+    std::uint64_t of(char domain, ByteView name) {
         scratch_.assign(1, domain);
         scratch_ += name;
         const auto at = known_.find(scratch_);
@@ -513,14 +515,14 @@
         if (!HMAC(EVP_sha256(), key_.data(), static_cast<int>(key_.size()),
                   reinterpret_cast<const unsigned char*>(scratch_.data()), scratch_.size(), out, &size))
             throw ToolError("HMAC failed");
-        const std::uint64_t v = u64_at(reinterpret_cast<const char*>(out));
+        const std::uint64_t v = u64_at({reinterpret_cast<const char*>(out), size});
         if (known_.size() >= kMostKnown)
             known_.clear();  // only a memory of what can be computed again
         known_.emplace(scratch_, v);
         return v;
     }
     std::uint64_t of(char domain, std::uint64_t number) {
-        return of(domain, View{reinterpret_cast<const char*>(&number), sizeof number});
+        return of(domain, ByteView{reinterpret_cast<const char*>(&number), sizeof number});
     }
 
 private:
@@ -531,16 +533,16 @@
 };
 
 // An IPv4 address inside an IPv6 one is the same client as by itself.
-View plain_address(View bytes) {
+ByteView plain_address(ByteView bytes) {
     static constexpr char kMapped[] = {0, 0, 0, 0, 0, 0, 0, 0, 0, 0, '\xff', '\xff'};
-    if (bytes.size() == 16 && bytes.substr(0, 12) == View{kMapped, 12})
+    if (bytes.size() == 16 && bytes.substr(0, 12) == ByteView{kMapped, 12})
         return bytes.substr(12);
     return bytes;
 }
 
 }  // namespace
 
-StripResult strip(Reader& reader, const StripOptions& options, ByteSink& to, const Progress& progress) {
+StripResult strip(TraceReader& reader, const StripOptions& options, ByteSink& to, const Progress& progress) {
     if (options.key.size() < 16)
         throw ToolError("the key has under 16 bytes");
     const std::int64_t shift = options.shift_ns;
@@ -548,16 +550,16 @@
     std::uint32_t flags = reader.flags() | kStripped;
     if (options.objects)
         flags |= kCut;
-    Writer writer{to, flags, reader.created_unix_ns() + shift};
+    TraceWriter writer{to, flags, reader.created_unix_ns() + shift};
     Pseudonyms names{options.key};
     StripResult result;
     std::set<std::uint64_t> clients;
     EffectiveState begin;
     bool open = false;
     Pace pace{progress, records_of(reader)};
-    Reader::Pass pass;
-    pass.track = false;
-    reader.each(pass, [&](const Record& original, bool held, const EffectiveState&) {
+    ReadOptions read_options;
+    read_options.track_state = false;
+    reader.for_each(read_options, [&](const Record& original, bool from_snapshot, const EffectiveState&) {
         pace.step();
         Record r = original;
         Bytes client;
@@ -594,13 +596,13 @@
             if (e->started_unix_ms > 0)
                 e->started_unix_ms += shift / 1'000'000;
         }
-        if (held) {
+        if (from_snapshot) {
             if (!open)
                 begin.update(r);
             return true;
         }
         if (!std::exchange(open, true))
-            writer.open_with(begin);
+            writer.begin_with(begin);
         writer.add(r);
         ++result.records;
         return true;
@@ -612,7 +614,7 @@
 
 // ---- summary -----------------------------------------------------------------------------------
 
-void Summarizer::add(Reader& reader, const Progress& progress) {
+void Summarizer::add(TraceReader& reader, const Progress& progress) {
     const auto summary = [this] {
         return RequestSummary{[this](std::uint32_t s, std::uint64_t c, double kb) {
             return routers_.latency_objective(s, c, kb);
@@ -649,12 +651,12 @@
         of(clocks.unix_ns(s.router_index, at))
             .add(s, s.received_at == kNoTime ? "(taken earlier)" : name->second);
     }};
-    Reader::Pass pass;
-    pass.track = false;
-    pass.wanted = ~types_of<TimerFired, TimerSet, AttemptCancelled, FirstByteDue, ServerListEntry>();
+    ReadOptions options;
+    options.track_state = false;
+    options.types = ~types_of<TimerFired, TimerSet, AttemptCancelled, FirstByteDue, ServerListEntry>();
     std::uint64_t records = 0;
     Pace pace{progress, records_of(reader)};
-    reader.each(pass, [&](const Record& r, bool held, const EffectiveState&) {
+    reader.for_each(options, [&](const Record& r, bool from_snapshot, const EffectiveState&) {
         pace.step();
         ++records;
         if (std::holds_alternative<RouterStarted>(r.body)) {
@@ -663,8 +665,8 @@
         }
         if (std::holds_alternative<RouterStarted>(r.body) || std::holds_alternative<ClockSample>(r.body))
             clocks.update(r);
-        timelines.add(r, held);
-        if (held)
+        timelines.add(r, from_snapshot);
+        if (from_snapshot)
             return true;
         if (std::holds_alternative<ServerListChanged>(r.body))
             ++result_.lists;
@@ -683,7 +685,7 @@
             first ? c.summary.first_unix_ns : std::min(result_.first_unix_ns, c.summary.first_unix_ns);
         result_.last_unix_ns =
             first ? c.summary.last_unix_ns : std::max(result_.last_unix_ns, c.summary.last_unix_ns);
-        result_.records += c.summary.records - c.summary.held;
+        result_.records += c.summary.new_records();
     }
 }
 
--- a/src/trace/tools.h
+++ b/src/trace/tools.h
@@ -8,7 +8,8 @@
 #include <vector>
 
 #include "silverrail/routing/router.h"
-#include "trace/file.h"
+#include "trace/format/trace_reader.h"
+#include "trace/format/trace_writer.h"
 #include "trace/json.h"
 #include "trace/model/clock_offset.h"
 #include "trace/model/request_summary.h"
@@ -51,7 +52,7 @@
 using Progress = std::function<void(double)>;
 
 // Calls that the selection wants, each with its attempts, as they end. Returns how many.
-std::uint64_t show(Reader& reader, const model::Selection& selection,
+std::uint64_t show(TraceReader& reader, const model::Selection& selection,
                    const std::function<void(const model::RequestTimeline&, const Names&)>& f,
                    const Progress& progress = {});
 
@@ -59,11 +60,12 @@
     std::uint64_t records = 0;
     std::uint64_t calls = 0;  // wanted, where the selection is not of all
 };
-CutResult cut(Reader& reader, const model::Selection& selection, ByteSink& to, const Progress& progress = {});
+CutResult cut(TraceReader& reader, const model::Selection& selection, ByteSink& to,
+              const Progress& progress = {});
 
 struct MergeInput {
     std::string name;  // for messages
-    Reader* reader;
+    TraceReader* reader;
 };
 struct MergedSource {
     std::string router;
@@ -90,7 +92,8 @@
     std::uint64_t records = 0;
     std::uint64_t clients = 0;  // different ones
 };
-StripResult strip(Reader& reader, const StripOptions& options, ByteSink& to, const Progress& progress = {});
+StripResult strip(TraceReader& reader, const StripOptions& options, ByteSink& to,
+                  const Progress& progress = {});
 
 struct SummaryResult {
     struct Interval {
@@ -112,7 +115,7 @@
     explicit Summarizer(std::int64_t every_ns = 0) : every_ns_(every_ns) {}
     Summarizer(const Summarizer&) = delete;  // its tallies ask its routers
     Summarizer& operator=(const Summarizer&) = delete;
-    void add(Reader& reader, const Progress& progress = {});
+    void add(TraceReader& reader, const Progress& progress = {});
     const SummaryResult& result() const {
         return result_;
     }
--- a/tests/trace/format_test.cpp
+++ b/tests/trace/format_test.cpp
@@ -1,4 +1,4 @@
-// The file: what is written is read, and what is spoilt is passed over, never taken for something else.
+// The file format: records are read as they were written; damage is skipped and reported.
 #include <cstdio>
 #include <cstring>
 #include <functional>
@@ -22,7 +22,7 @@
 
 Bytes file_of(const std::vector<OwnedRecord>& records, std::size_t per_chunk) {
     return written(
-        [&](Writer& w) {
+        [&](TraceWriter& w) {
             for (const OwnedRecord& k : records)
                 w.add(k.record());
         },
@@ -49,44 +49,49 @@
     return found;
 }
 
-void check_round_trip() {
+void records_are_read_as_they_were_written() {
     const auto records = some_records(20'000, 1);
     MemorySource source{file_of(records, 3000)};
-    Reader reader{source};
+    TraceReader reader{source};
     CHECK(reader.indexed() && reader.chunks().size() == 7 && reader.flags() == 0);
     const auto read = read_all(reader);
     CHECK(read.size() == records.size());
     for (std::size_t i = 0; i < read.size(); ++i)
         CHECK(same(read[i].record(), records[i].record()));
     CHECK(reader.damage().empty());
-    // Types that are not wanted are passed over, and the others are what they were.
+}
+
+void only_records_of_wanted_types_are_read() {
+    const auto records = some_records(20'000, 1);
+    MemorySource source{file_of(records, 3000)};
+    TraceReader reader{source};
     std::size_t sent = 0;
     std::size_t expected = 0;
     for (const OwnedRecord& k : records)
         expected += std::holds_alternative<model::AttemptSent>(k.record().body);
-    reader.each({.wanted = types_of<model::AttemptSent>()},
-                [&](const Record& r, bool held, const model::EffectiveState&) {
-                    CHECK(std::holds_alternative<model::AttemptSent>(r.body));
-                    sent += !held;
-                    return true;
-                });
+    reader.for_each({.types = types_of<model::AttemptSent>()},
+                    [&](const Record& r, bool from_snapshot, const model::EffectiveState&) {
+                        CHECK(std::holds_alternative<model::AttemptSent>(r.body));
+                        sent += !from_snapshot;
+                        return true;
+                    });
     CHECK(sent == expected && sent > 500);
 }
 
-void check_every_cut() {
+void a_file_cut_at_any_byte_yields_its_complete_chunks() {
     const auto records = some_records(24, 2);
     const Bytes whole = file_of(records, 8);
     for (std::size_t n = 0; n < whole.size(); ++n) {
         MemorySource source{whole.substr(0, n)};
         try {
-            Reader reader{source};
+            TraceReader reader{source};
             bool gap = false;
             const std::size_t found = check_part(read_all(reader), records, gap);
             CHECK(n >= 32);
             // Whole chunks before the cut are all there; the end that is missing is told of.
             std::size_t whole_chunks = 0;
             for (const auto& c : reader.chunks())
-                whole_chunks += c.summary.records - c.summary.held;
+                whole_chunks += c.summary.new_records();
             CHECK(found == whole_chunks && found % 8 == 0 && !gap);
             CHECK(!reader.damage().empty());
         } catch (const Unreadable&) {
@@ -94,11 +99,11 @@
         }
     }
     MemorySource source{whole};
-    Reader reader{source};
+    TraceReader reader{source};
     CHECK(read_all(reader).size() == 24 && reader.damage().empty());
 }
 
-void check_every_flip() {
+void a_flipped_bit_anywhere_is_noticed_and_loses_one_chunk_at_most() {
     const auto records = some_records(24, 3);
     const Bytes whole = file_of(records, 8);
     std::size_t told = 0;
@@ -107,7 +112,7 @@
         spoilt[n] = static_cast<char>(spoilt[n] ^ (1 << (n % 8)));
         MemorySource source{std::move(spoilt)};
         try {
-            Reader reader{source};
+            TraceReader reader{source};
             bool gap = false;
             const std::size_t found = check_part(read_all(reader), records, gap);
             CHECK(found >= 16);  // two of three chunks, or all where the index or the header was hit
@@ -121,9 +126,8 @@
     CHECK(told + 8 == whole.size());
 }
 
-// A later minor version: more in a head, blocks of other kinds, other types of records.
-void check_later_minor() {
-    ChunkBuilder builder;
+void additions_of_a_later_minor_version_are_skipped() {
+    ChunkWriter builder;
     for (int i = 0; i < 5; ++i)
         builder.add({100 + i, 0, model::ServerListChanged{}}, 100 + i, false);
     auto parts = builder.finish(3);
@@ -133,7 +137,7 @@
     CHECK(types != Bytes::npos);
     parts.body[types + 2] = 50;
     parts.head += "what a later version adds";
-    const auto block = [](View kind, const Bytes& head, const Bytes& body) {
+    const auto block = [](ByteView kind, const Bytes& head, const Bytes& body) {
         Bytes out{kind};
         put_u32(out, static_cast<std::uint32_t>(head.size()));
         put_u32(out, static_cast<std::uint32_t>(body.size()));
@@ -145,12 +149,14 @@
     };
     const Bytes header = file_of({}, 10).substr(0, 32);
     MemorySource source{header + block("SLZZ", "other", "things") + block("SLCK", parts.head, parts.body)};
-    Reader reader{source};
-    CHECK(read_all(reader).size() == 4 && reader.unknown() == 1);
+    TraceReader reader{source};
+    CHECK(read_all(reader).size() == 4 && reader.unknown_records() == 1);
     for (const auto& d : reader.damage())
-        CHECK(d.what.starts_with("no index"));
+        CHECK(d.description.starts_with("no index"));
+}
 
-    const auto with_major = [&](std::uint16_t major, View magic) {
+void other_major_versions_and_other_files_are_refused() {
+    const auto with_major = [&](std::uint16_t major, ByteView magic) {
         Bytes h{magic};
         put_u16(h, major);
         put_u16(h, 0);
@@ -171,7 +177,7 @@
     for (const auto& c : kRefused) {
         MemorySource bad{c.bytes};
         try {
-            Reader refused{bad};
+            TraceReader refused{bad};
             CHECK(false);
         } catch (const Unreadable& e) {
             CHECK(std::strstr(e.what(), c.says));
@@ -179,43 +185,43 @@
     }
 }
 
-// Heads and bodies with good checksums and senseless insides must not be believed either.
-void check_senseless_insides() {
-    ChunkBuilder builder;
+// Their checksums are right: only the decoder can notice.
+void malformed_heads_and_bodies_are_refused_or_read_within_bounds() {
+    ChunkWriter builder;
     RandomRecords random{9};
     for (int i = 0; i < 40; ++i) {
         const Record r = random.next();
         builder.add(r, r.at, false);
     }
     const auto parts = builder.finish(3);
-    std::mt19937_64 dice{4};
+    std::mt19937_64 generator{4};
     std::size_t refused = 0;
     for (int i = 0; i < 3000; ++i) {
         Bytes head = parts.head;
         Bytes body = parts.body;
-        for (auto n = dice() % 3 + 1; n > 0; --n) {
-            Bytes& hit = dice() % 2 ? head : body;
-            hit[dice() % hit.size()] = static_cast<char>(dice());
+        for (auto n = generator() % 3 + 1; n > 0; --n) {
+            Bytes& hit = generator() % 2 ? head : body;
+            hit[generator() % hit.size()] = static_cast<char>(generator());
         }
-        if (dice() % 4 == 0)
-            head.resize(dice() % head.size());
-        if (dice() % 4 == 0)
-            body.resize(dice() % body.size());
-        const auto view = ChunkView::open(head);
+        if (generator() % 4 == 0)
+            head.resize(generator() % head.size());
+        if (generator() % 4 == 0)
+            body.resize(generator() % body.size());
+        const auto view = ChunkReader::open(head);
         Record r;
-        bool held = false;
+        bool from_snapshot = false;
         if (!view || !view->load(body)) {
             ++refused;
             continue;
         }
         std::size_t n = 0;
-        while (view->next(r, held))
-            CHECK(++n <= kMostRecords);
+        while (view->next(r, from_snapshot))
+            CHECK(++n <= kMaxChunkRecords);
     }
     CHECK(refused > 1500);
 }
 
-void check_codec() {
+void numbers_are_decoded_as_they_were_encoded() {
     const std::int64_t kInts[] = {0,
                                   1,
                                   -1,
@@ -229,12 +235,15 @@
         CHECK(unzigzag(zigzag(v)) == v);
         Bytes b;
         put_varint(b, zigzag(v));
-        View rest = b;
+        ByteView rest = b;
         std::uint64_t back = 0;
         CHECK(get_varint(rest, back) && unzigzag(back) == v && rest.empty());
         for (const std::int64_t w : kInts)
             CHECK(sum(w, difference(v, w)) == v);
     }
+}
+
+void malformed_varints_are_refused() {
     const struct {
         const char* bytes;
         std::size_t size;
@@ -243,34 +252,39 @@
                 {"\xff\xff\xff\xff\xff\xff\xff\xff\xff\x02", 10},
                 {"\x80\x80\x80\x80\x80\x80\x80\x80\x80\x80\x01", 11}};
     for (const auto& c : kBad) {
-        View rest{c.bytes, c.size};
+        ByteView rest{c.bytes, c.size};
         std::uint64_t v = 0;
         CHECK(!get_varint(rest, v));
     }
-    Filter filter{1000};
-    std::mt19937_64 dice{1};
+}
+
+void a_bloom_filter_contains_all_its_keys_and_few_others() {
+    BloomFilter filter{1000};
+    std::mt19937_64 generator{1};
     std::vector<std::uint64_t> keys(1000);
     for (auto& k : keys)
-        filter.add(k = dice());
+        filter.add(k = generator());
     for (const auto k : keys)
-        CHECK(filter.may_hold(k));
+        CHECK(filter.may_contain(k));
     int wrong = 0;
     for (int i = 0; i < 10'000; ++i)
-        wrong += filter.may_hold(dice());
+        wrong += filter.may_contain(generator());
     CHECK(wrong < 1500);
-    CHECK(Filter{Bytes{}}.may_hold(1));
-    Zstd zstd;
+    CHECK(BloomFilter{Bytes{}}.may_contain(1));
+}
+
+void compressed_bytes_expand_to_their_exact_size_only() {
+    ZstdCompressor zstd;
     const Bytes raw(5000, 'a');
-    const auto packed = zstd.compressed(raw, 3);
-    CHECK(packed && zstd.expanded(*packed, raw.size()) == raw);
-    CHECK(!zstd.expanded(*packed, raw.size() - 1) && !zstd.expanded("no frame", 8));
+    const auto packed = zstd.compress(raw, 3);
+    CHECK(packed && zstd.decompress(*packed, raw.size()) == raw);
+    CHECK(!zstd.decompress(*packed, raw.size() - 1) && !zstd.decompress("no frame", 8));
 }
 
-// Each chunk opens with what is in force, so that any one of them stands alone.
-void check_chunks_stand_alone() {
+void every_chunk_begins_with_the_effective_state() {
     const std::string settings = "{}";
     const auto bytes = written(
-        [&](Writer& w) {
+        [&](TraceWriter& w) {
             model::RouterStarted start;
             start.router_name = "n1";
             start.settings = settings;
@@ -296,14 +310,14 @@
         },
         {8, 0, 3});
     MemorySource source{bytes};
-    Reader reader{source};
+    TraceReader reader{source};
     CHECK(reader.chunks().size() == 4);
-    const auto last = reader.load(3);
-    CHECK(last && last->summary().held == 7);
+    const auto last = reader.read_chunk(3);
+    CHECK(last && last->summary().snapshot_records == 7);
     model::EffectiveState effective_state;
     Record r;
-    bool held = false;
-    while (last->next(r, held))
+    bool from_snapshot = false;
+    while (last->next(r, from_snapshot))
         effective_state.update(r);
     CHECK(effective_state.start(0) && effective_state.start(0)->router_name == "n1" &&
           effective_state.server_count(0) == 2);
@@ -317,12 +331,17 @@
 }  // namespace
 
 int main() {
-    check_codec();
-    check_round_trip();
-    check_every_cut();
-    check_every_flip();
-    check_later_minor();
-    check_senseless_insides();
-    check_chunks_stand_alone();
-    std::puts("format: what is written is read, and nothing else");
+    numbers_are_decoded_as_they_were_encoded();
+    malformed_varints_are_refused();
+    a_bloom_filter_contains_all_its_keys_and_few_others();
+    compressed_bytes_expand_to_their_exact_size_only();
+    records_are_read_as_they_were_written();
+    only_records_of_wanted_types_are_read();
+    a_file_cut_at_any_byte_yields_its_complete_chunks();
+    a_flipped_bit_anywhere_is_noticed_and_loses_one_chunk_at_most();
+    additions_of_a_later_minor_version_are_skipped();
+    other_major_versions_and_other_files_are_refused();
+    malformed_heads_and_bodies_are_refused_or_read_within_bounds();
+    every_chunk_begins_with_the_effective_state();
+    std::puts("format: records are read as they were written, damage is found");
 }
--- a/tests/trace/reader_fuzz.cpp
+++ b/tests/trace/reader_fuzz.cpp
@@ -11,9 +11,9 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
     const MemorySource source{Bytes{reinterpret_cast<const char*>(data), size}};
     try {
-        Reader reader{source};
+        TraceReader reader{source};
         std::uint64_t records = 0;
-        reader.each({}, [&](const Record&, bool, const silverrail::trace::model::EffectiveState&) {
+        reader.for_each({}, [&](const Record&, bool, const silverrail::trace::model::EffectiveState&) {
             return ++records < 100'000;
         });
         show(reader, {}, [](const silverrail::trace::model::RequestTimeline& s, const Names& names) {
@@ -28,26 +28,26 @@
     const std::size_t split = (data[0] | data[1] << 8) % (size - 2);
     const Bytes head{reinterpret_cast<const char*>(data) + 2, split};
     const Bytes body{reinterpret_cast<const char*>(data) + 2 + split, size - 2 - split};
-    if (const auto view = ChunkView::open(head); view && view->load(body)) {
+    if (const auto view = ChunkReader::open(head); view && view->load(body)) {
         Record r;
-        bool held = false;
-        while (view->next(r, held)) {}
+        bool from_snapshot = false;
+        while (view->next(r, from_snapshot)) {}
     }
     return 0;
 }
 
 #ifndef SILVERRAIL_FUZZ
 int main() {
-    std::mt19937_64 dice{17};
+    std::mt19937_64 generator{17};
     for (std::uint64_t seed = 0; seed < 8; ++seed) {
         RandomRecords random{seed};
         const Bytes file = written(
-            [&](Writer& w) {
+            [&](TraceWriter& w) {
                 for (int i = 0; i < 12; ++i)
                     w.add(random.next());
             },
             {5, 0, 3});
-        ChunkBuilder builder;
+        ChunkWriter builder;
         for (int i = 0; i < 6; ++i) {
             const Record r = random.next();
             builder.add(r, r.at, false);
@@ -59,10 +59,10 @@
         for (const Bytes& whole : {file, bare})
             for (int i = 0; i < 250; ++i) {
                 Bytes spoilt = whole;
-                for (auto n = dice() % 4; n > 0; --n)
-                    spoilt[dice() % spoilt.size()] = static_cast<char>(dice());
-                if (dice() % 3 == 0)
-                    spoilt.resize(dice() % spoilt.size());
+                for (auto n = generator() % 4; n > 0; --n)
+                    spoilt[generator() % spoilt.size()] = static_cast<char>(generator());
+                if (generator() % 3 == 0)
+                    spoilt.resize(generator() % spoilt.size());
                 LLVMFuzzerTestOneInput(reinterpret_cast<const std::uint8_t*>(spoilt.data()), spoilt.size());
             }
     }
--- a/tests/trace/recorder_test.cpp
+++ b/tests/trace/recorder_test.cpp
@@ -53,7 +53,7 @@
 private:
     struct Sink : ByteSink {
         Sink(Shelf& s, std::string n) : shelf(s), name(std::move(n)) {}
-        void write(View bytes) override {
+        void write(ByteView bytes) override {
             const std::lock_guard lock{shelf.mutex};
             if (shelf.full)
                 throw IoError("no space left");
@@ -105,9 +105,9 @@
 };
 void read_into(Seen& seen, const Bytes& bytes) {
     MemorySource source{bytes};
-    Reader reader{source};
-    reader.each({}, [&](const Record& r, bool held, const model::EffectiveState&) {
-        if (held)
+    TraceReader reader{source};
+    reader.for_each({}, [&](const Record& r, bool from_snapshot, const model::EffectiveState&) {
+        if (from_snapshot)
             return true;
         if (const auto* t = std::get_if<model::RequestReceived>(&r.body)) {
             CHECK(t->client_request_number == t->request * 7919 && t->client.size() == 4);
@@ -257,10 +257,10 @@
     for (std::size_t i = 1; i < seen.calls.size(); ++i)
         CHECK(seen.calls[i] == seen.calls[i - 1] + 1);
     MemorySource newest{shelf.files.rbegin()->second};
-    Reader reader{newest};
+    TraceReader reader{newest};
     CHECK(reader.flags() & kCut);
     Routers routers;
-    reader.each({}, [&](const Record& r, bool, const model::EffectiveState&) {
+    reader.for_each({}, [&](const Record& r, bool, const model::EffectiveState&) {
         routers.take(r);
         return true;
     });
@@ -336,11 +336,11 @@
     CHECK(files.size() == 1 && files[0].bytes >= 20'000);
     const std::string path = (folder / files[0].name).string();
     const auto source = open_source(path);
-    Reader reader{*source};
+    TraceReader reader{*source};
     CHECK(!reader.indexed() && !reader.damage().empty());
     std::uint64_t last = 0;
-    reader.each({}, [&](const Record& r, bool held, const model::EffectiveState&) {
-        if (const auto* t = std::get_if<model::RequestReceived>(&r.body); t && !held)
+    reader.for_each({}, [&](const Record& r, bool from_snapshot, const model::EffectiveState&) {
+        if (const auto* t = std::get_if<model::RequestReceived>(&r.body); t && !from_snapshot)
             CHECK(t->request == ++last);
         return true;
     });
--- a/tests/trace/records.h
+++ b/tests/trace/records.h
@@ -4,7 +4,8 @@
 #include <random>
 
 #include "../silverrail/check.h"
-#include "trace/file.h"
+#include "trace/format/trace_reader.h"
+#include "trace/format/trace_writer.h"
 
 namespace silverrail::trace {
 
@@ -96,18 +97,18 @@
 
 // What `f` adds, as a file.
 template <class F>
-Bytes written(F&& f, WriterLimits limits = {}, std::uint32_t flags = 0) {
+Bytes written(F&& f, TraceWriterOptions limits = {}, std::uint32_t flags = 0) {
     MemorySink sink;
-    Writer writer{sink, flags, 1, limits};
+    TraceWriter writer{sink, flags, 1, limits};
     f(writer);
     writer.close();
     return std::move(sink.bytes());
 }
 
-inline std::vector<model::OwnedRecord> read_all(Reader& reader, bool with_held = false) {
+inline std::vector<model::OwnedRecord> read_all(TraceReader& reader, bool with_snapshots = false) {
     std::vector<model::OwnedRecord> out;
-    reader.each({}, [&](const Record& r, bool held, const model::EffectiveState&) {
-        if (!held || with_held)
+    reader.for_each({}, [&](const Record& r, bool from_snapshot, const model::EffectiveState&) {
+        if (!from_snapshot || with_snapshots)
             out.emplace_back(r);
         return true;
     });
--- a/tests/trace/tools_test.cpp
+++ b/tests/trace/tools_test.cpp
@@ -37,13 +37,14 @@
 struct Open {
     explicit Open(Bytes bytes) : source(std::move(bytes)), reader(source) {}
     MemorySource source;
-    Reader reader;
+    TraceReader reader;
 };
 
 Replay replayed(Open& trace, bool go_on = false) {
     Replay replay{settings_of, go_on};
-    trace.reader.each(
-        {}, [&](const Record& r, bool held, const EffectiveState&) { return held || replay.take(r); });
+    trace.reader.for_each({}, [&](const Record& r, bool from_snapshot, const EffectiveState&) {
+        return from_snapshot || replay.take(r);
+    });
     replay.end();
     return replay;
 }
@@ -56,16 +57,16 @@
     std::uint64_t changed_call = 0;
     int sends = 0;
     const auto spoil = [&](auto&& change) {
-        return written([&](Writer& w) {
+        return written([&](TraceWriter& w) {
             Open again{trace};
             sends = 0;
-            again.reader.each({}, [&](const Record& r, bool held, const EffectiveState&) {
+            again.reader.for_each({}, [&](const Record& r, bool from_snapshot, const EffectiveState&) {
                 Record copy = r;
-                if (auto* s = std::get_if<AttemptSent>(&copy.body); s && !held && ++sends == 1000) {
+                if (auto* s = std::get_if<AttemptSent>(&copy.body); s && !from_snapshot && ++sends == 1000) {
                     changed_call = s->request;
                     change(*s);
                 }
-                if (!held)
+                if (!from_snapshot)
                     w.add(copy);
                 return true;
             });
@@ -81,13 +82,13 @@
     CHECK(other.differences() == 1 && other.events() == same.events());
     CHECK(other.sums().begin()->first.second == Replay::Difference::other_fill);
     // What is not whole is not compared past the hole.
-    Open gap{written([&](Writer& w) {
+    Open gap{written([&](TraceWriter& w) {
         Open again{trace};
         std::size_t n = 0;
-        again.reader.each({}, [&](const Record& r, bool held, const EffectiveState&) {
-            if (!held && ++n == 3000)
+        again.reader.for_each({}, [&](const Record& r, bool from_snapshot, const EffectiveState&) {
+            if (!from_snapshot && ++n == 3000)
                 w.add({r.at, 0, Gap{5, r.at, r.at}});
-            if (!held)
+            if (!from_snapshot)
                 w.add(r);
             return n < 6000;
         });
@@ -104,8 +105,8 @@
     std::uint64_t edge_call = 0;
     std::size_t before = 0;
     std::size_t all = 0;
-    whole.reader.each({}, [&](const Record& r, bool held, const EffectiveState& f) {
-        if (held)
+    whole.reader.for_each({}, [&](const Record& r, bool from_snapshot, const EffectiveState& f) {
+        if (from_snapshot)
             return true;
         ++all;
         const std::int64_t at = f.unix_ns(r.router_index, r.at);
@@ -132,9 +133,9 @@
     };
     const auto has = [&](Open& o) {
         bool found = false;
-        o.reader.each({}, [&](const Record& r, bool held, const EffectiveState&) {
+        o.reader.for_each({}, [&](const Record& r, bool from_snapshot, const EffectiveState&) {
             const auto* a = std::get_if<ResponseSent>(&r.body);
-            found = found || (!held && a && a->request == edge_call);
+            found = found || (!from_snapshot && a && a->request == edge_call);
             return true;
         });
         return found;
@@ -152,11 +153,11 @@
     for (std::size_t i = 0; i < both.size(); ++i)
         CHECK(same((i < a.size() ? a[i] : b[i - a.size()]).record(), both[i].record()));
     // The tail stands alone: router, servers and the call that was open at the edge are known from its head.
-    const auto chunk = tail->reader.load(0);
+    const auto chunk = tail->reader.read_chunk(0);
     EffectiveState f;
     Record r;
-    bool held = false;
-    while (chunk->next(r, held) && held)
+    bool from_snapshot = false;
+    while (chunk->next(r, from_snapshot) && from_snapshot)
         f.update(r);
     CHECK(f.start(0) && f.server_count(0) == 14 && f.open_request(0, edge_call));
     bool shown = false;
@@ -192,7 +193,7 @@
     std::set<std::uint64_t> ids;
     std::set<std::uint64_t> objects;
     bool v4 = false, v6 = false, mapped = false;
-    whole.reader.each({}, [&](const Record& r, bool, const EffectiveState&) {
+    whole.reader.for_each({}, [&](const Record& r, bool, const EffectiveState&) {
         if (const auto* t = std::get_if<RequestReceived>(&r.body)) {
             addresses.emplace(t->client);
             ids.insert(t->client_request_number);
@@ -213,11 +214,11 @@
     const std::string key(32, 'k');
     Open stripped{strip_to({.key = key, .objects = true, .shift_ns = -3600 * kSecond})};
     CHECK(stripped.reader.flags() & kStripped);
-    // Every field of every record, held ones too, as bytes and as text.
+    // Every field of every record, of snapshots too, as bytes and as text.
     std::string everything;
     std::map<std::string, std::string> pseudonyms;
     std::size_t calls = 0;
-    stripped.reader.each({}, [&](const Record& r, bool, const EffectiveState&) {
+    stripped.reader.for_each({}, [&](const Record& r, bool, const EffectiveState&) {
         std::visit(
             [&]<class T>(const T& body) {
                 if constexpr (std::is_same_v<T, RouterStarted>)
@@ -249,8 +250,8 @@
     const auto client_names = [](Bytes bytes) {
         Open o{std::move(bytes)};
         std::vector<std::string> names;
-        o.reader.each({}, [&](const Record& r, bool held, const EffectiveState&) {
-            if (const auto* t = std::get_if<RequestReceived>(&r.body); t && !held)
+        o.reader.for_each({}, [&](const Record& r, bool from_snapshot, const EffectiveState&) {
+            if (const auto* t = std::get_if<RequestReceived>(&r.body); t && !from_snapshot)
                 names.emplace_back(t->client);
             return true;
         });
@@ -261,7 +262,7 @@
           first != client_names(strip_to({.key = std::string(32, 'x')})));
     MemorySink two;
     {
-        Writer w{two, 0, 0};
+        TraceWriter w{two, 0, 0};
         for (const Text c :
              {Text{"\x0a\x01\x02\x03", 4}, Text{"\0\0\0\0\0\0\0\0\0\0\xff\xff\x0a\x01\x02\x03", 16}}) {
             RequestReceived t;
@@ -335,8 +336,8 @@
     std::map<std::uint32_t, std::int64_t> last;
     std::int64_t newest = 0;
     std::uint64_t records = 0;
-    merged.reader.each({}, [&](const Record& r, bool held, const EffectiveState& f) {
-        if (held)
+    merged.reader.for_each({}, [&](const Record& r, bool from_snapshot, const EffectiveState& f) {
+        if (from_snapshot)
             return true;
         ++records;
         CHECK(r.at >= last[r.router_index]);
@@ -349,7 +350,7 @@
     std::uint64_t written_records = 0;
     for (const auto& o : open)
         for (const auto& c : o->reader.chunks())
-            written_records += c.summary.records - c.summary.held;
+            written_records += c.summary.new_records();
     CHECK(records == written_records && records == result.records && last.size() == 4);
     // A call's number means another call at another router and after a restart: none is mixed up.
     std::uint64_t calls = 0;
