--- a/bench/trace_bench.cpp
+++ b/bench/trace_bench.cpp
@@ -13,7 +13,9 @@
 #include "trace/recorder.h"
 #include "trace/replay.h"
 #include "trace/synth.h"
-#include "trace/tools.h"
+#include "trace/tools/cut.h"
+#include "trace/tools/merge.h"
+#include "trace/tools/summarize.h"
 
 namespace {
 thread_local std::uint64_t allocated = 0;
@@ -145,7 +147,7 @@
 BENCHMARK_F(OneRouter, Replay)(benchmark::State& state) {
     for (auto _ : state) {
         TraceReader reader{*source};
-        Replay replay{settings_of};
+        Replay replay{parse_settings};
         reader.for_each({}, [&](const Record& r, bool from_snapshot, const model::EffectiveState&) {
             return from_snapshot || replay.take(r);
         });
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,7 +1,7 @@
 // The command line. Without a sub-command the program serves, as deploy/balancer.toml starts it.
 #include "app/program.h"
 #include "cli/lab.h"
-#include "cli/trace.h"
+#include "cli/trace/trace.h"
 
 int main(int argc, char** argv) {
     namespace app = silverrail::app;
--- a/tests/trace/reader_fuzz.cpp
+++ b/tests/trace/reader_fuzz.cpp
@@ -4,7 +4,8 @@
 #include <cstdint>
 
 #include "records.h"
-#include "trace/tools.h"
+#include "trace/tools/cut.h"
+#include "trace/tools/show.h"
 
 using namespace silverrail::trace;
 
--- a/tests/trace/recorder_test.cpp
+++ b/tests/trace/recorder_test.cpp
@@ -11,7 +11,11 @@
 
 #include "records.h"
 #include "trace/replay.h"
-#include "trace/tools.h"
+#include "trace/tools/cut.h"
+#include "trace/tools/merge.h"
+#include "trace/tools/show.h"
+#include "trace/tools/strip.h"
+#include "trace/tools/summarize.h"
 
 using namespace silverrail;
 using namespace silverrail::trace;
@@ -259,9 +263,9 @@
     MemorySource newest{shelf.files.rbegin()->second};
     TraceReader reader{newest};
     CHECK(reader.flags() & kCut);
-    Routers routers;
+    RouterDirectory routers;
     reader.for_each({}, [&](const Record& r, bool, const model::EffectiveState&) {
-        routers.take(r);
+        routers.update(r);
         return true;
     });
     CHECK(routers.name(0) == "n1");
--- a/tests/trace/tools_test.cpp
+++ b/tests/trace/tools_test.cpp
@@ -1,6 +1,4 @@
 // The tools, on synthetic traces of the real core and module: cut, merge, strip, summary, replay.
-#include "trace/tools.h"
-
 #include <cstdio>
 #include <cstring>
 #include <memory>
@@ -8,6 +6,11 @@
 #include "../../src/trace/replay.h"
 #include "records.h"
 #include "trace/synth.h"
+#include "trace/tools/cut.h"
+#include "trace/tools/merge.h"
+#include "trace/tools/show.h"
+#include "trace/tools/strip.h"
+#include "trace/tools/summarize.h"
 
 using namespace silverrail;
 using namespace silverrail::trace;
@@ -41,7 +44,7 @@
 };
 
 Replay replayed(Open& trace, bool go_on = false) {
-    Replay replay{settings_of, go_on};
+    Replay replay{parse_settings, go_on};
     trace.reader.for_each({}, [&](const Record& r, bool from_snapshot, const EffectiveState&) {
         return from_snapshot || replay.take(r);
     });
@@ -49,7 +52,7 @@
     return replay;
 }
 
-void check_replay(const Bytes& trace) {
+void a_replay_finds_exactly_the_changed_decisions(const Bytes& trace) {
     Open whole{trace};
     const Replay same = replayed(whole);
     CHECK(!same.first() && !same.stopped() && same.events() > 4000 && same.decisions() > 2000);
@@ -97,7 +100,7 @@
     CHECK(stopped.stopped() && stopped.stopped()->starts_with("5 records") && !stopped.first());
 }
 
-void check_cut(const Bytes& trace) {
+void a_cut_keeps_all_records_of_its_time_and_stands_alone(const Bytes& trace) {
     Open whole{trace};
     const std::int64_t first = whole.reader.chunks().front().summary.first_unix_ns;
     // An answer in the middle: the cut ends right at it, and begins right at it.
@@ -184,10 +187,10 @@
         CHECK(refused.matches(s, names.class_name(0, s.received.class_index)));
         ++found;
     });
-    CHECK(expected > 5 && found == expected && result.calls == expected);
+    CHECK(expected > 5 && found == expected && result.requests == expected);
 }
 
-void check_strip(const Bytes& trace) {
+void a_stripped_trace_identifies_no_client_and_can_be_replayed(const Bytes& trace) {
     Open whole{trace};
     std::set<std::string> addresses;
     std::set<std::uint64_t> ids;
@@ -282,7 +285,7 @@
 }
 
 // Three routers, clocks up to a second apart and drifting, one of them restarted in between.
-void check_merge() {
+void merged_clocks_agree_and_no_record_is_lost() {
     SynthPlan plan;
     plan.seconds = 120;
     plan.rate = 12;
@@ -302,10 +305,10 @@
     }
     MemorySink sink;
     const MergeResult result = merge(inputs, {}, sink);
-    CHECK(result.sources.size() == 4);
+    CHECK(result.routers.size() == 4);
     std::size_t reference = 4;
     for (std::size_t i = 0; i < 4; ++i)
-        if (result.sources[i].reference)
+        if (result.routers[i].is_reference)
             reference = i;
     CHECK(reference < 4);
     const auto ahead = [&](std::size_t i, double at_s) {
@@ -314,8 +317,8 @@
     double spread = 0;
     int borne_out = 0;
     for (std::size_t i = 0; i < 4; ++i) {
-        const auto& s = result.sources[i];
-        CHECK(s.router == traces.truth[i].router);
+        const auto& s = result.routers[i];
+        CHECK(s.router_name == traces.truth[i].router);
         for (const double at_s : {30.0, 100.0}) {
             const auto at =
                 plan.begin_unix_ns + static_cast<std::int64_t>((at_s * 1e3 + ahead(i, at_s)) * 1e6);
@@ -365,8 +368,8 @@
     // Given offsets stand before estimates; where nothing is shared, it says so.
     MemorySink given_sink;
     const MergeResult given = merge(inputs, {{"n1", -250.0}}, given_sink);
-    for (const auto& s : given.sources)
-        if (s.router == "n1")
+    for (const auto& s : given.routers)
+        if (s.router_name == "n1")
             CHECK(s.estimate.basis == ClockOffsetEstimate::Basis::given && s.estimate.offset_ns == -250e6);
     SynthPlan quiet;
     quiet.seconds = 2;
@@ -385,7 +388,7 @@
     }
 }
 
-void check_summary(const Bytes& trace, std::uint64_t calls) {
+void a_summary_counts_every_request_once(const Bytes& trace, std::uint64_t calls) {
     Open whole{trace};
     Summarizer all;
     all.add(whole.reader);
@@ -393,7 +396,7 @@
     CHECK(r.intervals.size() == 1 && r.gaps == 0);
     std::uint64_t counted = 0;
     std::uint64_t outcomes = 0;
-    for (const auto& [name, c] : r.intervals[0].summary.classes()) {
+    for (const auto& [name, c] : r.intervals[0].requests.classes()) {
         counted += c.received;
         for (std::size_t i = 0; i < 7; ++i)
             outcomes += c.outcomes[i];
@@ -404,13 +407,13 @@
     parts.add(again.reader);
     std::uint64_t in_parts = 0;
     for (const auto& i : parts.result().intervals)
-        for (const auto& [name, c] : i.summary.classes())
+        for (const auto& [name, c] : i.requests.classes())
             in_parts += c.received;
     CHECK(parts.result().intervals.size() == 5 && in_parts == calls);
     CHECK(json_of(r)["intervals"][0]["classes"].isMember("bulk-files"));
 }
 
-void check_times() {
+void times_are_parsed_and_printed_as_rfc_3339() {
     const struct {
         const char* text;
         std::int64_t ns;  // -1: no time
@@ -440,11 +443,11 @@
     plan.seed = 3;
     Traces traces = make(plan);
     CHECK(traces[0] == make(plan)[0]);  // the same plan, the same bytes
-    check_times();
-    check_replay(traces[0]);
-    check_cut(traces[0]);
-    check_strip(traces[0]);
-    check_summary(traces[0], traces.truth[0].calls);
-    check_merge();
+    times_are_parsed_and_printed_as_rfc_3339();
+    a_replay_finds_exactly_the_changed_decisions(traces[0]);
+    a_cut_keeps_all_records_of_its_time_and_stands_alone(traces[0]);
+    a_stripped_trace_identifies_no_client_and_can_be_replayed(traces[0]);
+    a_summary_counts_every_request_once(traces[0], traces.truth[0].calls);
+    merged_clocks_agree_and_no_record_is_lost();
     std::puts("tools: cut, merged, stripped, summed up and replayed as it should be");
 }
