--- a/tests/settings_test.cpp
+++ b/tests/routing/settings_test.cpp
@@ -1,5 +1,5 @@
 // Odd settings: whatever is absent or strange, each request gets one answer and no rule is broken.
-#include "gateway.h"
+#include "router_fixture.h"
 
 namespace silverrail::routing::testing {
 namespace {
@@ -12,10 +12,10 @@
                                  AttemptStatus::not_sent,       AttemptStatus::miss};
     const auto classes = settings.classes.size();
     const int limit = settings.max_attempts;
-    Gateway g{std::move(settings), fleet};
+    TestRouter g{std::move(settings), fleet};
     for (std::uint64_t i = 0; i < 400; ++i) {
         const auto attempt_status = endings[i % endings.size()];
-        const auto id = g.ask(i % 50, i % classes, 100ms);
+        const auto id = g.request(i % 50, i % classes, 100ms);
         int sends = 0;
         while (const auto send = g.find<Send>()) {
             ++sends;
@@ -58,7 +58,7 @@
     expect_all_answered(odd, plain_fleet(), "no kinds");
     odd = plain;
     for (auto& c : odd.classes)
-        c.latency_objective = c.give_up = 1ns;
+        c.latency_objective = c.client_timeout = 1ns;
     expect_all_answered(odd, plain_fleet(), "very short times");
     odd = plain;
     odd.server_weights = ServerWeights::nominal;
@@ -71,18 +71,18 @@
     expect_all_answered(odd, fleet, "all just started, no figures for it");
 }
 
-TEST(OddSettings, WithoutCancellingATimeOutLetsAFurtherAttemptStart) {
+TEST(OddSettings, WithoutCancellationATimeoutLetsARetryStart) {
     auto settings = plain_settings();
     settings.cancellation_supported = false;
     settings.flow_kb_per_s = 1000;
     settings.classes[0].objective_stretch = 1.5;
     for (const double size_kb : {200.0, 2000.0, 0.0}) {
-        Gateway g{settings};
-        g.tell(Request{.id = RequestId{1},
-                       .class_index = 0,
-                       .object = ObjectId{1},
-                       .size_kb = size_kb,
-                       .deadline = g.now + 9s});
+        TestRouter g{settings};
+        g.notify(Request{.id = RequestId{1},
+                         .class_index = 0,
+                         .object = ObjectId{1},
+                         .size_kb = size_kb,
+                         .deadline = g.now + 9s});
         // At the object's own aim; one of untold size may be far larger than the mean, which stands at the
         // aim yet.
         const Span latency_objective = 400ms + (size_kb > 0 ? 1500us * static_cast<int>(size_kb) : 600ms);
--- a/tests/fleet_test.cpp
+++ b/tests/routing/target_selection_test.cpp
@@ -4,7 +4,7 @@
 #include <map>
 #include <set>
 
-#include "gateway.h"
+#include "router_fixture.h"
 
 namespace silverrail::routing::testing {
 namespace {
@@ -17,12 +17,13 @@
 }
 
 // The routers of one zone, each with a seed of its own and nothing else in common than the settings.
-std::vector<Gateway> zone_of(int routers, const Settings& settings, const ServerList& fleet = plain_fleet()) {
-    std::vector<Gateway> zone;
+std::vector<TestRouter> zone_of(int routers, const Settings& settings,
+                                const ServerList& fleet = plain_fleet()) {
+    std::vector<TestRouter> zone;
     for (int i = 0; i < routers; ++i) {
         zone.emplace_back(settings, fleet);
         zone.back().router = Router{settings, 1000u + static_cast<unsigned>(i)};
-        zone.back().tell(fleet);
+        zone.back().notify(fleet);
     }
     return zone;
 }
@@ -38,10 +39,10 @@
 }
 
 // The object's home refuses two connections; whoever is asked instead answers. Which home that is.
-std::string refuse_twice(Gateway& g, std::uint64_t object) {
+std::string refuse_twice(TestRouter& g, std::uint64_t object) {
     std::string lost;
     for (int i = 0; i < 2; ++i) {
-        const auto id = g.ask(object);
+        const auto id = g.request(object);
         if (lost.empty())
             lost = g.target();
         EXPECT_EQ(g.target(), lost);
@@ -59,19 +60,19 @@
     std::size_t under_way() const {
         return out_.size();
     }
-    void began(std::size_t router, const Gateway& g, RequestId id) {
+    void began(std::size_t router, const TestRouter& g, RequestId id) {
         out_.push_back({router, id, g.now + took_});
     }
     // Tells this router of those of its own that are through.
-    void end_due(std::size_t router, Gateway& g) {
+    void end_due(std::size_t router, TestRouter& g) {
         std::erase_if(out_, [&](const Out& o) {
             if (o.router != router || o.ends > g.now)
                 return false;
-            g.tell(Outcome{.request = o.id,
-                           .attempt_status = AttemptStatus::success,
-                           .took = took_,
-                           .over = true,
-                           .cache_status = note_});
+            g.notify(Outcome{.request = o.id,
+                             .attempt_status = AttemptStatus::success,
+                             .duration = took_,
+                             .request_completed = true,
+                             .cache_status = note_});
             return true;
         });
     }
@@ -88,7 +89,7 @@
 };
 
 // An object that ten routers are asked for once each is wanted: nine of ten must not pass it unkept.
-TEST(SharedZone, AFirstRequestPassesUnkeptOnlyAsOftenAsItIsTheZonesFirst) {
+TEST(SharedZone, AFirstRequestIsNotStoredOnlyAsOftenAsItIsTheZonesFirst) {
     constexpr int kObjects = 300;
     auto zone = zone_of(10, shared_settings(10, 100));
     int unkept = 0;
@@ -104,7 +105,7 @@
     EXPECT_EQ(never_kept, 0);
 }
 
-TEST(SharedZone, OneOrTwoGatewaysInAZonePassEveryFirstRequestUnkept) {
+TEST(SharedZone, OneOrTwoRoutersInAZoneStoreNoFirstRequest) {
     for (const int in_zone : {1, 2})
         for (auto& g : zone_of(in_zone, shared_settings(in_zone, 4)))
             for (std::uint64_t object = 1; object <= 100; ++object)
@@ -112,9 +113,9 @@
 }
 
 // With little traffic no other parent answers within the time that a refusal takes: it is proof by itself.
-TEST(ThinTraffic, ASourceThatRefusesIsPassedOverFromTheNextRequestOn) {
-    Gateway g;
-    const auto id = g.ask(9);
+TEST(ThinTraffic, ASourceThatRefusesIsSkippedFromTheNextRequestOn) {
+    TestRouter g;
+    const auto id = g.request(9);
     const auto dead = g.source();
     g.end(id, AttemptStatus::overloaded, CacheStatus::source_unreachable);
     EXPECT_NE(g.source(), dead);
@@ -124,36 +125,36 @@
         EXPECT_NE(next->fill->source.address, dead);
     }
     g.pass(2s);
-    g.ask(9);
+    g.request(9);
     EXPECT_EQ(g.source(), dead);  // its trial
 }
 
 // A parent whose fills come late is not given those of one that is down while the origin is quicker.
 TEST(ThinTraffic, FillsOfALostParentDoNotCrowdTheNext) {
-    Gateway g;
+    TestRouter g;
     std::vector<std::uint64_t> of_first;
     std::string slow;
     for (std::uint64_t object = 1; of_first.size() < 5; ++object) {
-        const auto id = g.ask(object);
+        const auto id = g.request(object);
         if (slow.empty())
             slow = g.source();
         if (g.source() != slow)
             of_first.push_back(object);
-        g.tell(Outcome{.request = id,
-                       .attempt_status = AttemptStatus::success,
-                       .took = g.source() == slow ? Span{1s} : Span{50ms},
-                       .over = true,
-                       .cache_status = CacheStatus::filled});
+        g.notify(Outcome{.request = id,
+                         .attempt_status = AttemptStatus::success,
+                         .duration = g.source() == slow ? Span{1s} : Span{50ms},
+                         .request_completed = true,
+                         .cache_status = CacheStatus::filled});
         g.pass(50ms);
     }
-    Gateway calm;
+    TestRouter calm;
     for (auto* each : {&g, &calm})
         each->change(slow == "p1" ? "p2" : "p1", Condition::draining);
     for (const auto object : of_first) {
-        g.ask(object);
+        g.request(object);
         EXPECT_EQ(g.source(), "origin");
         g.end(RequestId{g.ids}, AttemptStatus::success, CacheStatus::filled_from_origin);
-        calm.ask(object);
+        calm.request(object);
         EXPECT_EQ(calm.source(), slow);
         calm.end(RequestId{calm.ids}, AttemptStatus::success, CacheStatus::filled);
     }
@@ -174,12 +175,12 @@
         std::uint64_t object = 0;
         for (int tick = 0; tick < 500; ++tick) {
             for (std::size_t i = 0; i < all.size(); ++i) {
-                Gateway& g = all[i];
+                TestRouter& g = all[i];
                 g.pass(10ms);
                 fills.end_due(i, g);
                 if (tick % 10 != static_cast<int>(i % 10))
                     continue;
-                const auto id = g.ask(++object);
+                const auto id = g.request(++object);
                 if (g.source() == "origin")
                     fills.began(i, g, id);
                 else if (g.find<Send>())
@@ -207,7 +208,7 @@
             const std::string lost = refuse_twice(g, 1);
             int step = 0;
             for (; step < 200; ++step) {
-                g.ask(1);
+                g.request(1);
                 if (g.target() == lost)
                     break;
                 g.end(RequestId{g.ids}, AttemptStatus::success, CacheStatus::hit);
@@ -227,7 +228,7 @@
 }
 
 // Nine routers told of one new server at once: what all send it in any window stays under what tips it.
-TEST(InStep, ANewServerIsNotTippedByTheSumOfAll) {
+TEST(InStep, ANewServerIsNotOverloadedByAllRoutersTogether) {
     auto zone = zone_of(9, cold_settings());
     for (auto& g : zone)
         g.restart("c1", g.now);
@@ -237,7 +238,7 @@
     for (int tick = 0; tick < 300; ++tick)  // 3 s
         for (auto& g : zone) {
             for (int i = 0; i < 2; ++i) {
-                g.ask(++object);
+                g.request(++object);
                 if (g.target() == "c1")
                     sent += work;
                 g.end(RequestId{g.ids}, AttemptStatus::success, CacheStatus::hit);
@@ -249,7 +250,7 @@
 }
 
 // A lost home's objects go to all the others, by each object's own order, and every router to the same.
-TEST(InStep, ALostHomesObjectsSpreadOverTheOthers) {
+TEST(InStep, ALostServersObjectsSpreadOverTheOthers) {
     auto zone = zone_of(20, shared_settings(20, 100), plain_fleet(5));
     std::map<std::string, int> taken;
     for (std::uint64_t object = 1; object <= 400; ++object) {
@@ -276,8 +277,8 @@
 TEST(ThinTraffic, AFullTableIsNotADeadServer) {
     int sent[2] = {};
     for (const bool full : {false, true}) {
-        Gateway g{cold_settings(), plain_fleet(2)};
-        const auto open = g.ask(1);
+        TestRouter g{cold_settings(), plain_fleet(2)};
+        const auto open = g.request(1);
         const auto home = g.target();
         g.pass(10ms);
         ASSERT_EQ(refuse_twice(g, 1), home);
@@ -291,7 +292,7 @@
             EXPECT_EQ(g.serve(1)->target.address, home);  // the trial
         }
         for (int i = 0; i < 40; ++i) {
-            const auto id = g.ask(1);
+            const auto id = g.request(1);
             sent[full] += g.target() == home;
             g.end(id, AttemptStatus::success, CacheStatus::filled);
         }
@@ -303,26 +304,26 @@
 // All groups purged: every request is a miss at once. Fills that come late close the way until what all of
 // the zone's routers have out together is what small fills may take of its link: twice what it carries at
 // top pace.
-TEST(InStep, AfterAPurgeOfAllGroupsTheSumOfFillsKeepsToTheLink) {
+TEST(InStep, AfterAPurgeOfAllGroupsAllFillsTogetherKeepToTheLink) {
     auto settings = shared_settings(9, 100);
     settings.flow_kb_per_s = 1000;
     settings.zone_link_kb_per_s = 11000;  // eleven answers at top pace
     auto zone = zone_of(9, settings);
     for (auto& g : zone)
         for (std::uint64_t group = 0; group < 32; ++group)
-            g.tell(Purge{.group = GroupId{group}});
+            g.notify(Purge{.group = GroupId{group}});
     Fills fills{900ms, CacheStatus::filled};
     std::size_t most_late = 0;
     std::uint64_t object = 0;
     for (int tick = 0; tick < 600; ++tick) {  // 6 s
         for (std::size_t i = 0; i < zone.size(); ++i) {
-            Gateway& g = zone[i];
+            TestRouter& g = zone[i];
             g.pass(10ms);
             fills.end_due(i, g);
             if (tick % 10 != static_cast<int>(i))
                 continue;
             ++object;
-            const auto id = g.ask(object, 0, 4s, GroupId{object % 32});
+            const auto id = g.request(object, 0, 4s, GroupId{object % 32});
             if (!g.find<Send>())
                 continue;
             EXPECT_GT(g.find<Send>()->fill->oldest, Span{});  // no copy from before the purge
