--- a/bench/trace_bench.cpp
+++ b/bench/trace_bench.cpp
@@ -13,7 +13,9 @@
 #include "trace/recorder.h"
 #include "trace/replay.h"
 #include "trace/synth.h"
-#include "trace/tools.h"
+#include "trace/tools/cut.h"
+#include "trace/tools/merge.h"
+#include "trace/tools/summarize.h"
 
 namespace {
 thread_local std::uint64_t allocated = 0;
@@ -57,9 +59,9 @@
         m.calls += t.calls;
     for (const auto& s : m.sinks) {
         const MemorySource source{s->bytes()};
-        Reader reader{source};
+        TraceReader reader{source};
         for (const auto& c : reader.chunks())
-            m.records += c.summary.records - c.summary.held;
+            m.records += c.summary.new_records();
     }
     return m;
 }
@@ -72,10 +74,10 @@
             return;
         made = make(120, 1);
         source = std::make_unique<MemorySource>(made.sinks[0]->bytes());
-        Reader reader{*source};
-        reader.each({}, [&](const Record& r, bool held, const state::InForce& f) {
-            if (!held)
-                lines += config::json_line(json_of(r, f.unix_ns(r.source, r.at))) + '\n';
+        TraceReader reader{*source};
+        reader.for_each({}, [&](const Record& r, bool from_snapshot, const model::EffectiveState& f) {
+            if (!from_snapshot)
+                lines += config::json_line(json_of(r, f.unix_ns(r.router_index, r.at))) + '\n';
             return true;
         });
     }
@@ -95,8 +97,8 @@
 
 BENCHMARK_F(OneRouter, CutTenSeconds)(benchmark::State& state) {
     for (auto _ : state) {
-        Reader reader{*source};
-        state::Selection s;
+        TraceReader reader{*source};
+        model::Selection s;
         s.from_unix_ns = reader.chunks()[0].summary.first_unix_ns + 60 * kSecond;
         s.to_unix_ns = s.from_unix_ns + 10 * kSecond;
         MemorySink out;
@@ -121,9 +123,9 @@
     }
 }
 
-BENCHMARK_F(OneRouter, Summary)(benchmark::State& state) {
+BENCHMARK_F(OneRouter, ChunkSummary)(benchmark::State& state) {
     for (auto _ : state) {
-        Reader reader{*source};
+        TraceReader reader{*source};
         Summarizer s;
         s.add(reader);
         benchmark::DoNotOptimize(s.result().records);
@@ -144,10 +146,11 @@
 
 BENCHMARK_F(OneRouter, Replay)(benchmark::State& state) {
     for (auto _ : state) {
-        Reader reader{*source};
-        Replay replay{settings_of};
-        reader.each(
-            {}, [&](const Record& r, bool held, const state::InForce&) { return held || replay.take(r); });
+        TraceReader reader{*source};
+        Replay replay{parse_settings};
+        reader.for_each({}, [&](const Record& r, bool from_snapshot, const model::EffectiveState&) {
+            return from_snapshot || replay.take(r);
+        });
         replay.end();
         if (replay.first())
             state.SkipWithError("decisions differ");
@@ -158,13 +161,13 @@
 // What a call costs the request thread: all its records taken by a recorder. It is given time to write them
 // between two rounds, untimed. Allocations are those of this thread.
 BENCHMARK_F(OneRouter, RequestThread)(benchmark::State& state) {
-    Reader reader{*source};
-    std::vector<state::Kept> records;
+    TraceReader reader{*source};
+    std::vector<model::OwnedRecord> records;
     std::uint64_t calls = 0;
-    reader.each({}, [&](const Record& r, bool held, const state::InForce&) {
-        if (!held && !std::holds_alternative<state::Start>(r.body))
+    reader.for_each({}, [&](const Record& r, bool from_snapshot, const model::EffectiveState&) {
+        if (!from_snapshot && !std::holds_alternative<model::RouterStarted>(r.body))
             records.emplace_back(r);
-        calls += std::holds_alternative<state::Taken>(r.body) && !held;
+        calls += std::holds_alternative<model::RequestReceived>(r.body) && !from_snapshot;
         return records.size() < 20'000;
     });
     RecorderSettings settings;
@@ -191,11 +194,11 @@
     const Made made = make(120, 4);
     for (auto _ : state) {
         std::vector<std::unique_ptr<MemorySource>> sources;
-        std::vector<std::unique_ptr<Reader>> readers;
+        std::vector<std::unique_ptr<TraceReader>> readers;
         std::vector<MergeInput> inputs;
         for (const auto& s : made.sinks) {
             sources.push_back(std::make_unique<MemorySource>(s->bytes()));
-            readers.push_back(std::make_unique<Reader>(*sources.back()));
+            readers.push_back(std::make_unique<TraceReader>(*sources.back()));
             inputs.push_back({"", readers.back().get()});
         }
         MemorySink out;
--- a/tests/trace/tools_test.cpp
+++ b/tests/trace/tools_test.cpp
@@ -1,6 +1,4 @@
 // The tools, on synthetic traces of the real core and module: cut, merge, strip, summary, replay.
-#include "trace/tools.h"
-
 #include <cstdio>
 #include <cstring>
 #include <memory>
@@ -8,10 +6,15 @@
 #include "../../src/trace/replay.h"
 #include "records.h"
 #include "trace/synth.h"
+#include "trace/tools/cut.h"
+#include "trace/tools/merge.h"
+#include "trace/tools/show.h"
+#include "trace/tools/strip.h"
+#include "trace/tools/summarize.h"
 
 using namespace silverrail;
 using namespace silverrail::trace;
-using namespace silverrail::state;
+using namespace silverrail::trace::model;
 
 namespace {
 
@@ -37,17 +40,19 @@
 struct Open {
     explicit Open(Bytes bytes) : source(std::move(bytes)), reader(source) {}
     MemorySource source;
-    Reader reader;
+    TraceReader reader;
 };
 
 Replay replayed(Open& trace, bool go_on = false) {
-    Replay replay{settings_of, go_on};
-    trace.reader.each({}, [&](const Record& r, bool held, const InForce&) { return held || replay.take(r); });
+    Replay replay{parse_settings, go_on};
+    trace.reader.for_each({}, [&](const Record& r, bool from_snapshot, const EffectiveState&) {
+        return from_snapshot || replay.take(r);
+    });
     replay.end();
     return replay;
 }
 
-void check_replay(const Bytes& trace) {
+void a_replay_finds_exactly_the_changed_decisions(const Bytes& trace) {
     Open whole{trace};
     const Replay same = replayed(whole);
     CHECK(!same.first() && !same.stopped() && same.events() > 4000 && same.decisions() > 2000);
@@ -55,38 +60,38 @@
     std::uint64_t changed_call = 0;
     int sends = 0;
     const auto spoil = [&](auto&& change) {
-        return written([&](Writer& w) {
+        return written([&](TraceWriter& w) {
             Open again{trace};
             sends = 0;
-            again.reader.each({}, [&](const Record& r, bool held, const InForce&) {
+            again.reader.for_each({}, [&](const Record& r, bool from_snapshot, const EffectiveState&) {
                 Record copy = r;
-                if (auto* s = std::get_if<Sent>(&copy.body); s && !held && ++sends == 1000) {
-                    changed_call = s->call;
+                if (auto* s = std::get_if<AttemptSent>(&copy.body); s && !from_snapshot && ++sends == 1000) {
+                    changed_call = s->request;
                     change(*s);
                 }
-                if (!held)
+                if (!from_snapshot)
                     w.add(copy);
                 return true;
             });
         });
     };
-    Open target{spoil([](Sent& s) { s.target = "s-elsewhere"; })};
+    Open target{spoil([](AttemptSent& s) { s.target = "s-elsewhere"; })};
     const Replay found = replayed(target);
     CHECK(found.first() && found.first()->difference == Replay::Difference::other_target);
-    CHECK(found.first()->call == changed_call &&
+    CHECK(found.first()->request == changed_call &&
           found.first()->recorded.find("s-elsewhere") != std::string::npos);
-    Open retention{spoil([](Sent& s) { s.retention ^= 1; })};
+    Open retention{spoil([](AttemptSent& s) { s.retention ^= 1; })};
     const Replay other = replayed(retention, true);
     CHECK(other.differences() == 1 && other.events() == same.events());
     CHECK(other.sums().begin()->first.second == Replay::Difference::other_fill);
     // What is not whole is not compared past the hole.
-    Open gap{written([&](Writer& w) {
+    Open gap{written([&](TraceWriter& w) {
         Open again{trace};
         std::size_t n = 0;
-        again.reader.each({}, [&](const Record& r, bool held, const InForce&) {
-            if (!held && ++n == 3000)
+        again.reader.for_each({}, [&](const Record& r, bool from_snapshot, const EffectiveState&) {
+            if (!from_snapshot && ++n == 3000)
                 w.add({r.at, 0, Gap{5, r.at, r.at}});
-            if (!held)
+            if (!from_snapshot)
                 w.add(r);
             return n < 6000;
         });
@@ -95,7 +100,7 @@
     CHECK(stopped.stopped() && stopped.stopped()->starts_with("5 records") && !stopped.first());
 }
 
-void check_cut(const Bytes& trace) {
+void a_cut_keeps_all_records_of_its_time_and_stands_alone(const Bytes& trace) {
     Open whole{trace};
     const std::int64_t first = whole.reader.chunks().front().summary.first_unix_ns;
     // An answer in the middle: the cut ends right at it, and begins right at it.
@@ -103,16 +108,16 @@
     std::uint64_t edge_call = 0;
     std::size_t before = 0;
     std::size_t all = 0;
-    whole.reader.each({}, [&](const Record& r, bool held, const InForce& f) {
-        if (held)
+    whole.reader.for_each({}, [&](const Record& r, bool from_snapshot, const EffectiveState& f) {
+        if (from_snapshot)
             return true;
         ++all;
-        const std::int64_t at = f.unix_ns(r.source, r.at);
+        const std::int64_t at = f.unix_ns(r.router_index, r.at);
         if (edge == 0) {
-            const auto* a = std::get_if<Answered>(&r.body);
-            if (a && at > first + 4 * kSecond && f.call(0, a->call)) {
+            const auto* a = std::get_if<ResponseSent>(&r.body);
+            if (a && at > first + 4 * kSecond && f.open_request(0, a->request)) {
                 edge = at;
-                edge_call = a->call;
+                edge_call = a->request;
             } else {
                 ++before;
             }
@@ -131,9 +136,9 @@
     };
     const auto has = [&](Open& o) {
         bool found = false;
-        o.reader.each({}, [&](const Record& r, bool held, const InForce&) {
-            const auto* a = std::get_if<Answered>(&r.body);
-            found = found || (!held && a && a->call == edge_call);
+        o.reader.for_each({}, [&](const Record& r, bool from_snapshot, const EffectiveState&) {
+            const auto* a = std::get_if<ResponseSent>(&r.body);
+            found = found || (!from_snapshot && a && a->request == edge_call);
             return true;
         });
         return found;
@@ -151,20 +156,20 @@
     for (std::size_t i = 0; i < both.size(); ++i)
         CHECK(same((i < a.size() ? a[i] : b[i - a.size()]).record(), both[i].record()));
     // The tail stands alone: router, servers and the call that was open at the edge are known from its head.
-    const auto chunk = tail->reader.load(0);
-    InForce f;
+    const auto chunk = tail->reader.read_chunk(0);
+    EffectiveState f;
     Record r;
-    bool held = false;
-    while (chunk->next(r, held) && held)
-        f.take(r);
-    CHECK(f.start(0) && f.servers(0) == 14 && f.call(0, edge_call));
+    bool from_snapshot = false;
+    while (chunk->next(r, from_snapshot) && from_snapshot)
+        f.update(r);
+    CHECK(f.start(0) && f.server_count(0) == 14 && f.open_request(0, edge_call));
     bool shown = false;
-    show(tail->reader, {}, [&](const Story& s, const Names& names) {
-        if (s.call != edge_call)
+    show(tail->reader, {}, [&](const RequestTimeline& s, const Names& names) {
+        if (s.request != edge_call)
             return;
         shown = true;
-        CHECK(s.before && s.answered() &&
-              names.class_name(0, s.taken.class_index).find('-') != std::string::npos);
+        CHECK(s.open_at_start && s.answered() &&
+              names.class_name(0, s.received.class_index).find('-') != std::string::npos);
     });
     CHECK(shown);
     // By class and outcome, the same calls as `show` finds.
@@ -172,29 +177,29 @@
     refused.classes = {"portal-pages", "bulk-files"};
     refused.outcomes = {"refused", "failed", "error", "reset", "abandoned"};
     std::size_t expected = 0;
-    show(whole.reader, refused, [&](const Story&, const Names&) { ++expected; });
+    show(whole.reader, refused, [&](const RequestTimeline&, const Names&) { ++expected; });
     MemorySink sink;
     Open again{trace};
     const auto result = cut(again.reader, refused, sink);
     Open some{std::move(sink.bytes())};
     std::size_t found = 0;
-    show(some.reader, {}, [&](const Story& s, const Names& names) {
-        CHECK(refused.wants(s, names.class_name(0, s.taken.class_index)));
+    show(some.reader, {}, [&](const RequestTimeline& s, const Names& names) {
+        CHECK(refused.matches(s, names.class_name(0, s.received.class_index)));
         ++found;
     });
-    CHECK(expected > 5 && found == expected && result.calls == expected);
+    CHECK(expected > 5 && found == expected && result.requests == expected);
 }
 
-void check_strip(const Bytes& trace) {
+void a_stripped_trace_identifies_no_client_and_can_be_replayed(const Bytes& trace) {
     Open whole{trace};
     std::set<std::string> addresses;
     std::set<std::uint64_t> ids;
     std::set<std::uint64_t> objects;
     bool v4 = false, v6 = false, mapped = false;
-    whole.reader.each({}, [&](const Record& r, bool, const InForce&) {
-        if (const auto* t = std::get_if<Taken>(&r.body)) {
+    whole.reader.for_each({}, [&](const Record& r, bool, const EffectiveState&) {
+        if (const auto* t = std::get_if<RequestReceived>(&r.body)) {
             addresses.emplace(t->client);
-            ids.insert(t->trace_id);
+            ids.insert(t->client_request_number);
             objects.insert(t->object);
             v4 = v4 || t->client.size() == 4;
             v6 = v6 || t->client.starts_with('\xfd');
@@ -212,16 +217,16 @@
     const std::string key(32, 'k');
     Open stripped{strip_to({.key = key, .objects = true, .shift_ns = -3600 * kSecond})};
     CHECK(stripped.reader.flags() & kStripped);
-    // Every field of every record, held ones too, as bytes and as text.
+    // Every field of every record, of snapshots too, as bytes and as text.
     std::string everything;
     std::map<std::string, std::string> pseudonyms;
     std::size_t calls = 0;
-    stripped.reader.each({}, [&](const Record& r, bool, const InForce&) {
+    stripped.reader.for_each({}, [&](const Record& r, bool, const EffectiveState&) {
         std::visit(
             [&]<class T>(const T& body) {
-                if constexpr (std::is_same_v<T, Start>)
+                if constexpr (std::is_same_v<T, RouterStarted>)
                     return;  // the operators' settings
-                T::fields(body, [&](const char*, const auto& v, Pack) {
+                T::fields(body, [&](const char*, const auto& v, Encoding) {
                     using F = std::decay_t<decltype(v)>;
                     if constexpr (std::is_same_v<F, Text>)
                         everything += std::string{v} + '\n';
@@ -230,12 +235,12 @@
                 });
             },
             r.body);
-        if (const auto* t = std::get_if<Taken>(&r.body)) {
-            CHECK(t->client.size() == 8 && t->trace.empty() && t->have.empty());
+        if (const auto* t = std::get_if<RequestReceived>(&r.body)) {
+            CHECK(t->client.size() == 8 && t->client_request_id.empty() && t->entity_tag.empty());
             ++calls;
         }
-        if (const auto* a = std::get_if<Answered>(&r.body))
-            CHECK(a->tag.empty());
+        if (const auto* a = std::get_if<ResponseSent>(&r.body))
+            CHECK(a->entity_tag.empty());
         return true;
     });
     CHECK(calls > 1000);
@@ -248,8 +253,8 @@
     const auto client_names = [](Bytes bytes) {
         Open o{std::move(bytes)};
         std::vector<std::string> names;
-        o.reader.each({}, [&](const Record& r, bool held, const InForce&) {
-            if (const auto* t = std::get_if<Taken>(&r.body); t && !held)
+        o.reader.for_each({}, [&](const Record& r, bool from_snapshot, const EffectiveState&) {
+            if (const auto* t = std::get_if<RequestReceived>(&r.body); t && !from_snapshot)
                 names.emplace_back(t->client);
             return true;
         });
@@ -260,12 +265,12 @@
           first != client_names(strip_to({.key = std::string(32, 'x')})));
     MemorySink two;
     {
-        Writer w{two, 0, 0};
+        TraceWriter w{two, 0, 0};
         for (const Text c :
              {Text{"\x0a\x01\x02\x03", 4}, Text{"\0\0\0\0\0\0\0\0\0\0\xff\xff\x0a\x01\x02\x03", 16}}) {
-            Taken t;
+            RequestReceived t;
             t.client = c;
-            t.call = 1;
+            t.request = 1;
             w.add({1, 0, t});
         }
         w.close();
@@ -280,7 +285,7 @@
 }
 
 // Three routers, clocks up to a second apart and drifting, one of them restarted in between.
-void check_merge() {
+void merged_clocks_agree_and_no_record_is_lost() {
     SynthPlan plan;
     plan.seconds = 120;
     plan.rate = 12;
@@ -300,10 +305,10 @@
     }
     MemorySink sink;
     const MergeResult result = merge(inputs, {}, sink);
-    CHECK(result.sources.size() == 4);
+    CHECK(result.routers.size() == 4);
     std::size_t reference = 4;
     for (std::size_t i = 0; i < 4; ++i)
-        if (result.sources[i].reference)
+        if (result.routers[i].is_reference)
             reference = i;
     CHECK(reference < 4);
     const auto ahead = [&](std::size_t i, double at_s) {
@@ -312,8 +317,8 @@
     double spread = 0;
     int borne_out = 0;
     for (std::size_t i = 0; i < 4; ++i) {
-        const auto& s = result.sources[i];
-        CHECK(s.router == traces.truth[i].router);
+        const auto& s = result.routers[i];
+        CHECK(s.router_name == traces.truth[i].router);
         for (const double at_s : {30.0, 100.0}) {
             const auto at =
                 plan.begin_unix_ns + static_cast<std::int64_t>((at_s * 1e3 + ahead(i, at_s)) * 1e6);
@@ -322,8 +327,8 @@
             CHECK(std::abs(residual) < 40);
         }
         // Copies' ages bear the purges out.
-        if (s.estimate.order_gap_ns) {
-            CHECK(std::abs(*s.estimate.order_gap_ns) < 60e6);
+        if (s.estimate.min_delay_difference_ns) {
+            CHECK(std::abs(*s.estimate.min_delay_difference_ns) < 60e6);
             ++borne_out;
         }
         spread = std::max(spread, std::abs(ahead(i, 0) - ahead(reference, 0)));
@@ -334,13 +339,13 @@
     std::map<std::uint32_t, std::int64_t> last;
     std::int64_t newest = 0;
     std::uint64_t records = 0;
-    merged.reader.each({}, [&](const Record& r, bool held, const InForce& f) {
-        if (held)
+    merged.reader.for_each({}, [&](const Record& r, bool from_snapshot, const EffectiveState& f) {
+        if (from_snapshot)
             return true;
         ++records;
-        CHECK(r.at >= last[r.source]);
-        last[r.source] = r.at;
-        const std::int64_t at = f.unix_ns(r.source, r.at);
+        CHECK(r.at >= last[r.router_index]);
+        last[r.router_index] = r.at;
+        const std::int64_t at = f.unix_ns(r.router_index, r.at);
         CHECK(at > newest - 5'000'000);
         newest = std::max(newest, at);
         return true;
@@ -348,11 +353,12 @@
     std::uint64_t written_records = 0;
     for (const auto& o : open)
         for (const auto& c : o->reader.chunks())
-            written_records += c.summary.records - c.summary.held;
+            written_records += c.summary.new_records();
     CHECK(records == written_records && records == result.records && last.size() == 4);
     // A call's number means another call at another router and after a restart: none is mixed up.
     std::uint64_t calls = 0;
-    show(merged.reader, {}, [&](const Story& s, const Names&) { calls += s.taken_at != kNoTime; });
+    show(merged.reader, {},
+         [&](const RequestTimeline& s, const Names&) { calls += s.received_at != kNoTime; });
     std::uint64_t truth = 0;
     for (const auto& t : traces.truth)
         truth += t.calls;
@@ -362,9 +368,9 @@
     // Given offsets stand before estimates; where nothing is shared, it says so.
     MemorySink given_sink;
     const MergeResult given = merge(inputs, {{"n1", -250.0}}, given_sink);
-    for (const auto& s : given.sources)
-        if (s.router == "n1")
-            CHECK(s.estimate.from == SkewEstimate::From::given && s.estimate.offset_ns == -250e6);
+    for (const auto& s : given.routers)
+        if (s.router_name == "n1")
+            CHECK(s.estimate.basis == ClockOffsetEstimate::Basis::given && s.estimate.offset_ns == -250e6);
     SynthPlan quiet;
     quiet.seconds = 2;
     quiet.rate = 20;
@@ -382,7 +388,7 @@
     }
 }
 
-void check_summary(const Bytes& trace, std::uint64_t calls) {
+void a_summary_counts_every_request_once(const Bytes& trace, std::uint64_t calls) {
     Open whole{trace};
     Summarizer all;
     all.add(whole.reader);
@@ -390,8 +396,8 @@
     CHECK(r.intervals.size() == 1 && r.gaps == 0);
     std::uint64_t counted = 0;
     std::uint64_t outcomes = 0;
-    for (const auto& [name, c] : r.intervals[0].tally.classes()) {
-        counted += c.calls;
+    for (const auto& [name, c] : r.intervals[0].requests.classes()) {
+        counted += c.received;
         for (std::size_t i = 0; i < 7; ++i)
             outcomes += c.outcomes[i];
     }
@@ -401,13 +407,13 @@
     parts.add(again.reader);
     std::uint64_t in_parts = 0;
     for (const auto& i : parts.result().intervals)
-        for (const auto& [name, c] : i.tally.classes())
-            in_parts += c.calls;
+        for (const auto& [name, c] : i.requests.classes())
+            in_parts += c.received;
     CHECK(parts.result().intervals.size() == 5 && in_parts == calls);
     CHECK(json_of(r)["intervals"][0]["classes"].isMember("bulk-files"));
 }
 
-void check_times() {
+void times_are_parsed_and_printed_as_rfc_3339() {
     const struct {
         const char* text;
         std::int64_t ns;  // -1: no time
@@ -437,11 +443,11 @@
     plan.seed = 3;
     Traces traces = make(plan);
     CHECK(traces[0] == make(plan)[0]);  // the same plan, the same bytes
-    check_times();
-    check_replay(traces[0]);
-    check_cut(traces[0]);
-    check_strip(traces[0]);
-    check_summary(traces[0], traces.truth[0].calls);
-    check_merge();
+    times_are_parsed_and_printed_as_rfc_3339();
+    a_replay_finds_exactly_the_changed_decisions(traces[0]);
+    a_cut_keeps_all_records_of_its_time_and_stands_alone(traces[0]);
+    a_stripped_trace_identifies_no_client_and_can_be_replayed(traces[0]);
+    a_summary_counts_every_request_once(traces[0], traces.truth[0].calls);
+    merged_clocks_agree_and_no_record_is_lost();
     std::puts("tools: cut, merged, stripped, summed up and replayed as it should be");
 }
