--- a/src/acme/client.cpp
+++ b/src/acme/client.cpp
@@ -6,7 +6,7 @@
 #include <charconv>
 #include <utility>
 
-#include "config/config.h"
+#include "config/json_text.h"
 
 namespace silverrail::acme {
 
--- a/src/app/bans_part.cpp
+++ b/src/app/bans_part.cpp
@@ -105,7 +105,7 @@
     return engine_.lists(server) || engine_.bans().contains(server);
 }
 
-front::admin::Verdict BansPart::out(const core::ServerId& server) {
+front::admin::CommandResult BansPart::take_offline(const core::ServerId& server) {
     if (!known(server))
         return {false, "no such box"};
     members::Bans own = engine_.bans();
@@ -133,7 +133,7 @@
     return {true, "out"};
 }
 
-front::admin::Verdict BansPart::back(const core::ServerId& server) {
+front::admin::CommandResult BansPart::bring_online(const core::ServerId& server) {
     if (!known(server))
         return {false, "no such box"};
     members::Bans own = engine_.bans();
--- a/src/app/bans_part.h
+++ b/src/app/bans_part.h
@@ -13,7 +13,7 @@
 
 namespace silverrail::app {
 
-class BansPart : public Part, public front::admin::Hands {
+class BansPart : public Part, public front::admin::ServerOverrides {
 public:
     // `file` empty: kept in this process only. What the file holds is in force from here on. `fleet`, where
     // the router has peers: what is said here is said to all of them, and what they say holds here.
@@ -24,8 +24,8 @@
     std::string counters() override {
         return figure_lines("bans", {{"out", engine_.bans().ids().size()}, {"unwritten", unwritten_.size()}});
     }
-    front::admin::Verdict out(const core::ServerId& server) override;
-    front::admin::Verdict back(const core::ServerId& server) override;
+    front::admin::CommandResult take_offline(const core::ServerId& server) override;
+    front::admin::CommandResult bring_online(const core::ServerId& server) override;
 
 private:
     void look();
--- a/src/app/commands.cpp
+++ b/src/app/commands.cpp
@@ -33,11 +33,10 @@
         config.listen = sources.listen_override;
     if (!sources.control_override.empty())
         config.control = sources.control_override;
-    std::vector<std::string> problems;
-    const auto settings =
-        config::load_operator(sources.operator_file, sources.operator_file_required, problems);
-    for (const std::string& problem : problems)
-        Log{}.line("fatal", "%s", problem.c_str());
+    const auto [settings, problems] =
+        config::load_operator(sources.operator_file, sources.operator_file_required);
+    for (const auto& problem : problems)
+        Log{}.line("fatal", "%s", problem.text().c_str());
     if (!problems.empty())
         return nullptr;
     auto program = std::make_unique<Program>(sources, std::move(config), settings);
@@ -69,15 +68,17 @@
     }
 }
 
-void check_config(const SettingsSources& sources, std::vector<std::string>& problems) {
+// What is wrong with the platform's configuration; empty if nothing is.
+std::string config_problem(const SettingsSources& sources) {
     try {
         const auto config = config::load_config(sources.config_file);
         (void)endpoint_of(config.listen);
         const auto& control = sources.control_override.empty() ? config.control : sources.control_override;
         if (!control.empty())
             (void)control_endpoint(control);
+        return {};
     } catch (const std::exception& e) {
-        problems.push_back(sources.config_file + ": " + e.what());
+        return sources.config_file + ": " + e.what();
     }
 }
 
@@ -101,8 +102,11 @@
 int check(const SettingsSources& sources) {
     std::vector<std::string> problems;
     if (!sources.config_file.empty())
-        check_config(sources, problems);
-    (void)config::load_operator(sources.operator_file, sources.operator_file_required, problems);
+        if (const std::string problem = config_problem(sources); !problem.empty())
+            problems.push_back(problem);
+    const auto checked = config::load_operator(sources.operator_file, sources.operator_file_required);
+    for (const auto& problem : checked.problems)
+        problems.push_back(problem.text());
     for (const std::string& problem : problems)
         std::printf("%s\n", problem.c_str());
     if (!problems.empty())
--- a/src/app/config_reload.cpp
+++ b/src/app/config_reload.cpp
@@ -40,11 +40,10 @@
 bool ConfigReloader::reload_once() {
     try {
         const config::Config fresh = config::load_config(sources_.config_file);
-        std::vector<std::string> problems;
-        const auto fresh_settings =
-            config::load_operator(sources_.operator_file, sources_.operator_file_required, problems);
+        const auto [fresh_settings, problems] =
+            config::load_operator(sources_.operator_file, sources_.operator_file_required);
         if (!problems.empty())
-            throw config::ConfigError(problems.front());
+            throw config::ConfigError(problems.front().text());
         apply(fresh, fresh_settings);
         return true;
     } catch (const std::exception& e) {
--- a/src/app/config_reload.h
+++ b/src/app/config_reload.h
@@ -3,7 +3,7 @@
 
 #include "app/settings_sources.h"
 #include "config/config.h"
-#include "config/operator.h"
+#include "config/operator_settings.h"
 #include "log/log.h"
 #include "net/asio.h"
 #include "net/discovery_watch.h"
--- a/src/app/control_part.cpp
+++ b/src/app/control_part.cpp
@@ -12,14 +12,17 @@
     }
 }
 
-ControlPart::ControlPart(World world, const std::string& at, std::size_t most_callers) try
-    : admin_(world.engine, world.hands, world.lifecycle, world.log, std::move(world.fleet)),
+ControlPart::ControlPart(Dependencies dependencies, const std::string& address,
+                         std::size_t max_connections) try
+    : admin_(dependencies.engine, dependencies.overrides, dependencies.lifecycle, dependencies.log,
+             std::move(dependencies.cluster)),
       server_(
-          world.io, control_endpoint(at), {.connections = most_callers},
-          [this](std::string_view line, bool ended) { return admin_.answer(line, ended); }, world.log) {
-    server_.when_out_of_descriptors(std::move(world.shed));
+          dependencies.io, control_endpoint(address), {.connections = max_connections},
+          [this](std::string_view line, bool terminated) { return admin_.answer(line, terminated); },
+          dependencies.log) {
+    server_.when_out_of_descriptors(std::move(dependencies.free_descriptors));
 } catch (const boost::system::system_error& e) {
-    throw config::ConfigError("control: cannot listen at " + at + ": " + e.code().message());
+    throw config::ConfigError("control: cannot listen at " + address + ": " + e.code().message());
 }
 
 }  // namespace silverrail::app
--- a/src/app/control_part.h
+++ b/src/app/control_part.h
@@ -1,4 +1,4 @@
-// The second address: where operators ask how this process is.
+// The control address, where operators send commands to this process.
 #pragma once
 
 #include "app/part.h"
@@ -7,26 +7,26 @@
 
 namespace silverrail::app {
 
-// Throws config::ConfigError, which names the setting.
+// The address in the setting `control`; throws config::ConfigError, which names the setting.
 net::tcp::endpoint control_endpoint(const std::string& at);
 
 class ControlPart : public Part {
 public:
-    struct World {
+    struct Dependencies {
         net::asio::io_context& io;
         core::Engine& engine;
-        front::admin::Hands& hands;
+        front::admin::ServerOverrides& overrides;
         const Lifecycle& lifecycle;
         Log& log;
-        std::function<void()> shed;   // frees descriptors
-        front::admin::Fleet fleet{};  // empty without peers
+        std::function<void()> free_descriptors;  // closes connections that are not needed
+        front::admin::ClusterCommands cluster{};
     };
-    // Listens at once, as an address that is taken must stop the start; throws config::ConfigError.
-    ControlPart(World world, const std::string& at, std::size_t most_callers);
+    // Binds at once, as an address that is in use must stop the start; throws config::ConfigError.
+    ControlPart(Dependencies dependencies, const std::string& address, std::size_t max_connections);
     void start() override {
         server_.start();
     }
-    void stop() override {}  // who asks while it ends is told so
+    void stop() override {}  // answers until the process ends
 
 private:
     front::admin::Admin admin_;
--- a/src/app/dns_part.cpp
+++ b/src/app/dns_part.cpp
@@ -46,20 +46,20 @@
     front::dns::Front& front_;
 };
 
-DnsPart::DnsPart(World world, const config::OperatorSettings& settings)
-    : world_(world), dns_(settings.dns), acme_(settings.acme) {}
+DnsPart::DnsPart(Dependencies dependencies, const config::OperatorSettings& settings)
+    : with_(dependencies), dns_(settings.dns), acme_(settings.acme) {}
 DnsPart::~DnsPart() = default;
 
 void DnsPart::start() {
-    front_.emplace(world_.engine, world_.clock, zone_settings(dns_), world_.log);
+    front_.emplace(with_.engine, with_.clock, zone_settings(dns_), with_.log);
     server_.emplace(
-        world_.io, net::DnsLimits{},
+        with_.io, net::DnsLimits{},
         [this](std::string_view query, const net::DnsFrom& from, net::DnsReply reply) {
             front_->handle(query, from, std::move(reply));
         },
-        world_.clock, world_.log);
+        with_.clock, with_.log);
     const auto listens = [this](const char* how, std::uint16_t port) {
-        world_.log.line("dns-listen", "%s port %u", how, static_cast<unsigned>(port));
+        with_.log.line("dns-listen", "%s port %u", how, static_cast<unsigned>(port));
     };
     if (!dns_.udp.empty()) {
         const auto at = endpoint_of(dns_.udp);
@@ -80,18 +80,18 @@
 
 void DnsPart::start_acme() {
     proofs_ = std::make_unique<Proofs>(*front_);
-    https_.emplace(world_.io, acme_.trust);
+    https_.emplace(with_.io, acme_.trust);
     client_.emplace(
         acme::ClientSettings{acme_.directory, acme_.contact, dns_.server}, acme::Store{acme_.folder}, *https_,
-        *proofs_, world_.timers, world_.clock, world_.seed,
+        *proofs_, with_.timers, with_.clock, with_.seed,
         [this](const acme::Issued& issued) {
             try {
                 server_->use_certificate(net::tls_context(issued));
             } catch (const boost::system::system_error& e) {
-                world_.log.line("acme", "unusable: %s", e.what());
+                with_.log.line("acme", "unusable: %s", e.what());
             }
         },
-        world_.log);
+        with_.log);
     client_->start();
 }
 
--- a/src/app/dns_part.h
+++ b/src/app/dns_part.h
@@ -1,11 +1,11 @@
-// The DNS front, and its certificate by ACME.
+// The DNS server in the running program, and its certificate by ACME.
 #pragma once
 
 #include <optional>
 
 #include "acme/client.h"
 #include "app/part.h"
-#include "config/operator.h"
+#include "config/operator_settings.h"
 #include "front/dns/front.h"
 #include "net/clock.h"
 #include "net/dns_server.h"
@@ -15,7 +15,7 @@
 
 class DnsPart : public Part {
 public:
-    struct World {
+    struct Dependencies {
         net::asio::io_context& io;
         core::Engine& engine;
         const core::Clock& clock;
@@ -23,7 +23,7 @@
         Log& log;
         std::uint64_t seed;
     };
-    DnsPart(World world, const config::OperatorSettings& settings);
+    DnsPart(Dependencies dependencies, const config::OperatorSettings& settings);
     ~DnsPart() override;
     void start() override;
     void stop() override;
@@ -32,7 +32,7 @@
     class Proofs;
     void start_acme();
 
-    World world_;
+    Dependencies with_;
     const config::DnsSettings dns_;
     const config::AcmeSettings acme_;
     std::optional<front::dns::Front> front_;
--- a/src/app/failover_part.cpp
+++ b/src/app/failover_part.cpp
@@ -20,12 +20,12 @@
       doubt_for_(settings.hearsay_ms),
       failover_(settings.name, settings.zone, settings.failover),
       voice_({.refresh = kRefresh}, seed ^ 0xe7037ed1a0b428dbULL),
-      prober_(world.io, {}),
+      health_check_(world.io, {}),
       timer_(world.io) {}
 
 void FailoverPart::stop() {
     timer_.cancel();
-    prober_.stop();
+    health_check_.stop();
 }
 
 bool FailoverPart::steered() const {
@@ -91,7 +91,7 @@
         auto& probe = probes_[server.id];
         if (probe.under_way || now < probe.next)
             continue;
-        probe.under_way = prober_.look(server.address, [this, id = server.id](bool listens) {
+        probe.under_way = health_check_.check(server.address, [this, id = server.id](bool listens) {
             ++probed_;
             probes_failed_ += listens ? 0 : 1;
             if (const auto at = probes_.find(id); at != probes_.end())
@@ -170,7 +170,7 @@
     return out + "--\n";
 }
 
-front::admin::Verdict FailoverPart::pin(const std::string& zone, const std::string& how) {
+front::admin::CommandResult FailoverPart::pin(const std::string& zone, const std::string& how) {
     if (!failover_.standings().contains(zone))
         return {false, "no such zone"};
     const auto key = cluster::pin_key(zone);
@@ -178,8 +178,8 @@
         how == "OFF" ? world_.shared.clear(key) : world_.shared.set(key, how == "IN" ? "in" : "out");
     world_.log.line("failover-pin", R"({"zone":"%s","how":"%s","kept":%s})", zone.c_str(), how.c_str(),
                     done ? "true" : "false");
-    return done ? front::admin::Verdict{true, how == "OFF" ? "not pinned" : "pinned"}
-                : front::admin::Verdict{false, "in force here, but not kept for the fleet"};
+    return done ? front::admin::CommandResult{true, how == "OFF" ? "not pinned" : "pinned"}
+                : front::admin::CommandResult{false, "in force here, but not kept for the fleet"};
 }
 
 std::string FailoverPart::counters() {
--- a/src/app/failover_part.h
+++ b/src/app/failover_part.h
@@ -7,7 +7,7 @@
 #include "cluster/failover.h"
 #include "core/engine.h"
 #include "front/admin/admin.h"
-#include "net/prober.h"
+#include "net/tcp_health_check.h"
 
 namespace silverrail::app {
 
@@ -33,7 +33,7 @@
     // cent or "-", epoch, per cent of its requests that leave, where to, pin, changes, flaps; then "--".
     std::string standings() const;
     // By hand, for the fleet: `how` is IN, OUT or OFF.
-    front::admin::Verdict pin(const std::string& zone, const std::string& how);
+    front::admin::CommandResult pin(const std::string& zone, const std::string& how);
 
 private:
     struct Server {
@@ -58,7 +58,7 @@
     cluster::UnixMs doubt_for_;  // another's word on a server is a reason to look for so long
     cluster::Failover failover_;
     cluster::Voice voice_;
-    net::Prober prober_;
+    net::TcpHealthCheck health_check_;
     net::asio::steady_timer timer_;
     std::map<std::string, Probe> probes_;
     std::map<std::string, double> factors_;
--- a/src/app/graceful_shutdown.cpp
+++ b/src/app/graceful_shutdown.cpp
@@ -49,7 +49,7 @@
     answer_by_ = with_.clock.now() + grace_period_;
     // New connections belong to the successor, which listens at the same address.
     if (with_.successor_runs())
-        with_.server.retire();
+        with_.server.stop_accepting();
     timer_.expires_after(kDrainPeriod);
     timer_.async_wait([this](const net::error_code& error) {
         if (!error)
--- a/src/app/network_counters.cpp
+++ b/src/app/network_counters.cpp
@@ -6,13 +6,13 @@
 
 std::string client_counters(const net::HttpServer& server) {
     const auto& counters = server.counters();
-    const auto& listener = server.accepts();
+    const auto& listener = server.listener_counters();
     std::string out = figure_lines("clients", {{"violations", counters.violations()},
                                                {"closed_unanswered", counters.closed_unanswered},
                                                {"second_answers", counters.second_answers},
                                                {"left_before_taken", counters.left_before_taken},
                                                {"full_of_early_bytes", counters.full_of_early_bytes},
-                                               {"accepted", listener.taken},
+                                               {"accepted", listener.accepted},
                                                {"accept_aborted", listener.aborted},
                                                {"accept_pauses", listener.pauses}});
     for (std::size_t i = 0; i < net::kCloseReasons; ++i) {
@@ -24,7 +24,7 @@
 }
 
 std::string event_loop_counters(const net::HttpServer& server) {
-    const auto& loop = server.loop();
+    const auto& loop = server.event_loop();
     const auto longest_ms = std::chrono::floor<std::chrono::milliseconds>(loop.longest_pause()).count();
     return figure_lines(
         "loop", {{"pauses", loop.pauses()}, {"longest_pause_ms", static_cast<std::uint64_t>(longest_ms)}});
--- a/src/app/optional_parts.cpp
+++ b/src/app/optional_parts.cpp
@@ -50,10 +50,10 @@
     auto reports_part =
         std::make_unique<ReplicaPart>(replica_dependencies, settings, ReplicaPart::Ageing{}, seed);
     reports = reports_part.get();
-    peer_commands_.members = [members = peers] {
+    cluster_commands_.members = [members = peers] {
         return members->members();
     };
-    peer_commands_.replica = [replica = state] {
+    cluster_commands_.replica = [replica = state] {
         return replica->digest();
     };
     if (settings.hearsay_ms > 0)
@@ -75,10 +75,10 @@
     auto* const failover = add(std::make_unique<FailoverPart>(
         FailoverPart::World{with_.io, with_.engine, *peers, *state, *reports, with_.clock, with_.log},
         with_.settings.peers, with_.config.seed));
-    peer_commands_.failover = [failover] {
+    cluster_commands_.failover = [failover] {
         return failover->standings();
     };
-    peer_commands_.pin = [failover](const std::string& zone, const std::string& how) {
+    cluster_commands_.pin = [failover](const std::string& zone, const std::string& how) {
         return failover->pin(zone, how);
     };
 }
@@ -89,15 +89,15 @@
     auto* const overrides = add(std::make_unique<BansPart>(with_.io, with_.engine, shared_file("bans"),
                                                            with_.log, peer_services_.state));
     add(std::make_unique<ControlPart>(
-        ControlPart::World{with_.io, with_.engine, *overrides, with_.lifecycle, with_.log,
-                           with_.free_descriptors, std::move(peer_commands_)},
+        ControlPart::Dependencies{with_.io, with_.engine, *overrides, with_.lifecycle, with_.log,
+                                  with_.free_descriptors, std::move(cluster_commands_)},
         with_.config.control, with_.shares.callers));
 }
 
 void OptionalParts::add_dns() {
-    add(std::make_unique<DnsPart>(
-        DnsPart::World{with_.io, with_.engine, with_.clock, with_.timers, with_.log, with_.config.seed},
-        with_.settings));
+    add(std::make_unique<DnsPart>(DnsPart::Dependencies{with_.io, with_.engine, with_.clock, with_.timers,
+                                                        with_.log, with_.config.seed},
+                                  with_.settings));
 }
 
 void OptionalParts::start() {
--- a/src/app/optional_parts.h
+++ b/src/app/optional_parts.h
@@ -8,7 +8,8 @@
 #include "app/part.h"
 #include "app/peers_part.h"
 #include "app/replica_part.h"
-#include "config/operator.h"
+#include "config/config.h"
+#include "config/operator_settings.h"
 #include "core/engine.h"
 #include "front/admin/admin.h"
 #include "lifecycle.h"
@@ -62,7 +63,7 @@
     Dependencies with_;
     std::vector<std::unique_ptr<Part>> parts_;  // in the order they start
     PeerServices peer_services_;
-    front::admin::Fleet peer_commands_;
+    front::admin::ClusterCommands cluster_commands_;
 };
 
 }  // namespace silverrail::app
--- a/src/app/peers_part.cpp
+++ b/src/app/peers_part.cpp
@@ -29,7 +29,7 @@
                static_cast<std::uint64_t>(unix_ms), settings_of(settings), seed, settings.seeds,
                cluster::Time{0}),
       peer_(
-          io, settings.bind, {}, [this](const net::Peer::Message& m) { return received(m); }, log),
+          io, settings.bind, {}, [this](const net::PeerTransport::Message& m) { return received(m); }, log),
       timer_(io),
       // Often enough that a probe's timeout is kept to a tenth of it, seldom enough to cost nothing.
       every_(std::clamp<std::int64_t>(settings.probe_timeout_ms / 10, 5, 100)) {
@@ -52,20 +52,21 @@
     if (stopped_)
         return;
     stopped_ = true;
-    peer_.send(net::Peer::sends(members_.leave(now())));
+    peer_.send(net::PeerTransport::outgoing(members_.leave(now())));
     timer_.cancel();
     peer_.stop();
     logged();
 }
 
-std::vector<net::Peer::Send> PeersPart::received(const net::Peer::Message& message) {
+std::vector<net::PeerTransport::Outgoing> PeersPart::received(const net::PeerTransport::Message& message) {
     const auto* view = std::get_if<cluster::Message>(&message);
     if (!view) {
         const auto& of_replica = std::get<cluster::ReplicaMessage>(message);
         const auto handler = replicas_.find(of_replica.channel);
-        return handler == replicas_.end() ? std::vector<net::Peer::Send>{} : handler->second(of_replica);
+        return handler == replicas_.end() ? std::vector<net::PeerTransport::Outgoing>{}
+                                          : handler->second(of_replica);
     }
-    auto out = net::Peer::sends(members_.receive(*view, now()));
+    auto out = net::PeerTransport::outgoing(members_.receive(*view, now()));
     logged();
     return out;
 }
@@ -73,7 +74,7 @@
 void PeersPart::tick() {
     if (stopped_)
         return;
-    peer_.send(net::Peer::sends(members_.tick(now())));
+    peer_.send(net::PeerTransport::outgoing(members_.tick(now())));
     logged();
     timer_.expires_after(every_);
     timer_.async_wait([this](const net::error_code& error) {
@@ -119,7 +120,7 @@
 
 std::string PeersPart::counters() {
     const auto& c = members_.counts();
-    const auto& p = peer_.counts();
+    const auto& p = peer_.counters();
     std::string out;
     const auto put = [&out](const char* name, std::uint64_t value) {
         out += std::string{"peers."} + name + " " + std::to_string(value) + "\n";
--- a/src/app/peers_part.h
+++ b/src/app/peers_part.h
@@ -7,8 +7,8 @@
 
 #include "app/part.h"
 #include "cluster/members.h"
-#include "config/operator.h"
-#include "net/peer.h"
+#include "config/operator_settings.h"
+#include "net/peer_transport.h"
 
 namespace silverrail::app {
 
@@ -28,13 +28,14 @@
 
     // What else rides on the peers' transport: the messages of a replicated state, by its channel, and who
     // they can go to.
-    using ReplicaHandler = std::function<std::vector<net::Peer::Send>(const cluster::ReplicaMessage&)>;
+    using ReplicaHandler =
+        std::function<std::vector<net::PeerTransport::Outgoing>(const cluster::ReplicaMessage&)>;
     void replicate(std::uint8_t channel, ReplicaHandler handler) {
         replicas_[channel] = std::move(handler);
     }
     // The members alive, this one among them: name to zone.
     std::map<std::string, std::string> alive_zones() const;
-    void send(std::vector<net::Peer::Send> sends) {
+    void send(std::vector<net::PeerTransport::Outgoing> sends) {
         peer_.send(std::move(sends));
     }
     std::vector<std::string> alive() const;
@@ -43,12 +44,12 @@
 private:
     void tick();
     void logged();
-    std::vector<net::Peer::Send> received(const net::Peer::Message& message);
+    std::vector<net::PeerTransport::Outgoing> received(const net::PeerTransport::Message& message);
 
     net::asio::io_context& io_;
     Log& log_;
     cluster::Members members_;
-    net::Peer peer_;
+    net::PeerTransport peer_;
     net::asio::steady_timer timer_;
     std::chrono::milliseconds every_;
     std::chrono::steady_clock::time_point began_ = std::chrono::steady_clock::now();
--- a/src/app/program.cpp
+++ b/src/app/program.cpp
@@ -5,6 +5,7 @@
 #include "app/endpoint.h"
 #include "app/network_counters.h"
 #include "app/resource_limits.h"
+#include "config/discovery_event.h"
 
 namespace silverrail::app {
 
@@ -36,8 +37,8 @@
       overlap_(io_, presence_file(sources_, config_), log_),
       shares_(members::shares_of(total_resources(config_, settings_), overlap_.processes())),
       timers_(io_),
-      upstream_(io_, upstream_limits(config_, shares_), clock_, log_),
-      engine_(config_.settings, config_.seed, config_.sockets, clock_, timers_, upstream_, log_),
+      pool_(io_, pool_limits(config_, shares_), clock_, log_),
+      engine_(config_.settings, config_.seed, config_.sockets, clock_, timers_, pool_, log_),
       platform_(engine_, lifecycle_, log_),
       server_(
           io_, endpoint_of(config_.listen), client_limits(config_, shares_),
@@ -109,7 +110,7 @@
     discovery_.emplace(
         io_, endpoint_of(config_.discovery), config_.known_no,
         [this](std::int64_t, std::string_view data) { return on_discovery_data(data); }, log_, config_.seed);
-    discovery_->when_sure([this](bool synchronized) { engine_.told_of_purges(synchronized); });
+    discovery_->when_synchronized([this](bool synchronized) { engine_.told_of_purges(synchronized); });
     discovery_->start();
     reloader_.attach(*discovery_);
 }
@@ -126,7 +127,7 @@
 void Program::on_process_count(std::size_t processes) {
     shares_ = members::shares_of(total_resources(config_, settings_), processes);
     engine_.share_with(processes, shares_.copies_bytes);
-    upstream_.limit_sockets(shares_.servers);
+    pool_.limit_connections(shares_.servers);
     server_.limit_connections(shares_.clients);
 }
 
@@ -143,7 +144,7 @@
         log_.line("bad-event", "%.*s", static_cast<int>(data.size()), data.data());
         return false;
     }
-    return apply_event(*json, kMaxDiscoveryDelay + discovery_->unheard_for());
+    return apply_event(*json, kMaxDiscoveryDelay + discovery_->unsynchronized_for());
 }
 
 // `max_age`: how long ago the event can have happened at most. Returns false if it is of no known form.
@@ -158,7 +159,7 @@
 }
 
 void Program::free_descriptors() {
-    upstream_.shed(kDescriptorsToFree);
+    pool_.close_idle(kDescriptorsToFree);
 }
 
 std::string Program::module_counters() {
--- a/src/app/program.h
+++ b/src/app/program.h
@@ -13,9 +13,9 @@
 #include "front/platform/platform.h"
 #include "lifecycle.h"
 #include "net/clock.h"
+#include "net/connection_pool.h"
 #include "net/discovery_watch.h"
 #include "net/http_server.h"
-#include "net/upstream.h"
 
 namespace silverrail::app {
 
@@ -56,7 +56,7 @@
     members::Shares shares_;
     net::SystemClock clock_;
     net::TimerQueue timers_;
-    net::Upstream upstream_;
+    net::ConnectionPool pool_;
     Lifecycle lifecycle_;
     core::Engine engine_;
     front::Platform platform_;
--- a/src/app/replica_part.cpp
+++ b/src/app/replica_part.cpp
@@ -90,7 +90,8 @@
     if (store_)
         replica_.restore(std::move(kept.entries), std::move(kept.origins));
     world_.peers.replicate(replica.channel, [this](const cluster::ReplicaMessage& message) {
-        auto out = net::Peer::sends(replica_.receive(message, world_.peers.now(), world_.clock.unix_ms()));
+        auto out = net::PeerTransport::outgoing(
+            replica_.receive(message, world_.peers.now(), world_.clock.unix_ms()));
         // What is not kept is not acknowledged either: the others ask again.
         if (!keep())
             out.clear();
@@ -126,8 +127,8 @@
 }
 
 void ReplicaPart::tick() {
-    auto sends =
-        net::Peer::sends(replica_.tick(world_.peers.now(), world_.clock.unix_ms(), world_.peers.alive()));
+    auto sends = net::PeerTransport::outgoing(
+        replica_.tick(world_.peers.now(), world_.clock.unix_ms(), world_.peers.alive()));
     if (keep())
         world_.peers.send(std::move(sends));
     timer_.expires_after(kTick);
--- a/src/app/resource_limits.cpp
+++ b/src/app/resource_limits.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::size_t kBytesPerMegabyte = 1024 * 1024;
+constexpr std::size_t kBytesPerMegabyte = 1024UL * 1024;
 constexpr std::size_t kDnsListeners = 3;  // UDP, TCP and TLS
 
 }  // namespace
@@ -21,14 +21,14 @@
             .others = settings.dns.on() ? net::DnsLimits{}.connections + kDnsListeners : 0};
 }
 
-net::UpstreamLimits upstream_limits(const config::Config& config, const members::Shares& shares) {
-    net::UpstreamLimits limits;
-    limits.sockets = shares.servers;
+net::ConnectionPoolLimits pool_limits(const config::Config& config, const members::Shares& shares) {
+    net::ConnectionPoolLimits limits;
+    limits.connections = shares.servers;
     if (config.connect_timeout > routing::Span{})
         limits.connect_timeout = config.connect_timeout;
     // Well before the server closes it: a request sent on a connection that is closing would be lost.
     if (config.conn_idle > routing::Span{})
-        limits.idle = config.conn_idle * 2 / 3;
+        limits.idle_timeout = config.conn_idle * 2 / 3;
     return limits;
 }
 
--- a/src/app/resource_limits.h
+++ b/src/app/resource_limits.h
@@ -4,18 +4,18 @@
 #include <string>
 
 #include "config/config.h"
-#include "config/operator.h"
+#include "config/operator_settings.h"
 #include "copies/copies.h"
 #include "members/shares.h"
+#include "net/connection_pool.h"
 #include "net/http_server.h"
-#include "net/upstream.h"
 
 namespace silverrail::app {
 
 // What all processes of this router together may use.
 members::Whole total_resources(const config::Config& config, const config::OperatorSettings& settings);
 
-net::UpstreamLimits upstream_limits(const config::Config& config, const members::Shares& shares);
+net::ConnectionPoolLimits pool_limits(const config::Config& config, const members::Shares& shares);
 net::HttpLimits client_limits(const config::Config& config, const members::Shares& shares);
 copies::Limits cache_limits(const config::Config& config, const members::Shares& shares);
 
--- a/src/app/trace_part.h
+++ b/src/app/trace_part.h
@@ -4,7 +4,7 @@
 #include <optional>
 
 #include "app/part.h"
-#include "config/operator.h"
+#include "config/operator_settings.h"
 #include "core/engine.h"
 #include "net/asio.h"
 #include "trace/recorder.h"
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,58 +1,43 @@
-// The configuration file, straight into what the program uses.
+// The platform's configuration file, read into what the program uses.
 #pragma once
 
 #include <json/json.h>
 
-#include <stdexcept>
 #include <string>
 #include <vector>
 
-#include "config/discovery_event.h"
+#include "config/config_error.h"
+#include "config/endpoint.h"
+#include "config/json_text.h"
 #include "silverrail/routing/router.h"
 
 namespace silverrail::config {
 
-struct ConfigError : std::runtime_error {
-    using std::runtime_error::runtime_error;
-};
-
 struct Config {
     std::string name;
-    std::string listen;     // address:port
-    std::string control;    // address:port; empty: no second address
-    std::string discovery;  // address:port
+    std::string listen;     // ADDRESS:PORT of the clients' listener
+    std::string control;    // ADDRESS:PORT of the operators' listener; empty: none
+    std::string discovery;  // ADDRESS:PORT of service discovery; empty: none
     std::uint64_t seed = 0;
-    std::size_t sockets = 1024;
-    std::size_t memory_mb = 0;    // 0: not told
-    double flow_bytes_per_s = 0;  // of copies of its own: one transfer at most; 0: not told
-    double link_bytes_per_s = 0;  // and all together
-    routing::Span connect_timeout{};
-    routing::Span conn_idle{};  // after that the other side closes an idle connection
-    std::int64_t known_no = 0;  // the last event of `known`
-    std::vector<Json::Value> known;
+    std::size_t sockets = 1024;       // descriptors that this router may open
+    std::size_t memory_mb = 0;        // 0: not given
+    double flow_bytes_per_s = 0;      // of one answer from the cache at most; 0: not given
+    double link_bytes_per_s = 0;      // of all answers from the cache together; 0: not given
+    routing::Span connect_timeout{};  // to servers; 0: not given
+    routing::Span conn_idle{};        // servers close an idle connection after this; 0: not given
+    std::int64_t known_no = 0;        // number of the last event in `known`
+    std::vector<Json::Value> known;   // discovery's events up to the start, unparsed
     routing::Settings settings;
-    Json::Value root;  // as read, less `known`
+    Json::Value root;  // as read, without `known`
 };
 
-// Throws ConfigError, whose text names the key.
+// Throws ConfigError, whose text names the path of the key.
 Config parse_config(const Json::Value& root);
+// Throws ConfigError, or std::system_error if the file cannot be read.
 Config load_config(const std::string& path);
 
-// The settings, by name, that differ in `fresh` and take a restart: all but discovery's address. What is
-// known so far is no setting; discovery itself tells what has come since.
+// The paths of the settings that differ in `fresh` and take effect at a restart only: all but discovery's
+// address. `known` is not compared; the watch has brought what has changed since.
 std::vector<std::string> need_restart(const Config& running, const Config& fresh);
 
-// address:port
-struct Endpoint {
-    std::string host;
-    std::uint16_t port = 0;
-};
-std::optional<Endpoint> parse_endpoint(std::string_view text);
-
-// JSON on one line.
-std::string json_line(const Json::Value& json);
-
-// Whole text as JSON; absent if it is not. Bounded in depth.
-std::optional<Json::Value> parse_json(std::string_view text);
-
 }  // namespace silverrail::config
--- a/src/config/discovery_event.cpp
+++ b/src/config/discovery_event.cpp
@@ -1,7 +1,8 @@
 #include "config/discovery_event.h"
 
 #include <algorithm>
-#include <charconv>
+
+#include "config/hex.h"
 
 namespace silverrail::config {
 
@@ -9,33 +10,49 @@
 
 using routing::Condition;
 
-constexpr Json::ArrayIndex kMostServers = 4096;
+constexpr Json::ArrayIndex kMaxServers = 4096;
+
+// Whole numbers from here on have no exact value as a double, which JSON numbers may be.
+constexpr double kMaxInteger = 9e15;
+
+// Keys of discovery's events.
+constexpr const char* kEventNumber = "no";
+constexpr const char* kServerList = "roster";
+constexpr const char* kListIsComplete = "full";
+constexpr const char* kServers = "servers";
+constexpr const char* kPurge = "recall";
+constexpr const char* kPurgedObject = "item";
+constexpr const char* kPurgedGroup = "lot";
+constexpr const char* kPurgeIssuedUnixMs = "issued";
+
+// Words of discovery for a server's state.
+constexpr std::pair<std::string_view, Condition> kStates[] = {
+    {"active", Condition::ready}, {"leaving", Condition::draining}, {"left", Condition::gone}};
 
-std::optional<Condition> condition_of(const std::string& state) {
-    if (state == "active")
-        return Condition::ready;
-    if (state == "leaving")
-        return Condition::draining;
-    if (state == "left")
-        return Condition::gone;
+std::optional<Condition> parse_state(std::string_view word) {
+    for (const auto& [known, condition] : kStates)
+        if (word == known)
+            return condition;
     return std::nullopt;
 }
 
+// 0 if it is no number.
 std::int64_t integer(const Json::Value& json, const char* key) {
-    const Json::Value& v = json[key];
-    if (v.isInt64())
-        return v.asInt64();
-    // Past what a whole number may be here; a double that large has no exact value either.
-    constexpr double kMost = 9e15;
-    return v.isNumeric() ? static_cast<std::int64_t>(std::clamp(v.asDouble(), -kMost, kMost)) : 0;
+    const Json::Value& value = json[key];
+    if (value.isInt64())
+        return value.asInt64();
+    if (!value.isNumeric())
+        return 0;
+    return static_cast<std::int64_t>(std::clamp(value.asDouble(), -kMaxInteger, kMaxInteger));
 }
 
+// Empty if it is no text.
 std::string text(const Json::Value& json, const char* key) {
     return json[key].isString() ? json[key].asString() : std::string{};
 }
 
 std::optional<core::Server> parse_server(const Json::Value& json) {
-    const auto condition = condition_of(text(json, "state"));
+    const auto condition = parse_state(text(json, "state"));
     core::Server server;
     server.entry.id = routing::ServerId{text(json, "id")};
     server.address = text(json, "addr");
@@ -51,52 +68,50 @@
     return server;
 }
 
-}  // namespace
-
-std::optional<std::uint64_t> parse_hex(std::string_view text) {
-    std::uint64_t id = 0;
-    if (text.empty() || text.size() > 16)
+std::optional<core::ServerChange> parse_server_list(const Json::Value& json) {
+    core::ServerChange change;
+    change.complete = json[kListIsComplete].isBool() && json[kListIsComplete].asBool();
+    const Json::Value& servers = json[kServers];
+    if (!servers.isArray() || servers.size() > kMaxServers)
         return std::nullopt;
-    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), id, 16);
-    if (error != std::errc{} || end != text.data() + text.size())
+    for (const Json::Value& item : servers) {
+        if (!item.isObject())
+            return std::nullopt;
+        if (auto server = parse_server(item))
+            change.servers.push_back(std::move(*server));
+    }
+    return change;
+}
+
+// Names one object, or a group of them.
+std::optional<core::PurgeNotice> parse_purge(const Json::Value& json) {
+    core::PurgeNotice purge;
+    if (json[kPurgedObject].isString()) {
+        const auto object = parse_hex(json[kPurgedObject].asString());
+        if (!object)
+            return std::nullopt;
+        purge.object = routing::ObjectId{*object};
+    } else if (!json[kPurgedGroup].isIntegral()) {
         return std::nullopt;
-    return id;
+    }
+    purge.group = routing::GroupId{static_cast<std::uint64_t>(integer(json, kPurgedGroup))};
+    purge.issued_ms = integer(json, kPurgeIssuedUnixMs);
+    return purge;
 }
 
+}  // namespace
+
 std::optional<DiscoveryEvent> parse_event(const Json::Value& json) {
     if (!json.isObject())
         return std::nullopt;
-    DiscoveryEvent event;
-    event.no = integer(json, "no");
-    if (const Json::Value& roster = json["roster"]; roster.isObject()) {
-        core::ServerChange change;
-        change.complete = roster["full"].isBool() && roster["full"].asBool();
-        const Json::Value& servers = roster["servers"];
-        if (!servers.isArray() || servers.size() > kMostServers)
-            return std::nullopt;
-        for (const Json::Value& item : servers) {
-            if (!item.isObject())
-                return std::nullopt;
-            if (auto server = parse_server(item))
-                change.servers.push_back(std::move(*server));
-        }
-        event.what = std::move(change);
-        return event;
+    const std::int64_t number = integer(json, kEventNumber);
+    if (const Json::Value& list = json[kServerList]; list.isObject()) {
+        auto change = parse_server_list(list);
+        return change ? std::optional{DiscoveryEvent{number, std::move(*change)}} : std::nullopt;
     }
-    if (const Json::Value& recall = json["recall"]; recall.isObject()) {
-        core::PurgeNotice purge;
-        if (recall["item"].isString()) {
-            const auto object = parse_hex(recall["item"].asString());
-            if (!object)
-                return std::nullopt;
-            purge.object = routing::ObjectId{*object};
-        } else if (!recall["lot"].isIntegral()) {
-            return std::nullopt;
-        }
-        purge.group = routing::GroupId{static_cast<std::uint64_t>(integer(recall, "lot"))};
-        purge.issued_ms = integer(recall, "issued");
-        event.what = purge;
-        return event;
+    if (const Json::Value& notice = json[kPurge]; notice.isObject()) {
+        const auto purge = parse_purge(notice);
+        return purge ? std::optional{DiscoveryEvent{number, *purge}} : std::nullopt;
     }
     return std::nullopt;
 }
--- a/src/config/discovery_event.h
+++ b/src/config/discovery_event.h
@@ -1,4 +1,4 @@
-// One event of discovery, as `known` and the stream both hold it.
+// One event of service discovery. The configuration's `known` and the watch stream have the same form.
 #pragma once
 
 #include <json/json.h>
@@ -12,15 +12,13 @@
 namespace silverrail::config {
 
 struct DiscoveryEvent {
-    std::int64_t no = 0;
+    std::int64_t no = 0;  // its number in the stream
     std::variant<core::ServerChange, core::PurgeNotice> what;
 };
 
-// Starts and purges keep their Unix time; what it means on the steady clock is the core's to say. Absent: not
-// an event that this program knows.
+// Times of servers' starts and of purges stay in Unix time; the core converts them to the steady clock.
+// Absent if it is not an event that this version knows. Servers with an unknown state or without an id are
+// skipped.
 std::optional<DiscoveryEvent> parse_event(const Json::Value& json);
 
-// 1 to 16 hex digits.
-std::optional<std::uint64_t> parse_hex(std::string_view text);
-
 }  // namespace silverrail::config
--- a/src/config/operator.h
+++ b/src/config/operator_settings.h
@@ -1,21 +1,27 @@
-// The operator's own file (deploy/silverrail.json): what is on besides the platform's protocol. JSON with
-// comments, a section for each part; a section that is absent leaves its part off. `docs/settings.md` lists
-// it.
+// The operator's file (deploy/silverrail.json): the optional subsystems. JSON with comments, a section for
+// each subsystem; an absent section leaves it off. Fields have the names of the keys; `docs/settings.md`
+// lists them.
 #pragma once
 
+#include <json/json.h>
+
+#include <string>
+#include <vector>
+
 #include "cluster/failover.h"
-#include "config/config.h"
+#include "config/config_error.h"
+#include "silverrail/routing/router.h"
 
 namespace silverrail::config {
 
 struct DnsSettings {
-    std::string udp;  // address:port; empty: off
+    std::string udp;  // ADDRESS:PORT to listen at; empty: off
     std::string tcp;
     std::string tls;
     std::string zone;
     std::string server;          // the name server's name, inside the zone
-    std::string server_address;  // its address, for its own A or AAAA
-    std::string mailbox;
+    std::string server_address;  // its address, for its own A or AAAA record
+    std::string mailbox;         // of the zone's SOA record
     std::uint32_t ttl_s = 1;
     routing::Span deadline = std::chrono::seconds{1};
     bool on() const {
@@ -27,24 +33,23 @@
 struct AcmeSettings {
     std::string directory;  // URL; empty: off
     std::string contact;    // mailto:...; may be empty
-    std::string folder;     // where keys and certificate are kept; empty: nowhere, they end with the program
-    std::string
-        trust;  // file of the certificates that the authority's own may be signed by; empty: the system's
+    std::string folder;     // of the stored keys and certificate; empty: they are lost at the program's end
+    std::string trust;      // file of CA certificates for the authority's own; empty: the system's
     bool on() const {
         return !directory.empty();
     }
     bool operator==(const AcmeSettings&) const = default;
 };
 
-// Both a folder and flight_mb: the flight recorder's dumps go there. Neither: off.
+// A folder and no flight_mb: records are written all the time. Both: the flight recorder dumps there.
 struct TraceSettings {
-    std::string folder;
-    std::int64_t most_mb = 1024;  // of all files in it together
+    std::string folder;           // empty: off
+    std::int64_t most_mb = 1024;  // of all files in the folder together
     std::int64_t file_mb = 64;
     std::int64_t file_minutes = 60;
     std::int64_t flush_ms = 2000;
     std::int64_t queue_kb = 4096;
-    std::int64_t flight_mb = 0;  // above 0: only the newest are kept, in memory, until they are asked for
+    std::int64_t flight_mb = 0;  // above 0: only the newest records are kept, in memory, until a dump
     double dump_at_failed_share = 0;
     std::int64_t dump_window_s = 10;
     std::int64_t dump_least_answers = 50;
@@ -57,13 +62,13 @@
     bool operator==(const TraceSettings&) const = default;
 };
 
-// The fleet's view (docs/operating.md). No bind: off, and nothing of it listens or talks.
+// Cluster membership (docs/operating.md).
 struct PeersSettings {
-    std::string name;  // this member's, unique in the fleet
+    std::string name;  // this member's, unique in the cluster
     std::string zone;
     std::string region;
-    std::string bind;       // a.b.c.d:port, datagrams and stream alike
-    std::string advertise;  // where others reach it; empty: the bind address
+    std::string bind;       // ADDRESS:PORT, for datagrams and streams alike; empty: off
+    std::string advertise;  // where the others reach it; empty: the bind address
     std::vector<std::string> seeds;
     std::int64_t probe_ms = 1000;
     std::int64_t probe_timeout_ms = 500;
@@ -74,8 +79,7 @@
     double suspicion_max_mult = 6;
     std::int64_t replica_ms = 1000;
     std::int64_t tombstone_keep_ms = 86'400'000;
-    std::int64_t hearsay_ms =
-        10'000;  // what others learned of servers counts for so long; 0: nothing is shared
+    std::int64_t hearsay_ms = 10'000;    // lifetime of other members' reports on servers; 0: none are shared
     cluster::FailoverSettings failover;  // no zones: off
     bool on() const {
         return !bind.empty();
@@ -90,13 +94,19 @@
     TraceSettings trace;
 };
 
-// The sections in which they differ.
-std::vector<const char*> changed_sections(const OperatorSettings& a, const OperatorSettings& b);
+// Settings, good only if there are no problems.
+struct CheckedOperatorSettings {
+    OperatorSettings settings;
+    std::vector<ConfigProblem> problems;
+};
 
-// All that is wrong is added to `problems`, each with its path; what is returned is good only if there is
-// none.
-OperatorSettings parse_operator(const Json::Value& root, std::vector<std::string>& problems);
-// The same from a file. One that is absent, where `must_exist` is not set, leaves all off.
-OperatorSettings load_operator(const std::string& path, bool must_exist, std::vector<std::string>& problems);
+CheckedOperatorSettings parse_operator(const Json::Value& root);
+
+// Reads a file. One that is absent leaves everything off, unless `must_exist`. Throws std::system_error if
+// the file cannot be read for a reason that may pass.
+CheckedOperatorSettings load_operator(const std::string& path, bool must_exist);
+
+// The names of the sections that differ.
+std::vector<const char*> changed_sections(const OperatorSettings& a, const OperatorSettings& b);
 
 }  // namespace silverrail::config
--- /dev/null
+++ b/src/config/peers_settings.cpp
@@ -0,0 +1,130 @@
+#include "config/peers_settings.h"
+
+#include <algorithm>
+
+#include "config/endpoint.h"
+
+namespace silverrail::config {
+
+namespace {
+
+constexpr std::size_t kMaxSeeds = 64;
+constexpr std::size_t kMaxNameBytes = 64;
+constexpr std::size_t kMaxPlaceBytes = 32;  // of a zone or region
+constexpr std::int64_t kMinSharedReportMs = 1'000;
+
+// Zone and region names stand in stored decisions, whose text gives '=' and spaces a meaning.
+bool is_place_name(const std::string& name) {
+    return !name.empty() && name.size() <= cluster::kLongestPlace &&
+           std::all_of(name.begin(), name.end(), [](char c) { return c > ' ' && c < '\x7f' && c != '='; });
+}
+
+void read_zone(SettingsSection& section, std::vector<cluster::FailoverZone>& zones) {
+    cluster::FailoverZone zone{section.text("name"), section.text("region"),
+                               static_cast<std::size_t>(section.integer("routers", 0, 1, 10'000))};
+    if (!is_place_name(zone.name))
+        section.add_problem("name", "needed, of 1 to 32 plain letters without '='");
+    if (!is_place_name(zone.region))
+        section.add_problem("region", "needed, of 1 to 32 plain letters without '='");
+    if (zone.routers == 0)
+        section.add_problem("routers", "needed: how many the zone has");
+    for (const auto& other : zones)
+        if (other.name == zone.name)
+            section.add_problem("name", "given twice: " + zone.name);
+    zones.push_back(std::move(zone));
+}
+
+cluster::FailoverSettings parse_failover(SettingsSection section, const std::string& own_zone) {
+    cluster::FailoverSettings f;
+    if (!section.present())
+        return f;
+    section.for_each("zones", cluster::FailoverSettings::kMostZones,
+                     [&f](SettingsSection& item) { read_zone(item, f.zones); });
+    const auto milliseconds = [&section](const char* key, cluster::Time fallback, std::int64_t min,
+                                         std::int64_t max) {
+        return cluster::Time{section.integer(key, fallback.count(), min, max)};
+    };
+    f.overprovision = section.number("overprovision", f.overprovision, 1, 10);
+    f.panic = section.number("panic", f.panic, 0, 1);
+    f.step_out = section.number("step_out", f.step_out, 0.01, 1);
+    f.step_back = section.number("step_back", f.step_back, 0.01, 1);
+    f.least = section.number("least", f.least, 0, 1);
+    f.hold = milliseconds("hold_ms", f.hold, 500, 3'600'000);
+    f.confirm = milliseconds("confirm_ms", f.confirm, 0, 60'000);
+    f.slot = milliseconds("slot_ms", f.slot, 50, 10'000);
+    f.witnesses =
+        static_cast<std::size_t>(section.integer("witnesses", static_cast<std::int64_t>(f.witnesses), 1, 64));
+    const bool own_zone_listed =
+        std::any_of(f.zones.begin(), f.zones.end(),
+                    [&own_zone](const cluster::FailoverZone& zone) { return zone.name == own_zone; });
+    if (!own_zone_listed)
+        section.add_problem("zones", "this router's own zone is not among them: " + own_zone);
+    return f;
+}
+
+void read_identity(SettingsSection& section, PeersSettings& p) {
+    p.name = section.text("name");
+    p.zone = section.text("zone");
+    p.region = section.text("region");
+    p.bind = read_endpoint(section, "bind");
+    p.advertise = read_endpoint(section, "advertise");
+    p.seeds = section.texts("seeds", kMaxSeeds);
+    for (const auto& seed : p.seeds)
+        if (!parse_endpoint(seed))
+            section.add_problem("seeds", "not an address and a port: " + seed);
+}
+
+void read_membership(SettingsSection& section, PeersSettings& p) {
+    p.probe_ms = section.integer("probe_ms", p.probe_ms, 10, 60'000);
+    p.probe_timeout_ms = section.integer("probe_timeout_ms", p.probe_timeout_ms, 1, 60'000);
+    p.push_pull_ms = section.integer("push_pull_ms", p.push_pull_ms, 100, 3'600'000);
+    p.dead_keep_ms = section.integer("dead_keep_ms", p.dead_keep_ms, 1'000, 86'400'000);
+    p.indirect = section.integer("indirect", p.indirect, 0, 16);
+    p.suspicion_mult = section.number("suspicion_mult", p.suspicion_mult, 1, 100);
+    p.suspicion_max_mult = section.number("suspicion_max_mult", p.suspicion_max_mult, 1, 100);
+}
+
+void read_replication(SettingsSection& section, PeersSettings& p) {
+    p.replica_ms = section.integer("replica_ms", p.replica_ms, 50, 60'000);
+    p.tombstone_keep_ms =
+        section.integer("tombstone_keep_ms", p.tombstone_keep_ms, 10'000, 30 * 86'400'000LL);
+    p.hearsay_ms = section.integer("hearsay_ms", p.hearsay_ms, 0, 30'000);
+    if (p.hearsay_ms > 0 && p.hearsay_ms < kMinSharedReportMs)
+        section.add_problem("hearsay_ms", "0, or 1000 to 30000");
+}
+
+void check_membership(SettingsSection& section, const PeersSettings& p) {
+    if (p.bind.empty())
+        section.add_problem("bind", "needed: where the peers' port is");
+    if (p.name.empty() || p.name.size() > kMaxNameBytes)
+        section.add_problem("name", "needed, of 1 to 64 bytes");
+    if (p.zone.size() > kMaxPlaceBytes)
+        section.add_problem("zone", "at most 32 bytes");
+    if (p.region.size() > kMaxPlaceBytes)
+        section.add_problem("region", "at most 32 bytes");
+    if (p.probe_timeout_ms >= p.probe_ms)
+        section.add_problem("probe_timeout_ms", "must be shorter than probe_ms");
+}
+
+}  // namespace
+
+std::string read_endpoint(SettingsSection& section, const char* key) {
+    const std::string text = section.text(key);
+    if (!text.empty() && !parse_endpoint(text))
+        section.add_problem(key, "not an address and a port: " + text);
+    return text;
+}
+
+PeersSettings parse_peers(SettingsSection section) {
+    PeersSettings settings;
+    if (!section.present())
+        return settings;
+    read_identity(section, settings);
+    read_membership(section, settings);
+    read_replication(section, settings);
+    settings.failover = parse_failover(section.child("failover"), settings.zone);
+    check_membership(section, settings);
+    return settings;
+}
+
+}  // namespace silverrail::config
--- a/src/front/admin/admin.h
+++ b/src/front/admin/admin.h
@@ -1,44 +1,56 @@
-// The second address as operators see it: a call in, an answer out.
+// The control address as operators see it: a command in, an answer out.
 #pragma once
 
 #include <functional>
+#include <string>
+#include <string_view>
 
 #include "core/engine.h"
+#include "front/admin/command_parser.h"
 #include "lifecycle.h"
 
 namespace silverrail::front::admin {
 
-struct Verdict {
-    bool yes = false;
-    std::string words;
+struct CommandResult {
+    bool ok = false;
+    std::string text;  // for the operator
 };
 
-// Whoever takes servers out and back.
-class Hands {
+// Takes servers out of use, and back, by an operator's command.
+class ServerOverrides {
 public:
-    virtual ~Hands() = default;
-    virtual Verdict out(const core::ServerId& server) = 0;
-    virtual Verdict back(const core::ServerId& server) = 0;
+    virtual ~ServerOverrides() = default;
+    virtual CommandResult take_offline(const core::ServerId& server) = 0;
+    virtual CommandResult bring_online(const core::ServerId& server) = 0;
 };
 
-// What the fleet answers: MEMBERS, REPLICA, FAILOVER and PIN; each empty where the router has no such part.
-struct Fleet {
+// What the cluster's parts answer; each is empty where the router has no such part.
+struct ClusterCommands {
     std::function<std::string()> members{}, replica{}, failover{};
-    std::function<Verdict(const std::string& zone, const std::string& how)> pin{};
+    std::function<CommandResult(const std::string& zone, const std::string& mode)> pin{};
 };
 
 class Admin {
 public:
-    Admin(core::Engine& engine, Hands& hands, const Lifecycle& lifecycle, Log& log, Fleet fleet = {})
-        : engine_(engine), hands_(hands), lifecycle_(lifecycle), log_(log), fleet_(std::move(fleet)) {}
-    std::string answer(std::string_view line, bool ended);
+    Admin(core::Engine& engine, ServerOverrides& overrides, const Lifecycle& lifecycle, Log& log,
+          ClusterCommands cluster = {})
+        : engine_(engine),
+          overrides_(overrides),
+          lifecycle_(lifecycle),
+          log_(log),
+          cluster_(std::move(cluster)) {}
+    // The answer to a line, as parse_command() takes it.
+    std::string answer(std::string_view line, bool terminated);
 
 private:
+    std::string run(const Command& command);
+    std::string health() const;
+
     core::Engine& engine_;
-    Hands& hands_;
+    ServerOverrides& overrides_;
     const Lifecycle& lifecycle_;
     Log& log_;
-    Fleet fleet_;
+    ClusterCommands cluster_;
 };
 
 }  // namespace silverrail::front::admin
--- a/src/front/dns/front.cpp
+++ b/src/front/dns/front.cpp
@@ -1,6 +1,6 @@
 #include "front/dns/front.h"
 
-#include "config/config.h"
+#include "config/endpoint.h"
 
 namespace silverrail::front::dns {
 
--- a/src/front/dns/zone.cpp
+++ b/src/front/dns/zone.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <charconv>
 
-#include "config/discovery_event.h"
+#include "config/hex.h"
 
 namespace silverrail::front::dns {
 
--- a/src/front/platform/platform.cpp
+++ b/src/front/platform/platform.cpp
@@ -4,7 +4,7 @@
 #include <charconv>
 #include <cmath>
 
-#include "config/discovery_event.h"
+#include "config/hex.h"
 
 namespace silverrail::front {
 
@@ -12,19 +12,37 @@
 
 namespace {
 
-constexpr std::string_view kPath = "/ops/";
-constexpr std::string_view kPart = "piece-";
-constexpr std::int64_t kLongestWaitMs = 600'000;
-constexpr double kLargestKb = 1e7;
-constexpr std::size_t kLongestTag = 128;
-constexpr std::size_t kLongestKey = 128;
+constexpr unsigned kHttp11 = 11;
+
+// Targets.
+constexpr std::string_view kHealthTarget = "/alive";
+constexpr std::string_view kCountersTarget = "/counters";
+constexpr std::string_view kObjectPrefix = "/ops/";
+constexpr std::string_view kPartPrefix = "piece-";
+
+// Request headers.
+constexpr const char* kRequestId = "Trace-Id";
+constexpr const char* kTimeoutMs = "Max-Wait-Ms";
+constexpr const char* kPurgeGroup = "X-Lot";
+constexpr const char* kExpectedKb = "Reserve-Kb";
+constexpr const char* kIdempotencyKey = "Replay-Key";
+
+// Response headers.
+constexpr const char* kRetryAfterMs = "Hold-Off-Ms";
+
+constexpr std::size_t kIdDigits = 16;  // of requests and objects
+constexpr std::int64_t kMaxTimeoutMs = 600'000;
+constexpr std::uint64_t kMaxPurgeGroup = 255;
+constexpr double kMaxExpectedKb = 1e7;
+constexpr std::size_t kMaxTagBytes = 128;
+constexpr std::size_t kMaxKeyBytes = 128;
 
 std::string_view view(net::beast::string_view text) {
     return {text.data(), text.size()};
 }
 
 template <class Number>
-std::optional<Number> number(std::string_view text) {
+std::optional<Number> parse_number(std::string_view text) {
     Number value{};
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
     if (error != std::errc{} || end != text.data() + text.size())
@@ -32,35 +50,43 @@
     return value;
 }
 
-// CLASS/OBJECT/piece-PART
+// "piece-N", in the one form that servers are sent it in: without leading zeros.
+std::optional<std::uint32_t> parse_part(std::string_view text) {
+    if (!text.starts_with(kPartPrefix))
+        return std::nullopt;
+    text.remove_prefix(kPartPrefix.size());
+    const auto part = parse_number<std::uint32_t>(text);
+    if (!part || std::to_string(*part) != text)
+        return std::nullopt;
+    return part;
+}
+
+// "/ops/CLASS/OBJECT/piece-N". Returns false if the target is of another form.
 bool parse_target(std::string_view target, core::Call& call) {
-    if (!target.starts_with(kPath))
+    if (!target.starts_with(kObjectPrefix))
         return false;
-    target.remove_prefix(kPath.size());
+    target.remove_prefix(kObjectPrefix.size());
     const auto object_at = target.find('/');
     if (object_at == std::string_view::npos || object_at == 0)
         return false;
     const auto part_at = target.find('/', object_at + 1);
     if (part_at == std::string_view::npos)
         return false;
-    const std::string_view part = target.substr(part_at + 1);
     call.class_name = target.substr(0, object_at);
     call.object = target.substr(object_at + 1, part_at - object_at - 1);
     const auto object = config::parse_hex(call.object);
-    if (!object || call.object.size() != 16 || !part.starts_with(kPart))
-        return false;
-    // Passed on as a number: only what reads the same again passes on unchanged.
-    const auto number_of_part = number<std::uint32_t>(part.substr(kPart.size()));
-    if (!number_of_part || std::to_string(*number_of_part) != part.substr(kPart.size()))
+    const auto part = parse_part(target.substr(part_at + 1));
+    if (!object || call.object.size() != kIdDigits || !part)
         return false;
     call.object_id = routing::ObjectId{*object};
-    call.part = *number_of_part;
+    call.part = *part;
     return true;
 }
 
-// The bare tag of `"TAG"`; a list or a weak tag names no copy here, nor does what no server could read.
+// The bare tag of `"TAG"`. Empty for a list or a weak tag, which name no copy here, and for a tag that no
+// server could read.
 std::string bare_tag(std::string_view text) {
-    if (text.size() < 3 || text.size() > kLongestTag || text.front() != '"' || text.back() != '"')
+    if (text.size() < 3 || text.size() > kMaxTagBytes || text.front() != '"' || text.back() != '"')
         return {};
     text = text.substr(1, text.size() - 2);
     const bool plain = std::all_of(text.begin(), text.end(),
@@ -68,18 +94,50 @@
     return plain ? std::string{text} : std::string{};
 }
 
-// The key of a request that servers may be sent again: once, and passed on as it came.
-std::optional<std::string> idempotency_key(const net::HttpRequest& request) {
-    const auto told = request.count("Replay-Key");
-    if (told == 0)
+// Empty if the request has no key; absent if what it has is not one good key.
+std::optional<std::string> parse_idempotency_key(const net::HttpRequest& request) {
+    const auto count = request.count(kIdempotencyKey);
+    if (count == 0)
         return std::string{};
-    const auto key = view(request["Replay-Key"]);
+    const auto key = view(request[kIdempotencyKey]);
     const bool plain = std::all_of(key.begin(), key.end(), [](char c) { return c > ' ' && c < '\x7f'; });
-    if (told > 1 || key.empty() || key.size() > kLongestKey || !plain)
+    if (count > 1 || key.empty() || key.size() > kMaxKeyBytes || !plain)
         return std::nullopt;
     return std::string{key};
 }
 
+std::optional<std::chrono::milliseconds> parse_timeout(const net::HttpRequest& request) {
+    const auto ms = parse_number<std::int64_t>(view(request[kTimeoutMs]));
+    if (!ms || *ms <= 0 || *ms > kMaxTimeoutMs)
+        return std::nullopt;
+    return std::chrono::milliseconds{*ms};
+}
+
+// Returns false if the header is there and no group.
+bool parse_purge_group(const net::HttpRequest& request, core::Call& call) {
+    const auto text = view(request[kPurgeGroup]);
+    call.group_known = !text.empty();
+    if (!call.group_known)
+        return true;
+    const auto group = parse_number<std::uint64_t>(text);
+    if (!group || *group > kMaxPurgeGroup)
+        return false;
+    call.group = routing::GroupId{*group};
+    return true;
+}
+
+// Returns false if the header is there and no size.
+bool parse_expected_size(const net::HttpRequest& request, core::Call& call) {
+    const auto text = view(request[kExpectedKb]);
+    if (text.empty())
+        return true;
+    const auto kb = parse_number<double>(text);
+    if (!kb || !std::isfinite(*kb) || *kb < 0 || *kb > kMaxExpectedKb)
+        return false;
+    call.size_kb = *kb;
+    return true;
+}
+
 class Reply : public core::ReplySink {
 public:
     explicit Reply(std::shared_ptr<net::HttpSession> session) : session_(std::move(session)) {}
@@ -97,36 +155,26 @@
 
 }  // namespace
 
-std::variant<core::Call, std::string> parse_call(net::HttpRequest request, core::Time arrived) {
+std::variant<core::Call, RequestError> parse_call(net::HttpRequest request, core::Time arrived) {
     core::Call call;
     if (request.method() != http::verb::get && request.method() != http::verb::put)
-        return "neither GET nor PUT";
+        return RequestError{"neither GET nor PUT"};
     if (!parse_target(view(request.target()), call))
-        return "no such target";
-    call.trace = view(request["Trace-Id"]);
-    if (call.trace.size() != 16 || !config::parse_hex(call.trace))
-        return "Trace-Id: not 16 hex digits";
-    const auto wait = number<std::int64_t>(view(request["Max-Wait-Ms"]));
-    if (!wait || *wait <= 0 || *wait > kLongestWaitMs)
-        return "Max-Wait-Ms: not a time";
-    call.deadline = arrived + std::chrono::milliseconds{*wait};
-    if (const auto lot = view(request["X-Lot"]); !lot.empty()) {
-        const auto group = number<std::uint64_t>(lot);
-        if (!group || *group > 255)
-            return "X-Lot: not 0 to 255";
-        call.group = routing::GroupId{*group};
-    } else {
-        call.group_known = false;
-    }
-    if (const auto kb = view(request["Reserve-Kb"]); !kb.empty()) {
-        const auto size = number<double>(kb);
-        if (!size || !std::isfinite(*size) || *size < 0 || *size > kLargestKb)
-            return "Reserve-Kb: not a size";
-        call.size_kb = *size;
-    }
-    const auto key = idempotency_key(request);
+        return RequestError{"no such target"};
+    call.trace = view(request[kRequestId]);
+    if (call.trace.size() != kIdDigits || !config::parse_hex(call.trace))
+        return RequestError{"Trace-Id: not 16 hex digits"};
+    const auto timeout = parse_timeout(request);
+    if (!timeout)
+        return RequestError{"Max-Wait-Ms: not a time"};
+    call.deadline = arrived + *timeout;
+    if (!parse_purge_group(request, call))
+        return RequestError{"X-Lot: not 0 to 255"};
+    if (!parse_expected_size(request, call))
+        return RequestError{"Reserve-Kb: not a size"};
+    const auto key = parse_idempotency_key(request);
     if (!key)
-        return "Replay-Key: not one key";
+        return RequestError{"Replay-Key: not one key"};
     call.idempotency_key = *key;
     call.have = bare_tag(view(request[http::field::if_none_match]));
     call.write = request.method() == http::verb::put;
@@ -137,54 +185,62 @@
 
 net::HttpResponse response_of(core::Answer answer) {
     using Kind = core::Answer::Kind;
-    net::HttpResponse r{http::status::bad_gateway, 11};
+    net::HttpResponse response{http::status::bad_gateway, kHttp11};
     switch (answer.kind) {
         case Kind::served:
-            r.result(http::status::ok);
-            r.body() = std::move(answer.body);
+            response.result(http::status::ok);
+            response.body() = std::move(answer.body);
             break;
         case Kind::unchanged:
-            r.result(http::status::not_modified);
+            response.result(http::status::not_modified);
             break;
         case Kind::refused:
-            r.result(http::status::service_unavailable);
+            response.result(http::status::service_unavailable);
             if (answer.hold_off > core::Span{})
-                r.set("Hold-Off-Ms", std::to_string(answer.hold_off / std::chrono::milliseconds{1}));
+                response.set(kRetryAfterMs, std::to_string(answer.hold_off / std::chrono::milliseconds{1}));
             break;
         case Kind::failed:
             if (answer.timed_out)
-                r.result(http::status::gateway_timeout);
+                response.result(http::status::gateway_timeout);
             break;
         case Kind::redirected:
-            break;  // never asked for by this front
+            break;  // only the DNS front asks for it
     }
     if (!answer.tag.empty())
-        r.set(http::field::etag, "\"" + answer.tag + "\"");
-    return r;
+        response.set(http::field::etag, "\"" + answer.tag + "\"");
+    return response;
+}
+
+net::HttpResponse Platform::health_response() const {
+    const auto status = lifecycle_.ready() ? http::status::ok : http::status::service_unavailable;
+    net::HttpResponse response{status, kHttp11};
+    response.body() = Lifecycle::name(lifecycle_.phase());
+    return response;
+}
+
+net::HttpResponse Platform::counters_response() const {
+    net::HttpResponse response{http::status::ok, kHttp11};
+    response.body() = engine_.counters().text();
+    if (more_counters_)
+        response.body() += more_counters_();
+    return response;
 }
 
 void Platform::handle(const std::shared_ptr<net::HttpSession>& session, net::HttpRequest request) {
-    if (request.method() == http::verb::get && request.target() == "/alive") {
-        net::HttpResponse r{lifecycle_.ready() ? http::status::ok : http::status::service_unavailable, 11};
-        r.body() = Lifecycle::name(lifecycle_.phase());
-        return session->respond(std::move(r));
-    }
-    if (request.method() == http::verb::get && request.target() == "/counters") {
-        net::HttpResponse r{http::status::ok, 11};
-        r.body() = engine_.counters().text();
-        if (more_counters_)
-            r.body() += more_counters_();
-        return session->respond(std::move(r));
-    }
+    const bool is_get = request.method() == http::verb::get;
+    if (is_get && view(request.target()) == kHealthTarget)
+        return session->respond(health_response());
+    if (is_get && view(request.target()) == kCountersTarget)
+        return session->respond(counters_response());
     auto call = parse_call(std::move(request), session->arrived());
-    if (const auto* why = std::get_if<std::string>(&call)) {
-        log_.line("bad-call", "%s", why->c_str());
-        return session->respond({http::status::bad_request, 11});
+    if (const auto* error = std::get_if<RequestError>(&call)) {
+        log_.line("bad-call", "%s", error->reason.c_str());
+        return session->respond({http::status::bad_request, kHttp11});
     }
     std::get<core::Call>(call).client = session->client();
     const auto id = engine_.take(std::get<core::Call>(std::move(call)), std::make_shared<Reply>(session));
     if (id)
-        session->when_gone([&engine = engine_, id = *id] { engine.abandon(id); });
+        session->when_disconnected([&engine = engine_, id = *id] { engine.abandon(id); });
 }
 
 }  // namespace silverrail::front
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -9,264 +9,288 @@
 namespace silverrail::net {
 
 namespace {
-constexpr std::chrono::milliseconds kFirstPause{50};
-constexpr std::chrono::milliseconds kLongestPause{500};
-constexpr std::chrono::milliseconds kConnect{1000};
-// Where many ask at once an answer takes its time: asked anew each time, one would never have it. So a
-// connection that was asked is waited for beside the next one, for so long and so many.
-constexpr std::chrono::milliseconds kLongestAnswer{10'000};
-constexpr std::size_t kMostUnanswered = 2;
-// What was missed comes right behind the answer's head. What comes later than this tells that the feed is
-// live, while a purge that was missed may still be heeded. Not counted from the asking: a slow answer would
-// use it up.
-constexpr std::chrono::milliseconds kCaughtUp{300};
+
+constexpr std::chrono::milliseconds kFirstBackoff{50};
+constexpr std::chrono::milliseconds kMaxBackoff{500};
+constexpr std::chrono::milliseconds kConnectTimeout{1000};
+
+// Under load the server answers slowly; a request that is repeated at each timeout would never be answered.
+// So an unanswered connection is kept waiting beside the next one, for this long and this many.
+constexpr std::chrono::milliseconds kMaxResponseTime{10'000};
+constexpr std::size_t kMaxUnanswered = 2;
+
+// Missed events come right behind the response header. A line that comes later than this shows that the
+// stream is live, and is early enough for a missed purge to take effect in time. Not counted from the
+// request, as a slow response would use it up.
+constexpr std::chrono::milliseconds kCatchUpTime{300};
+
+constexpr std::size_t kReadBufferBytes = 64UL * 1024;
+constexpr std::size_t kChunkBytes = 16UL * 1024;
+constexpr unsigned kHttp11 = 11;
+constexpr const char* kStreamPath = "/bulletins";
+constexpr const char* kResumeAfter = "Last-Event-ID";
+
+// 0 if it is no number.
+std::int64_t parse_event_number(const std::string& text) {
+    std::int64_t number = 0;
+    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
+    return error == std::errc{} && end == text.data() + text.size() ? number : 0;
+}
+
 }  // namespace
 
-struct DiscoveryWatch::Link {
-    explicit Link(asio::io_context& io) : socket(io), silence(io) {
+struct DiscoveryWatch::Connection {
+    explicit Connection(asio::io_context& io) : socket(io), timeout(io) {
         parser.body_limit(boost::none);
     }
     void close() {
-        over = true;
-        silence.cancel();
+        closed = true;
+        timeout.cancel();
         error_code ignored;
         socket.close(ignored);
     }
     TcpStream socket;
-    asio::steady_timer silence;
+    asio::steady_timer timeout;
     http::request<http::empty_body> request;
-    beast::flat_buffer buffer{64 * 1024};
+    beast::flat_buffer buffer{kReadBufferBytes};
     http::response_parser<http::buffer_body> parser;
-    std::array<char, 16 * 1024> bytes{};
+    std::array<char, kChunkBytes> chunk{};
     SseParser events;
-    std::chrono::steady_clock::time_point answered{};
-    bool over = false;
+    std::chrono::steady_clock::time_point answered_at{};
+    bool closed = false;
 };
 
-DiscoveryWatch::DiscoveryWatch(asio::io_context& io, tcp::endpoint at, std::int64_t last, Take take, Log& log,
-                               std::uint64_t seed)
+DiscoveryWatch::DiscoveryWatch(asio::io_context& io, tcp::endpoint server, std::int64_t last_event,
+                               EventHandler on_event, Log& log, std::uint64_t seed)
     : io_(io),
-      at_(std::move(at)),
-      last_(last),
-      take_(std::move(take)),
+      server_(std::move(server)),
+      last_event_(last_event),
+      on_event_(std::move(on_event)),
       log_(log),
-      wait_(io),
-      pause_(kFirstPause, kLongestPause, seed) {}
+      reconnect_timer_(io),
+      backoff_(kFirstBackoff, kMaxBackoff, seed) {}
 
 DiscoveryWatch::~DiscoveryWatch() {
-    if (link_)
-        link_->close();
-    let_go(std::move(unanswered_));
+    if (current_)
+        current_->close();
+    close_all(std::exchange(unanswered_, {}));
 }
 
-void DiscoveryWatch::move_to(const tcp::endpoint& at) {
-    if (at == at_)
+void DiscoveryWatch::move_to(const tcp::endpoint& server) {
+    if (server == server_)
         return;
-    at_ = at;
-    sure(false);
-    // Given up at once, half an event with it: the old address may stay open and tell nothing more.
-    if (const auto old = std::exchange(link_, nullptr))
+    server_ = server;
+    set_synchronized(false);
+    // Closed at once, with half an event if need be: the old server may stay open and send nothing more.
+    if (const auto old = std::exchange(current_, nullptr))
         old->close();
-    let_go(std::exchange(unanswered_, {}));
-    wait_.cancel();
-    pause_.reset();
+    close_all(std::exchange(unanswered_, {}));
+    reconnect_timer_.cancel();
+    backoff_.reset();
     connect();
 }
 
 void DiscoveryWatch::connect() {
     ++counters_.connects;
-    const auto link = link_ = std::make_shared<Link>(io_);
-    link->silence.expires_after(kConnect);
-    link->silence.async_wait([this, link](const error_code& error) {
-        if (!error && !link->over)
-            again(link, "no connection in time");
+    const auto connection = current_ = std::make_shared<Connection>(io_);
+    connection->timeout.expires_after(kConnectTimeout);
+    connection->timeout.async_wait([this, connection](const error_code& error) {
+        if (!error && !connection->closed)
+            fail(connection, "no connection in time");
     });
-    link->socket.async_connect(at_, [this, link](const error_code& error) {
-        if (link->over)
+    connection->socket.async_connect(server_, [this, connection](const error_code& error) {
+        if (connection->closed)
             return;
         if (error)
-            return again(link, error.message().c_str());
-        request(link);
+            return fail(connection, error.message().c_str());
+        send_request(connection);
+    });
+}
+
+void DiscoveryWatch::reconnect_after_backoff() {
+    reconnect_timer_.expires_after(backoff_.next());
+    reconnect_timer_.async_wait([this](const error_code& error) {
+        // move_to() may have connected after this wait was over.
+        if (!error && !current_)
+            connect();
     });
 }
 
-void DiscoveryWatch::request(const std::shared_ptr<Link>& link) {
-    link->request = {http::verb::get, "/bulletins", 11};
-    link->request.set(http::field::host, at_.address().to_string() + ":" + std::to_string(at_.port()));
-    link->request.set(http::field::accept, "text/event-stream");
-    link->request.set("Last-Event-ID", std::to_string(last_));
-    link->silence.expires_after(kSilence);
-    link->silence.async_wait([this, link](const error_code& error) {
-        if (!error && !link->over)
-            ask_beside(link);
+void DiscoveryWatch::send_request(const ConnectionPointer& connection) {
+    auto& request = connection->request;
+    request = {http::verb::get, kStreamPath, kHttp11};
+    request.set(http::field::host, server_.address().to_string() + ":" + std::to_string(server_.port()));
+    request.set(http::field::accept, "text/event-stream");
+    request.set(kResumeAfter, std::to_string(last_event_));
+    connection->timeout.expires_after(kSilenceTimeout);
+    connection->timeout.async_wait([this, connection](const error_code& error) {
+        if (!error && !connection->closed)
+            on_slow_response(connection);
     });
-    http::async_write(link->socket, link->request, [this, link](const error_code& error, std::size_t) {
-        if (link->over)
+    http::async_write(connection->socket, request, [this, connection](const error_code& error, std::size_t) {
+        if (connection->closed)
             return;
         if (error)
-            return again(link, error.message().c_str());
-        http::async_read_header(link->socket, link->buffer, link->parser,
-                                [this, link](const error_code& e, std::size_t) {
-                                    if (link->over)
-                                        return;
-                                    if (e)
-                                        return again(link, e.message().c_str());
-                                    if (link->parser.get().result() != http::status::ok)
-                                        return again(link, "not 200");
-                                    answered(link);
-                                });
+            return fail(connection, error.message().c_str());
+        read_response_header(connection);
     });
 }
 
-// The first to answer is the one that is read.
-void DiscoveryWatch::answered(const std::shared_ptr<Link>& link) {
-    if (link_ != link) {
-        if (link_)
-            link_->close();
-        wait_.cancel();
-        link_ = link;
+void DiscoveryWatch::read_response_header(const ConnectionPointer& connection) {
+    http::async_read_header(connection->socket, connection->buffer, connection->parser,
+                            [this, connection](const error_code& error, std::size_t) {
+                                if (connection->closed)
+                                    return;
+                                if (error)
+                                    return fail(connection, error.message().c_str());
+                                if (connection->parser.get().result() != http::status::ok)
+                                    return fail(connection, "not 200");
+                                on_response_header(connection);
+                            });
+}
+
+// The first connection to be answered is the one that is read.
+void DiscoveryWatch::on_response_header(const ConnectionPointer& connection) {
+    if (current_ != connection) {
+        if (current_)
+            current_->close();
+        reconnect_timer_.cancel();
+        current_ = connection;
     }
-    std::erase(unanswered_, link);
-    let_go(std::exchange(unanswered_, {}));
-    log_.line("bulletin-up", "resuming after event %lld", static_cast<long long>(last_));
-    link->answered = std::chrono::steady_clock::now();
-    arm(link);
-    read(link);
+    std::erase(unanswered_, connection);
+    close_all(std::exchange(unanswered_, {}));
+    log_.line("discovery-up", "resuming after event %lld", static_cast<long long>(last_event_));
+    connection->answered_at = std::chrono::steady_clock::now();
+    restart_silence_timer(connection);
+    read_events(connection);
 }
 
-// No answer in time: it may be slow, and it may be dead.
-void DiscoveryWatch::ask_beside(const std::shared_ptr<Link>& link) {
-    if (link_ != link)
+// No response in time: the server may be slow or dead. Waits for it beside another connection.
+void DiscoveryWatch::on_slow_response(const ConnectionPointer& connection) {
+    if (current_ != connection)
         return;
     ++counters_.slow;
-    log_.line("bulletin-slow", "no answer yet; last event %lld", static_cast<long long>(last_));
-    link->silence.expires_after(kLongestAnswer - kSilence);
-    link->silence.async_wait([this, link](const error_code& error) {
-        if (!error && !link->over)
-            again(link, "no answer");
+    log_.line("discovery-slow", "no answer yet; last event %lld", static_cast<long long>(last_event_));
+    connection->timeout.expires_after(kMaxResponseTime - kSilenceTimeout);
+    connection->timeout.async_wait([this, connection](const error_code& error) {
+        if (!error && !connection->closed)
+            fail(connection, "no answer");
     });
-    unanswered_.push_back(std::exchange(link_, nullptr));
-    if (unanswered_.size() > kMostUnanswered) {
-        let_go({unanswered_.front()});
+    unanswered_.push_back(std::exchange(current_, nullptr));
+    if (unanswered_.size() > kMaxUnanswered) {
+        unanswered_.front()->close();
         unanswered_.erase(unanswered_.begin());
     }
-    connect_after_pause();
+    reconnect_after_backoff();
 }
 
-void DiscoveryWatch::let_go(std::vector<std::shared_ptr<Link>> links) {
-    for (const auto& link : links)
-        link->close();
+void DiscoveryWatch::close_all(const std::vector<ConnectionPointer>& connections) {
+    for (const auto& connection : connections)
+        connection->close();
 }
 
-void DiscoveryWatch::read(const std::shared_ptr<Link>& link) {
-    auto& body = link->parser.get().body();
-    body.data = link->bytes.data();
-    body.size = link->bytes.size();
+void DiscoveryWatch::read_events(const ConnectionPointer& connection) {
+    auto& body = connection->parser.get().body();
+    body.data = connection->chunk.data();
+    body.size = connection->chunk.size();
     http::async_read_some(
-        link->socket, link->buffer, link->parser, [this, link](error_code error, std::size_t) {
-            if (link->over)
-                return;
-            if (error == http::error::need_buffer)
-                error = {};
-            const auto got = link->bytes.size() - link->parser.get().body().size;
-            const auto lines = link->events.lines();
-            const bool read_all = link->events.feed({link->bytes.data(), got}, [&](const auto& event) {
-                if (!link->over)
-                    take(link, event);
-            });
-            if (link->over)
-                return;
-            if (!read_all)
-                return again(link, "an event over the bound");
-            if (error)
-                return again(link, error.message().c_str());
-            if (link->parser.is_done())
-                return again(link, "ended");
-            if (link->events.lines() != lines)
-                alive(link);
-            read(link);
+        connection->socket, connection->buffer, connection->parser,
+        [this, connection](const error_code& error, std::size_t) { on_bytes(connection, error); });
+}
+
+void DiscoveryWatch::on_bytes(const ConnectionPointer& connection, const error_code& error) {
+    if (connection->closed)
+        return;
+    const std::size_t size = connection->chunk.size() - connection->parser.get().body().size;
+    const auto lines_before = connection->events.lines();
+    const bool within_bounds =
+        connection->events.feed({connection->chunk.data(), size}, [&](const SseParser::Event& event) {
+            if (!connection->closed)
+                on_event(connection, event);
         });
+    if (connection->closed)
+        return;
+    if (!within_bounds)
+        return fail(connection, "an event over the bound");
+    if (error && error != http::error::need_buffer)
+        return fail(connection, error.message().c_str());
+    if (connection->parser.is_done())
+        return fail(connection, "ended");
+    if (connection->events.lines() != lines_before)
+        on_line(connection);
+    read_events(connection);
 }
 
-void DiscoveryWatch::alive(const std::shared_ptr<Link>& link) {
-    arm(link);
-    if (std::chrono::steady_clock::now() < link->answered + kCaughtUp)
+void DiscoveryWatch::on_line(const ConnectionPointer& connection) {
+    restart_silence_timer(connection);
+    if (std::chrono::steady_clock::now() < connection->answered_at + kCatchUpTime)
         return;
-    // Not before: one that ends each connection soon would be asked without a pause.
-    pause_.reset();
-    sure(true);
+    // Not earlier: a server that ends each connection soon would be asked again without a pause.
+    backoff_.reset();
+    set_synchronized(true);
 }
 
-void DiscoveryWatch::arm(const std::shared_ptr<Link>& link) {
-    link->silence.expires_after(kSilence);
-    link->silence.async_wait([this, link](const error_code& error) {
-        if (!error && !link->over)
-            again(link, "silent");
+void DiscoveryWatch::restart_silence_timer(const ConnectionPointer& connection) {
+    connection->timeout.expires_after(kSilenceTimeout);
+    connection->timeout.async_wait([this, connection](const error_code& error) {
+        if (!error && !connection->closed)
+            fail(connection, "silent");
     });
 }
 
-void DiscoveryWatch::again(const std::shared_ptr<Link>& link, const char* why) {
-    if (std::exchange(link->over, true))
+void DiscoveryWatch::fail(const ConnectionPointer& connection, const char* reason) {
+    if (std::exchange(connection->closed, true))
         return;
-    sure(false);
-    log_.line("bulletin-down", "%s; last event %lld", why, static_cast<long long>(last_));
-    link->close();
-    // Another is on its way already.
-    if (std::erase(unanswered_, link) > 0)
+    set_synchronized(false);
+    log_.line("discovery-down", "%s; last event %lld", reason, static_cast<long long>(last_event_));
+    connection->close();
+    // Another connection is under way already.
+    if (std::erase(unanswered_, connection) > 0)
         return;
-    if (link_ == link)
-        link_ = nullptr;
-    connect_after_pause();
+    if (current_ == connection)
+        current_ = nullptr;
+    reconnect_after_backoff();
 }
 
-void DiscoveryWatch::connect_after_pause() {
-    wait_.expires_after(pause_.next());
-    wait_.async_wait([this](const error_code& error) {
-        // Guards against two connections: a move may have made one after this wait was over.
-        if (!error && !link_)
-            connect();
-    });
-}
-
-void DiscoveryWatch::sure(bool now) {
-    if (std::exchange(sure_, now) == now)
+void DiscoveryWatch::set_synchronized(bool synchronized) {
+    if (std::exchange(synchronized_, synchronized) == synchronized)
         return;
-    unsure_since_ = std::chrono::steady_clock::now();
-    if (told_sure_)
-        told_sure_(now);
+    unsynchronized_since_ = std::chrono::steady_clock::now();
+    if (on_synchronized_)
+        on_synchronized_(synchronized);
 }
 
-std::chrono::steady_clock::duration DiscoveryWatch::unheard_for() const {
-    return sure_ ? std::chrono::steady_clock::duration{} : std::chrono::steady_clock::now() - unsure_since_;
+std::chrono::steady_clock::duration DiscoveryWatch::unsynchronized_for() const {
+    if (synchronized_)
+        return {};
+    return std::chrono::steady_clock::now() - unsynchronized_since_;
 }
 
-void DiscoveryWatch::take(const std::shared_ptr<Link>& link, const SseParser::Event& event) {
-    std::int64_t no = 0;
-    const auto [end, error] = std::from_chars(event.id.data(), event.id.data() + event.id.size(), no);
-    if (error != std::errc{} || end != event.id.data() + event.id.size())
-        no = 0;
-    if (no != 0 && no <= last_)
-        return;  // told before
-    const bool gap = no > last_ + 1;
+void DiscoveryWatch::on_event(const ConnectionPointer& connection, const SseParser::Event& event) {
+    const std::int64_t number = parse_event_number(event.id);
+    const bool seen_before = number != 0 && number <= last_event_;
+    if (seen_before)
+        return;
+    const bool gap = number > last_event_ + 1;
     if (gap)
         ++counters_.gaps;
-    if (gap && ask_again(link, no, "a number left out"))
+    if (gap && refetch(connection, number, "a number left out"))
         return;
-    const bool readable = take_(no, event.data);
+    const bool readable = on_event_(number, event.data);
     if (!readable)
         ++counters_.unreadable;
-    if (!readable && no != 0 && ask_again(link, no, "an event that can't be read"))
+    if (!readable && number != 0 && refetch(connection, number, "an event that can't be read"))
         return;
-    if (no != 0)
-        last_ = no;
+    if (number != 0)
+        last_event_ = number;
 }
 
-// Guards against a drain or purge that was lost on the way: discovery is asked again from the last good
-// event. Once, as what it tells the same way twice is how it tells it.
-bool DiscoveryWatch::ask_again(const std::shared_ptr<Link>& link, std::int64_t no, const char* why) {
-    if (no == std::exchange(doubted_, no))
+// A drain or purge may have been lost on the way, so the stream is resumed from the last good event. Once for
+// each event: what the server sends the same way twice is how it is. Returns false if it was done before.
+bool DiscoveryWatch::refetch(const ConnectionPointer& connection, std::int64_t number, const char* reason) {
+    if (number == std::exchange(refetched_event_, number))
         return false;
-    again(link, why);
+    fail(connection, reason);
     return true;
 }
 
--- a/src/net/discovery_watch.h
+++ b/src/net/discovery_watch.h
@@ -1,4 +1,5 @@
-// Follows discovery: connects, resumes after the last event, and connects anew when it falls silent.
+// Watches service discovery's event stream: connects, resumes after the last event that was applied, and
+// reconnects with backoff when the stream ends or falls silent.
 #pragma once
 
 #include <functional>
@@ -8,78 +9,83 @@
 #include "log/log.h"
 #include "net/asio.h"
 #include "net/backoff.h"
-#include "net/sse.h"
+#include "net/sse_parser.h"
 
 namespace silverrail::net {
 
 class DiscoveryWatch {
 public:
-    // False: the event can't be read.
-    using Take = std::function<bool(std::int64_t no, std::string_view data)>;
+    // Applies an event. Returns false if it cannot be read.
+    using EventHandler = std::function<bool(std::int64_t number, std::string_view data)>;
     struct Counters {
         std::uint64_t connects = 0;
-        std::uint64_t unreadable = 0;  // events that can't be read, each time one came
-        std::uint64_t gaps = 0;        // numbers left out, each time it was seen
-        std::uint64_t slow = 0;        // connections that were asked and not answered in time
+        std::uint64_t unreadable = 0;  // events that cannot be read, counted each time one comes
+        std::uint64_t gaps = 0;        // event numbers left out, counted each time that is seen
+        std::uint64_t slow = 0;        // connections whose request was not answered in time
     };
-    // A comment comes each second: without a whole line for so long the connection is taken for dead. Single
-    // bytes are no sign of life, as a feed that never ends a line tells nothing.
-    static constexpr std::chrono::milliseconds kSilence{1800};
+    // The server sends a comment each second: without a complete line for this long the connection is taken
+    // for dead. Single bytes do not count, as a stream that never ends a line carries nothing.
+    static constexpr std::chrono::milliseconds kSilenceTimeout{1800};
 
-    DiscoveryWatch(asio::io_context& io, tcp::endpoint at, std::int64_t last, Take take, Log& log,
-                   std::uint64_t seed);
+    // `last_event`: its number; the stream resumes after it.
+    DiscoveryWatch(asio::io_context& io, tcp::endpoint server, std::int64_t last_event, EventHandler on_event,
+                   Log& log, std::uint64_t seed);
     ~DiscoveryWatch();
-    // Told whenever it begins or ceases to be sure that all events come through.
-    void when_sure(std::function<void(bool)> told) {
-        told_sure_ = std::move(told);
+    // Called whenever the watch begins or ceases to be synchronized: to be sure that every event arrives.
+    void when_synchronized(std::function<void(bool)> action) {
+        on_synchronized_ = std::move(action);
     }
     void start() {
         connect();
     }
-    // From now on at another address; the numbers of the events go on.
-    void move_to(const tcp::endpoint& at);
-    std::int64_t last() const {
-        return last_;
+    // Continues at another address; the numbers of the events go on.
+    void move_to(const tcp::endpoint& server);
+    std::int64_t last_event() const {
+        return last_event_;
     }
-    // Connected, or on its way there; else it pauses.
+    // Connected or connecting; else it waits to reconnect.
     bool connected() const {
-        return link_ != nullptr;
+        return current_ != nullptr;
     }
     const Counters& counters() const {
         return counters_;
     }
-    // For how long it has not been sure that all events come through; 0 while it is.
-    std::chrono::steady_clock::duration unheard_for() const;
+    // How long it has not been synchronized; 0 while it is.
+    std::chrono::steady_clock::duration unsynchronized_for() const;
 
 private:
-    struct Link;
+    struct Connection;
+    using ConnectionPointer = std::shared_ptr<Connection>;
+
     void connect();
-    void request(const std::shared_ptr<Link>& link);
-    void answered(const std::shared_ptr<Link>& link);
-    void ask_beside(const std::shared_ptr<Link>& link);
-    void connect_after_pause();
-    void let_go(std::vector<std::shared_ptr<Link>> links);
-    void read(const std::shared_ptr<Link>& link);
-    void alive(const std::shared_ptr<Link>& link);
-    void arm(const std::shared_ptr<Link>& link);
-    void again(const std::shared_ptr<Link>& link, const char* why);
-    void take(const std::shared_ptr<Link>& link, const SseParser::Event& event);
-    bool ask_again(const std::shared_ptr<Link>& link, std::int64_t no, const char* why);
-    void sure(bool now);
+    void reconnect_after_backoff();
+    void send_request(const ConnectionPointer& connection);
+    void read_response_header(const ConnectionPointer& connection);
+    void on_response_header(const ConnectionPointer& connection);
+    void on_slow_response(const ConnectionPointer& connection);
+    void read_events(const ConnectionPointer& connection);
+    void on_bytes(const ConnectionPointer& connection, const error_code& error);
+    void on_line(const ConnectionPointer& connection);
+    void on_event(const ConnectionPointer& connection, const SseParser::Event& event);
+    bool refetch(const ConnectionPointer& connection, std::int64_t number, const char* reason);
+    void restart_silence_timer(const ConnectionPointer& connection);
+    void fail(const ConnectionPointer& connection, const char* reason);
+    void set_synchronized(bool synchronized);
+    static void close_all(const std::vector<ConnectionPointer>& connections);
 
     asio::io_context& io_;
-    tcp::endpoint at_;
-    std::int64_t last_;
-    Take take_;
+    tcp::endpoint server_;
+    std::int64_t last_event_;
+    EventHandler on_event_;
     Log& log_;
-    asio::steady_timer wait_;
-    std::shared_ptr<Link> link_;                     // the one that is read, or is to be; absent: it pauses
-    std::vector<std::shared_ptr<Link>> unanswered_;  // asked before that, the longest ago first
-    Backoff pause_;
-    std::function<void(bool)> told_sure_;
-    bool sure_ = false;
-    std::chrono::steady_clock::time_point unsure_since_ = std::chrono::steady_clock::now();
-    std::int64_t doubted_ = 0;  // the last event that was asked for again; bad twice, it is passed over
+    asio::steady_timer reconnect_timer_;
+    ConnectionPointer current_;                  // read, or about to be; null: waiting to reconnect
+    std::vector<ConnectionPointer> unanswered_;  // requested earlier, the oldest first
+    Backoff backoff_;
+    std::function<void(bool)> on_synchronized_;
+    bool synchronized_ = false;
+    std::chrono::steady_clock::time_point unsynchronized_since_ = std::chrono::steady_clock::now();
+    std::int64_t refetched_event_ = 0;  // the last that was requested again; bad twice, it is skipped
     Counters counters_;
 };
 
--- a/src/net/https_client.cpp
+++ b/src/net/https_client.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 constexpr std::chrono::seconds kWhole{20};
-constexpr std::uint64_t kLongestBody = 256 * 1024;
+constexpr std::uint64_t kLongestBody = 256UL * 1024;
 }  // namespace
 
 std::optional<Url> parse_https(std::string_view url) {
--- a/src/net/line_server.cpp
+++ b/src/net/line_server.cpp
@@ -10,8 +10,8 @@
 struct LineServer::Caller {
     enum class State { reading, writing, lingering, closed };
     Caller(asio::io_context& io, tcp::socket s) : socket(std::move(s)), limit(io) {}
-    // Bytes that nobody has read yet: it is about to be served, and does not give way.
-    bool something_came() {
+    // It is about to be served, so it is not evicted.
+    bool has_unread_bytes() {
         return peek(socket) > 0;
     }
     TcpStream socket;
@@ -24,7 +24,10 @@
 
 LineServer::LineServer(asio::io_context& io, const tcp::endpoint& at, LineLimits limits, Handler handler,
                        Log& log)
-    : io_(io), listener_(io, at, Listener::Port::alone, log), limits_(limits), handler_(std::move(handler)) {}
+    : io_(io),
+      listener_(io, at, Listener::Port::exclusive, log),
+      limits_(limits),
+      handler_(std::move(handler)) {}
 
 LineServer::~LineServer() {
     while (!callers_.empty())
@@ -32,34 +35,34 @@
 }
 
 void LineServer::start() {
-    listener_.start([this](tcp::socket socket) { admit(std::move(socket)); });
+    listener_.start([this](tcp::socket socket) { on_accept(std::move(socket)); });
 }
 
-void LineServer::admit(tcp::socket socket) {
+void LineServer::on_accept(tcp::socket socket) {
     if (callers_.size() >= limits_.connections)
-        make_room();
+        evict_caller();
     error_code ignored;
     socket.non_blocking(true, ignored);
     const auto caller = std::make_shared<Caller>(io_, std::move(socket));
     callers_.push_back(caller);
-    end_after(caller, limits_.whole);
+    set_timeout(caller, limits_.total_timeout);
     read(caller);
 }
 
-// Never the new caller: first who has had its answer, then who has been silent longest, whole or half a call.
-void LineServer::make_room() {
+// Evicts first a caller that has had its answer, then the longest silent one.
+void LineServer::evict_caller() {
     using State = Caller::State;
     auto at = std::find_if(callers_.begin(), callers_.end(),
                            [](const auto& c) { return c->state == State::lingering; });
     if (at == callers_.end())
         at = std::find_if(callers_.begin(), callers_.end(),
-                          [](const auto& c) { return c->state == State::reading && !c->something_came(); });
+                          [](const auto& c) { return c->state == State::reading && !c->has_unread_bytes(); });
     if (at == callers_.end())
         at = callers_.begin();
     close(std::shared_ptr{*at});
 }
 
-void LineServer::end_after(const std::shared_ptr<Caller>& caller, std::chrono::milliseconds limit) {
+void LineServer::set_timeout(const std::shared_ptr<Caller>& caller, std::chrono::milliseconds limit) {
     caller->limit.expires_after(limit);
     caller->limit.async_wait([this, weak = std::weak_ptr{caller}](const error_code& error) {
         if (error)
@@ -76,18 +79,19 @@
                                    return;
                                if (!error)
                                    return on_line(caller, true);
-                               const bool told = error == asio::error::not_found || error == asio::error::eof;
-                               // Nothing was asked: there is no line to answer.
-                               if (!told || caller->line.empty())
+                               const bool complete_input =
+                                   error == asio::error::not_found || error == asio::error::eof;
+                               // No line came that could be answered.
+                               if (!complete_input || caller->line.empty())
                                    return close(caller);
                                on_line(caller, false);
                            });
 }
 
-void LineServer::on_line(const std::shared_ptr<Caller>& caller, bool ended) {
-    // One line a connection: what follows it is read and thrown away.
-    const std::size_t end = ended ? caller->line.find('\n') : caller->line.size();
-    caller->answer = handler_(std::string_view{caller->line}.substr(0, end), ended);
+void LineServer::on_line(const std::shared_ptr<Caller>& caller, bool terminated) {
+    // One line a connection: what follows it is discarded.
+    const std::size_t end = terminated ? caller->line.find('\n') : caller->line.size();
+    caller->answer = handler_(std::string_view{caller->line}.substr(0, end), terminated);
     caller->state = Caller::State::writing;
     asio::async_write(caller->socket, asio::buffer(caller->answer),
                       [this, caller](const error_code& error, std::size_t) {
@@ -100,7 +104,7 @@
                           caller->state = Caller::State::lingering;
                           error_code ignored;
                           caller->socket.shutdown(tcp::socket::shutdown_send, ignored);
-                          end_after(caller, limits_.linger);
+                          set_timeout(caller, limits_.linger_timeout);
                           discard(caller);
                       });
 }
@@ -112,7 +116,7 @@
                                        if (caller->state != Caller::State::lingering)
                                            return;
                                        caller->discarded += got;
-                                       if (error || caller->discarded > limits_.linger_bytes)
+                                       if (error || caller->discarded > limits_.max_linger_bytes)
                                            return close(caller);
                                        discard(caller);
                                    });
--- a/src/net/line_server.h
+++ b/src/net/line_server.h
@@ -1,5 +1,5 @@
-// One line in, one answer out, then the connection ends: the wire of the second address. Bounded in bytes, in
-// time and in number; a caller that stays silent gives way to a new one.
+// A server that answers one line a connection: the control address's protocol. Bounded in bytes, time and
+// number; a silent caller is evicted for a new one.
 #pragma once
 
 #include <functional>
@@ -13,19 +13,19 @@
 
 struct LineLimits {
     std::size_t connections = 16;
-    std::size_t line = 256;                  // with its end
-    std::chrono::milliseconds whole{6'000};  // from connecting to the end of the answer
-    std::chrono::milliseconds linger{500};   // for the caller to close after its answer
-    std::size_t linger_bytes = 64 * 1024;
+    std::size_t line = 256;                          // bytes, with its end
+    std::chrono::milliseconds total_timeout{6'000};  // from connecting to the end of the answer
+    std::chrono::milliseconds linger_timeout{500};   // for the caller to close after its answer
+    std::size_t max_linger_bytes = 64UL * 1024;
 };
 
 class LineServer {
 public:
-    // The answer to a line without its end. `ended`: it had one; without, the caller has closed or the bound
-    // was reached.
-    using Handler = std::function<std::string(std::string_view line, bool ended)>;
+    // Returns the answer to a line, which is given without its end. `terminated`: it had one; else the caller
+    // has closed or the limit was reached.
+    using Handler = std::function<std::string(std::string_view line, bool terminated)>;
 
-    // Takes the address at once; throws boost::system::system_error if it cannot.
+    // Binds at once; throws boost::system::system_error if it cannot.
     LineServer(asio::io_context& io, const tcp::endpoint& at, LineLimits limits, Handler handler, Log& log);
     ~LineServer();
     void start();
@@ -42,12 +42,12 @@
 private:
     struct Caller;
     using Callers = std::list<std::shared_ptr<Caller>>;  // the longest connected first
-    void admit(tcp::socket socket);
-    void make_room();
+    void on_accept(tcp::socket socket);
+    void evict_caller();
     void read(const std::shared_ptr<Caller>& caller);
-    void on_line(const std::shared_ptr<Caller>& caller, bool ended);
+    void on_line(const std::shared_ptr<Caller>& caller, bool terminated);
     void discard(const std::shared_ptr<Caller>& caller);
-    void end_after(const std::shared_ptr<Caller>& caller, std::chrono::milliseconds limit);
+    void set_timeout(const std::shared_ptr<Caller>& caller, std::chrono::milliseconds limit);
     void close(const std::shared_ptr<Caller>& caller);
 
     asio::io_context& io_;
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -9,18 +9,18 @@
 namespace silverrail::net {
 
 namespace {
-constexpr int kBacklog = 4096;  // the system's own bound may be lower
-constexpr std::chrono::milliseconds kPause{20};
-constexpr int kSweeps = 20;         // tries at the last connections, a pause apart
-constexpr int kMostAborted = 4096;  // connections passed over in one sweep
+constexpr int kBacklog = 4096;  // the system's own limit may be lower
+constexpr std::chrono::milliseconds kRetryDelay{20};
+constexpr int kMaxDrainAttempts = 20;  // at the backlog, a delay apart
+constexpr int kMaxAborted = 4096;      // failed connections skipped in one attempt
 using ReusePort = asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>;
 }  // namespace
 
 Listener::Listener(asio::io_context& io, const tcp::endpoint& at, Port port, Log& log)
-    : io_(io), acceptor_(io), retry_(io), port_(port), log_(log) {
+    : io_(io), acceptor_(io), retry_timer_(io), port_(port), log_(log) {
     acceptor_.open(at.protocol());
-    // Told of these, the loop asks for the next connection. Asio would wait for a further one to arrive, and
-    // leave those that are in the queue there.
+    // Reported rather than hidden, so that the loop accepts the next connection. Asio itself would wait for
+    // another to arrive and leave those in the queue there.
     acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
     if (port == Port::shared)
@@ -28,74 +28,74 @@
     acceptor_.bind(at);
 }
 
-// Of two that share the port, all new connections go to the one that listens later, so that the queue of the
-// earlier one is empty long before it closes: what comes into a queue between the last accept and the close
-// is reset. Where the kernel refuses, it spreads connections over both.
-void Listener::lead_to_latest() {
+// Of two processes that share the port, all new connections go to the one that listens later. So the backlog
+// of the earlier one is empty long before it closes; what arrives between the last accept and the close is
+// reset. Where the kernel refuses the filter, it spreads connections over both.
+void Listener::route_to_latest() {
     sock_filter latest[] = {
-        BPF_STMT(BPF_RET | BPF_K, 1)};  // the second of two; alone, there is no such place
+        BPF_STMT(BPF_RET | BPF_K, 1)};  // index of the second of two listeners; ignored while there is one
     const sock_fprog program{1, latest};
     if (::setsockopt(acceptor_.native_handle(), SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, &program,
                      sizeof program) != 0)
         log_.line("shared-port", "connections are spread over all processes: %s", std::strerror(errno));
 }
 
-void Listener::start(Take take) {
-    take_ = std::move(take);
+void Listener::start(AcceptHandler on_accept) {
+    on_accept_ = std::move(on_accept);
     acceptor_.listen(kBacklog);
     acceptor_.non_blocking(true);
     if (port_ == Port::shared)
-        lead_to_latest();
+        route_to_latest();
     accept();
 }
 
 void Listener::accept() {
     acceptor_.async_accept(
-        [this](const error_code& error, tcp::socket socket) { on_accept(error, std::move(socket)); });
+        [this](const error_code& error, tcp::socket socket) { handle_accept(error, std::move(socket)); });
 }
 
-Listener::Trouble Listener::trouble_of(const error_code& error) {
+Listener::AcceptError Listener::classify(const error_code& error) {
     if (error == asio::error::would_block || error == asio::error::try_again)
-        return Trouble::nothing_there;
-    // As accept(2) lists them: these pass on what has become of the connection itself.
-    for (const int of_connection : {ECONNABORTED, EPROTO, EINTR, ENETDOWN, ENOPROTOOPT, EHOSTDOWN, ENONET,
-                                    EHOSTUNREACH, ENETUNREACH, ETIMEDOUT})
-        if (error.value() == of_connection)
-            return Trouble::connection;
-    return Trouble::resources;
+        return AcceptError::backlog_empty;
+    // As accept(2) lists them: errors of the accepted connection itself.
+    for (const int connection_error : {ECONNABORTED, EPROTO, EINTR, ENETDOWN, ENOPROTOOPT, EHOSTDOWN, ENONET,
+                                       EHOSTUNREACH, ENETUNREACH, ETIMEDOUT})
+        if (error.value() == connection_error)
+            return AcceptError::connection_failed;
+    return AcceptError::out_of_resources;
 }
 
-void Listener::on_accept(const error_code& error, tcp::socket socket) {
+void Listener::handle_accept(const error_code& error, tcp::socket socket) {
     if (error == asio::error::operation_aborted)
         return;
-    // Stopped in the turn in which it was taken: it is ours, and owed what any other is.
+    // A connection accepted in the same turn as the stop is served like any other.
     if (stopping_ && error)
         return;
-    if (error && trouble_of(error) == Trouble::resources) {
-        out_of_resources(error);
+    if (error && classify(error) == AcceptError::out_of_resources) {
+        on_out_of_resources(error);
         return pause(&Listener::accept);
     }
     if (error) {
         ++counters_.aborted;
     } else {
-        ++counters_.taken;
-        take_(std::move(socket));
+        ++counters_.accepted;
+        on_accept_(std::move(socket));
     }
     if (!stopping_)
         accept();
 }
 
-// Guards against a busy loop: the connection stays in the backlog while some descriptors are freed.
-void Listener::out_of_resources(const error_code& error) {
+// The connection stays in the backlog while some descriptors are freed; the caller pauses.
+void Listener::on_out_of_resources(const error_code& error) {
     ++counters_.pauses;
     log_.line("no-descriptors", "accept: %s", error.message().c_str());
-    if (shed_)
-        shed_();
+    if (free_descriptors_)
+        free_descriptors_();
 }
 
 void Listener::pause(void (Listener::*then)()) {
-    retry_.expires_after(kPause);
-    retry_.async_wait([this, then](const error_code& error) {
+    retry_timer_.expires_after(kRetryDelay);
+    retry_timer_.async_wait([this, then](const error_code& error) {
         if (!error)
             (this->*then)();
     });
@@ -104,28 +104,28 @@
 void Listener::stop() {
     if (std::exchange(stopping_, true))
         return;
-    sweeps_left_ = kSweeps;
-    retry_.cancel();
-    sweep();
+    drain_attempts_left_ = kMaxDrainAttempts;
+    retry_timer_.cancel();
+    drain_backlog();
 }
 
-void Listener::sweep() {
+void Listener::drain_backlog() {
     if (closed())
         return;
-    for (int passed_over = 0; take_ && passed_over < kMostAborted;) {
+    for (int skipped = 0; on_accept_ && skipped < kMaxAborted;) {
         error_code error;
         tcp::socket socket{io_};
         acceptor_.accept(socket, error);
-        const Trouble trouble = error ? trouble_of(error) : Trouble::nothing_there;
+        const AcceptError trouble = error ? classify(error) : AcceptError::backlog_empty;
         if (!error) {
-            ++counters_.taken;
-            take_(std::move(socket));
-        } else if (trouble == Trouble::connection) {
+            ++counters_.accepted;
+            on_accept_(std::move(socket));
+        } else if (trouble == AcceptError::connection_failed) {
             ++counters_.aborted;
-            ++passed_over;
-        } else if (trouble == Trouble::resources && --sweeps_left_ > 0) {
-            out_of_resources(error);
-            return pause(&Listener::sweep);
+            ++skipped;
+        } else if (trouble == AcceptError::out_of_resources && --drain_attempts_left_ > 0) {
+            on_out_of_resources(error);
+            return pause(&Listener::drain_backlog);
         } else {
             break;
         }
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -1,6 +1,6 @@
-// A listening TCP socket and its accept loop. Running out of descriptors pauses it; stopping takes what the
-// machine has accepted for us up to then, as closing would reset it. A connection that fails before it is
-// taken costs the others nothing.
+// A listening TCP socket and its accept loop. Out of descriptors it pauses; stopping accepts what is in the
+// backlog first, as closing would reset it. A connection that fails before it is accepted costs the others
+// nothing.
 #pragma once
 
 #include <functional>
@@ -12,20 +12,21 @@
 
 class Listener {
 public:
-    using Take = std::function<void(tcp::socket)>;
+    using AcceptHandler = std::function<void(tcp::socket)>;
     struct Counters {
-        std::uint64_t taken = 0;
-        std::uint64_t aborted = 0;  // connections that failed before they were taken
-        std::uint64_t pauses = 0;   // for want of descriptors, buffers or memory
+        std::uint64_t accepted = 0;
+        std::uint64_t aborted = 0;  // connections that failed before they were accepted
+        std::uint64_t pauses = 0;   // for lack of descriptors, buffers or memory
     };
 
-    // alone: another that listens there is an error. shared: processes of one router take turns.
-    enum class Port { alone, shared };
-    // Takes the address at once; throws boost::system::system_error if it cannot.
+    // exclusive: a second listener at the address is an error. shared: processes of one router may listen
+    // there together, and the latest accepts.
+    enum class Port { exclusive, shared };
+    // Binds at once; throws boost::system::system_error if it cannot.
     Listener(asio::io_context& io, const tcp::endpoint& at, Port port, Log& log);
     // Listens from now on: nobody can connect before.
-    void start(Take take);
-    // Takes what has come up to now, then closes: at once, or after some tries where descriptors are wanting.
+    void start(AcceptHandler on_accept);
+    // Accepts what is in the backlog, then closes: at once, or after some retries if descriptors are lacking.
     void stop();
     bool closed() const {
         return !acceptor_.is_open();
@@ -36,33 +37,33 @@
     const Counters& counters() const {
         return counters_;
     }
-    // Frees descriptors when the process runs out of them.
+    // Called when the process runs out of descriptors, to free some.
     void when_out_of_descriptors(std::function<void()> action) {
-        shed_ = std::move(action);
+        free_descriptors_ = std::move(action);
     }
 
 private:
-    // What an error of accept says: nothing waits; one connection has failed, the next may be good; this
-    // machine has no room for any.
-    enum class Trouble { nothing_there, connection, resources };
-    static Trouble trouble_of(const error_code& error);
-    void lead_to_latest();
+    // What an error of accept means: the backlog is empty; one connection has failed, the next may be good;
+    // this machine has no resources for any.
+    enum class AcceptError { backlog_empty, connection_failed, out_of_resources };
+    static AcceptError classify(const error_code& error);
+    void route_to_latest();
     void accept();
-    void on_accept(const error_code& error, tcp::socket socket);
-    void out_of_resources(const error_code& error);
+    void handle_accept(const error_code& error, tcp::socket socket);
+    void on_out_of_resources(const error_code& error);
     void pause(void (Listener::*then)());
-    void sweep();
+    void drain_backlog();
     void close();
 
     asio::io_context& io_;
     tcp::acceptor acceptor_;
-    asio::steady_timer retry_;
+    asio::steady_timer retry_timer_;
     Port port_;
     Log& log_;
-    Take take_;
-    std::function<void()> shed_;
+    AcceptHandler on_accept_;
+    std::function<void()> free_descriptors_;
     Counters counters_;
-    int sweeps_left_ = 0;
+    int drain_attempts_left_ = 0;
     bool stopping_ = false;
 };
 
--- /dev/null
+++ b/src/net/peer_transport.h
@@ -0,0 +1,107 @@
+// The transport between routers: datagrams for probes and gossip, a stream for push-pull, both at one address
+// and port. It carries messages as cluster/wire encodes them and decides nothing: what arrives goes to the
+// handler, and what the handler returns is sent. Bounded: one datagram buffer, at most `streams` streams each
+// way, each within `stream_timeout` and kMostFrame bytes. Addresses are numeric: nothing is looked up.
+#pragma once
+
+#include <array>
+#include <functional>
+#include <memory>
+#include <set>
+
+#include "cluster/members.h"
+#include "cluster/wire.h"
+#include "log/log.h"
+#include "net/asio.h"
+
+namespace silverrail::net {
+
+using udp = asio::ip::udp;
+
+struct PeerTransportLimits {
+    std::size_t streams = 8;  // each way
+    std::chrono::milliseconds stream_timeout{2'000};
+};
+
+struct PeerTransportCounters {
+    std::uint64_t datagrams_in = 0, datagrams_out = 0, streams_in = 0, streams_out = 0;
+    std::uint64_t bytes_in = 0, bytes_out = 0;
+    std::array<std::uint64_t, 4> refused{};  // by cluster::wire::Trouble
+    std::uint64_t streams_turned_away = 0, streams_timed_out = 0, unsendable = 0;
+};
+
+class PeerTransport {
+public:
+    using Message = std::variant<cluster::Message, cluster::ReplicaMessage>;
+    struct Outgoing {
+        std::string address;
+        Message message;
+        bool stream = false;
+    };
+    // The state machines' messages in the transport's form.
+    template <class From>
+    static std::vector<Outgoing> outgoing(std::vector<From> from) {
+        std::vector<Outgoing> out;
+        out.reserve(from.size());
+        for (auto& message : from) {
+            const bool stream = message.stream();
+            out.push_back({std::move(message.address), std::move(message.message), stream});
+        }
+        return out;
+    }
+    // Returns the replies to a message. The first stream reply to a message that came by a stream goes back
+    // on it.
+    using Handler = std::function<std::vector<Outgoing>(const Message&)>;
+
+    // Binds at once, datagrams and stream on the same port; throws boost::system::system_error if it cannot.
+    PeerTransport(asio::io_context& io, const std::string& bind, PeerTransportLimits limits, Handler handler,
+                  Log& log);
+    ~PeerTransport();
+    void start();
+    void stop();
+    void send(std::vector<Outgoing> messages);
+    udp::endpoint local() const {
+        return udp_.local_endpoint();
+    }
+    const PeerTransportCounters& counters() const {
+        return counters_;
+    }
+
+    // "a.b.c.d:port" or "[v6]:port"; nothing else, so that nothing is looked up.
+    static std::optional<udp::endpoint> endpoint_of(std::string_view address);
+
+private:
+    struct Stream;
+    using StreamPointer = std::shared_ptr<Stream>;
+
+    void receive_datagram();
+    void accept();
+    void on_accept(tcp::socket socket);
+    void count_refused(cluster::wire::Trouble reason);
+    // The message in the bytes; absent if it was refused, which is counted.
+    std::optional<Message> decode(std::string_view bytes, bool stream);
+    void send_datagram(const Outgoing& message);
+    void open_stream(const Outgoing& message);
+    bool open_socket(const StreamPointer& stream, const udp::endpoint& to);
+    void start_timeout(const StreamPointer& stream);
+    void write_request(const StreamPointer& stream);
+    void read_frame(const StreamPointer& stream, bool incoming);
+    void read_body(const StreamPointer& stream, bool incoming);
+    void on_frame(const StreamPointer& stream, bool incoming);
+    void reply(const StreamPointer& stream, std::vector<Outgoing> messages);
+    void close(const StreamPointer& stream);
+
+    asio::io_context& io_;
+    PeerTransportLimits limits_;
+    Handler handler_;
+    Log& log_;
+    udp::socket udp_;
+    tcp::acceptor acceptor_;
+    std::array<char, cluster::wire::kMostDatagram + 1> datagram_{};
+    udp::endpoint sender_;
+    std::set<StreamPointer> incoming_, outgoing_;
+    PeerTransportCounters counters_;
+    bool stopped_ = false;
+};
+
+}  // namespace silverrail::net
--- a/tests/compatibility/load_report_test.cpp
+++ b/tests/compatibility/load_report_test.cpp
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "../silverrail/check.h"
-#include "net/upstream.h"
+#include "net/server_protocol.h"
 
 namespace {
 
@@ -15,7 +15,7 @@
 };
 
 LoadReport parse_load_report(const std::string& header) {
-    const auto load = silverrail::net::load_of(header);
+    const auto load = silverrail::net::parse_load_report(header);
     return {load.in_flight, load.utilisation, load.hit_share, load.link_fullness};
 }
 void words_of_the_protocol() {
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -15,7 +15,7 @@
 #include "cluster/wire.h"
 #include "common.h"
 #include "lab/farm.h"
-#include "net/peer.h"
+#include "net/peer_transport.h"
 
 using namespace silverrail;
 using namespace std::chrono_literals;
@@ -295,7 +295,7 @@
     CHECK(author != digest.end());
     namespace asio = net::asio;
     asio::io_context io;
-    const auto at = *net::Peer::endpoint_of(fleet.peer_address(0));
+    const auto at = *net::PeerTransport::endpoint_of(fleet.peer_address(0));
     asio::ip::udp::socket u{io, asio::ip::udp::endpoint{asio::ip::make_address("127.0.0.1"), 0}};
     const auto unix_now = std::chrono::duration_cast<std::chrono::milliseconds>(
                               std::chrono::system_clock::now().time_since_epoch())
@@ -438,7 +438,7 @@
     CHECK(agreed(fleet, 3s));
     namespace asio = net::asio;
     asio::io_context io;
-    const auto at = *net::Peer::endpoint_of(fleet.peer_address(0));
+    const auto at = *net::PeerTransport::endpoint_of(fleet.peer_address(0));
     asio::ip::udp::socket u{io, asio::ip::udp::endpoint{asio::ip::make_address("127.0.0.1"), 0}};
     cluster::Message forged;
     forged.kind = cluster::Message::Kind::ping;
--- a/tests/silverrail/acme_test.cpp
+++ b/tests/silverrail/acme_test.cpp
@@ -19,10 +19,10 @@
 #include "front/dns/front.h"
 #include "net/dns_server.h"
 #include "net/https_client.h"
-#include "stand.h"
+#include "test_fixture.h"
 
 using namespace silverrail;
-using namespace silverrail::stand;
+using namespace silverrail::test;
 using namespace silverrail::front::dns;
 using namespace std::string_literals;
 namespace asio = net::asio;
@@ -159,7 +159,7 @@
                 Request request;
                 http::read(stream, buffer, request);
                 const Reply reply = handle(request);
-                stand::Response r{http::int_to_status(reply.status), 11};
+                test::Response r{http::int_to_status(reply.status), 11};
                 r.set("Replay-Nonce", fresh_nonce());
                 if (!reply.location.empty())
                     r.set("Location", reply.location);
@@ -440,7 +440,7 @@
     net::DnsServer server;
 };
 
-void a_certificate_from_order_to_renewal() {
+void certificate_is_ordered_and_renewed() {
     asio::io_context io;
     Bench bench{io};
     Authority authority{bench.server.udp_local()};
@@ -514,7 +514,7 @@
 }
 
 // The checks of the authority bite: without the proof there is no certificate, and the client backs off.
-void no_proof_no_certificate() {
+void failed_challenge_yields_no_certificate() {
     asio::io_context io;
     Bench bench{io};
     Authority authority{bench.server.udp_local()};
@@ -559,7 +559,7 @@
     std::filesystem::remove(trust);
 }
 
-void encodings() {
+void base64url_round_trips() {
     struct Case {
         std::string bytes;
         const char* text;
@@ -582,8 +582,8 @@
 }  // namespace
 
 int main() {
-    encodings();
-    a_certificate_from_order_to_renewal();
-    no_proof_no_certificate();
+    base64url_round_trips();
+    certificate_is_ordered_and_renewed();
+    failed_challenge_yields_no_certificate();
     std::puts("acme: every case holds");
 }
--- a/tests/silverrail/admin_test.cpp
+++ b/tests/silverrail/admin_test.cpp
@@ -2,20 +2,20 @@
 // of end.
 #include "front/admin/admin.h"
 
-#include "front/admin/words.h"
+#include "front/admin/command_parser.h"
 #include "net/line_server.h"
-#include "stand.h"
+#include "test_fixture.h"
 
 using namespace silverrail;
-using namespace silverrail::stand;
+using namespace silverrail::test;
 namespace admin = silverrail::front::admin;
 
 namespace {
 
 const std::string kObject = "7f3a9c21e0b4d655";
 
-void words_by_table() {
-    using Kind = admin::Call::Kind;
+void commands_are_parsed_or_refused() {
+    using Kind = admin::Command::Kind;
     struct Row {
         std::string line;
         bool ended;
@@ -60,40 +60,40 @@
         {std::string(300, 'A'), false, std::nullopt},  // over the bound
     };
     for (const Row& row : rows) {
-        const auto call = admin::parse(row.line, row.ended);
-        const auto* good = std::get_if<admin::Call>(&call);
+        const auto call = admin::parse_command(row.line, row.ended);
+        const auto* good = std::get_if<admin::Command>(&call);
         CHECK((good != nullptr) == row.kind.has_value());
         if (good)
-            CHECK(good->kind == *row.kind && good->server == row.server);
+            CHECK(good->kind == *row.kind && good->target == row.server);
         if (!good)
-            CHECK(!std::get<std::string>(call).empty());
+            CHECK(!std::get<admin::CommandError>(call).reason.empty());
     }
-    CHECK(admin::yes() == "ACK\n" && admin::no("why not") == "NAK why not\n");
+    CHECK(admin::acknowledge() == "ACK\n" && admin::reject("why not") == "NAK why not\n");
 }
 
-struct NoHands : admin::Hands {
-    admin::Verdict out(const core::ServerId& server) override {
+struct FixedOverrides : admin::ServerOverrides {
+    admin::CommandResult take_offline(const core::ServerId& server) override {
         return {true, "out " + server.address};
     }
-    admin::Verdict back(const core::ServerId&) override {
+    admin::CommandResult bring_online(const core::ServerId&) override {
         return {false, "no such box"};
     }
 };
 
 struct Control {
     Control(net::asio::io_context& io, Router& router, net::LineLimits limits = {})
-        : admin(router.engine, hands, router.lifecycle, router.log),
+        : admin(router.engine, overrides, router.lifecycle, router.log),
           server(
               io, loopback(), limits,
               [this](std::string_view line, bool ended) { return admin.answer(line, ended); }, router.log) {
         server.start();
     }
-    NoHands hands;
+    FixedOverrides overrides;
     admin::Admin admin;
     net::LineServer server;
 };
 
-void callers_that_misbehave() {
+void misbehaving_callers_are_bounded() {
     net::asio::io_context io;
     Router router{io};
     Control control{io, router, {.connections = 8, .line = 32}};
@@ -138,7 +138,7 @@
     return std::stoull(dump.substr(at + 6 + name.size()));
 }
 
-void figures_of_each_end() {
+void counters_show_each_outcome() {
     net::asio::io_context io;
     Server server{io};
     Router router{io, {}, 2};
@@ -238,8 +238,8 @@
 }  // namespace
 
 int main() {
-    words_by_table();
-    callers_that_misbehave();
-    figures_of_each_end();
+    commands_are_parsed_or_refused();
+    misbehaving_callers_are_bounded();
+    counters_show_each_outcome();
     std::puts("admin: the second address answers everybody, and its figures are true");
 }
--- a/tests/silverrail/core_test.cpp
+++ b/tests/silverrail/core_test.cpp
@@ -7,7 +7,7 @@
 #include "lifecycle.h"
 #include "net/clock.h"
 #include "settings.h"
-#include "stand.h"
+#include "test_fixture.h"
 
 using namespace silverrail;
 using namespace silverrail::core;
@@ -93,9 +93,9 @@
 
 struct Bench {
     Bench() {
-        change({stand::listed("s-a", "127.0.0.1:1"), stand::listed("s-b", "127.0.0.1:2"),
-                stand::listed("s-parent", "127.0.0.1:3", "parent"),
-                stand::listed("s-origin", "127.0.0.1:4", "origin")},
+        change({test::listed("s-a", "127.0.0.1:1"), test::listed("s-b", "127.0.0.1:2"),
+                test::listed("s-parent", "127.0.0.1:3", "parent"),
+                test::listed("s-origin", "127.0.0.1:4", "origin")},
                true);
     }
     void change(std::vector<Server> servers, bool complete = false) {
@@ -120,7 +120,7 @@
     HandTimers timers{clock};
     HandSender sender;
     Log log;
-    Engine engine{stand::settings(), 7, 20, clock, timers, sender, log};
+    Engine engine{test::settings(), 7, 20, clock, timers, sender, log};
     std::optional<RequestId> id;
 };
 
@@ -191,8 +191,8 @@
         (void)b.ask();
         const auto key = b.sender.out.at(0).key;
         CHECK(b.sender.events->before_first_byte(key) == Span{});
-        b.change({stand::listed(b.sender.out[0].target.address, b.sender.out[0].address, "small-box",
-                                silverrail::routing::Condition::draining)});
+        b.change({test::listed(b.sender.out[0].target.address, b.sender.out[0].address, "small-box",
+                               silverrail::routing::Condition::draining)});
         // The grace may be short, or half over when the list is heard: not a byte from here on.
         CHECK(!b.sender.events->before_first_byte(key));
         b.timers.pass(1600ms);
@@ -202,7 +202,7 @@
         Bench b;
         (void)b.ask();
         const auto key = b.sender.out.at(0).key;
-        b.change({stand::listed("s-parent", "127.0.0.1:3", "parent", silverrail::routing::Condition::gone)});
+        b.change({test::listed("s-parent", "127.0.0.1:3", "parent", silverrail::routing::Condition::gone)});
         CHECK(!b.sender.events->before_first_byte(key));  // a source is named too
     }
     // A keyed request's repeats end with the window that its first attempt began, whatever they wait for.
@@ -235,12 +235,12 @@
 
 void servers_by_id() {
     Bench b;
-    b.change({stand::listed("s-a", "127.0.0.1:1", "small-box", silverrail::routing::Condition::draining)});
+    b.change({test::listed("s-a", "127.0.0.1:1", "small-box", silverrail::routing::Condition::draining)});
     CHECK(b.sender.forgotten.empty());  // what is open there comes to its end
     b.timers.pass(1s);
-    b.change({stand::listed("s-a", "127.0.0.1:1", "small-box", silverrail::routing::Condition::gone)});
+    b.change({test::listed("s-a", "127.0.0.1:1", "small-box", silverrail::routing::Condition::gone)});
     CHECK(b.sender.forgotten == std::vector<std::string>{"s-a"});
-    auto again = stand::listed("s-b", "127.0.0.1:2");
+    auto again = test::listed("s-b", "127.0.0.1:2");
     again.started_ms = b.clock.unix_ms();
     b.change({again});
     b.change({again});  // told twice, restarted once
@@ -250,7 +250,7 @@
 // The wall clock steps while servers start and objects are purged: ages stay what they are.
 void clock_steps() {
     const auto started = [](const Bench& b, Span ago) {
-        auto server = stand::listed("s-b", "127.0.0.1:2");
+        auto server = test::listed("s-b", "127.0.0.1:2");
         server.started_ms = b.clock.true_unix_ms() - ago / 1ms;
         return server;
     };
@@ -605,9 +605,9 @@
     CHECK(b.engine.counters().hosts_down == 1 && b.engine.counters().hosts_listed == 4);
     // The list drops it, lists it again, and lists it as just started: it stays out.
     using silverrail::routing::Condition;
-    b.change({stand::listed(home.address, "127.0.0.1:1", "small-box", Condition::gone)});
-    b.change({stand::listed(home.address, "127.0.0.1:1")});
-    auto started = stand::listed(home.address, "127.0.0.1:1");
+    b.change({test::listed(home.address, "127.0.0.1:1", "small-box", Condition::gone)});
+    b.change({test::listed(home.address, "127.0.0.1:1")});
+    auto started = test::listed(home.address, "127.0.0.1:1");
     started.entry.started_at = b.clock.now();
     b.change({started});
     auto asked = b.ask();
@@ -646,7 +646,7 @@
 // the first byte.
 void steered() {
     Bench b;
-    auto far = stand::listed("s-far", "127.0.0.1:5");
+    auto far = test::listed("s-far", "127.0.0.1:5");
     far.entry.zone = "edge-2";
     b.change({far});
     const auto asked = [&b](std::size_t n) {
@@ -693,7 +693,7 @@
     // Held out on others' word: as a ban, until they say otherwise; the list changes nothing of it.
     Bench c;
     c.engine.hold_out({ServerId{"s-a"}});
-    c.change({stand::listed("s-a", "127.0.0.1:1")});
+    c.change({test::listed("s-a", "127.0.0.1:1")});
     CHECK(c.engine.counters().hosts_down == 1 && c.sender.forgotten == std::vector<std::string>{"s-a"});
     (void)c.ask();
     CHECK(c.sender.out.at(0).target.address == "s-b");
--- a/tests/silverrail/discovery_test.cpp
+++ b/tests/silverrail/discovery_test.cpp
@@ -3,10 +3,10 @@
 #include <optional>
 
 #include "net/discovery_watch.h"
-#include "stand.h"
+#include "test_fixture.h"
 
 using namespace silverrail;
-using namespace silverrail::stand;
+using namespace silverrail::test;
 namespace asio = net::asio;
 namespace http = net::http;
 
@@ -79,7 +79,7 @@
                   return true;
               },
               log, 7) {
-        discovery.when_sure([this](bool now) { sure = now; });
+        discovery.when_synchronized([this](bool now) { sure = now; });
         discovery.start();
     }
     Log log;
@@ -119,7 +119,7 @@
 
 // What can't be read, and what was left out, is asked for again from the last good event; told the same way
 // twice, it is passed over.
-void bad_events_are_asked_for_again() {
+void bad_events_are_fetched_once_more() {
     struct Case {
         const char* name;
         std::string first;   // to the first watcher
@@ -163,9 +163,9 @@
         run_until(io, [&] { return watch.taken.size() == c.taken.size(); });
         CHECK(watch.taken == c.taken);
         // The next event comes on the same connection: nothing is asked for a third time.
-        const auto next = watch.discovery.last() + 1;
+        const auto next = watch.discovery.last_event() + 1;
         feed.watchers.back()->say(event(static_cast<int>(next), "more"));
-        run_until(io, [&] { return watch.discovery.last() == next; });
+        run_until(io, [&] { return watch.discovery.last_event() == next; });
         CHECK(watch.discovery.counters().connects == c.connects && feed.open() == 1);
         CHECK(watch.discovery.counters().unreadable == c.unreadable &&
               watch.discovery.counters().gaps == c.gaps);
@@ -182,7 +182,7 @@
     first.say(kHead + event(2, "a") + "data: ");
     const Pulse dribble{io, first, "x"};
     auto& second = asked(io, feed, 2);
-    CHECK(std::chrono::steady_clock::now() - begin < net::DiscoveryWatch::kSilence + 1500ms);
+    CHECK(std::chrono::steady_clock::now() - begin < net::DiscoveryWatch::kSilenceTimeout + 1500ms);
     CHECK(second.after == "2" && !watch.sure);
     second.say(kHead + event(3, "b"));
     run_until(io, [&] { return watch.taken.size() == 2; });
@@ -193,7 +193,7 @@
 }
 
 // A feed that is slow to answer is no surer for that: what was missed comes behind the answer.
-void slow_answers_are_not_sure() {
+void slow_responses_are_not_synchronized() {
     asio::io_context io;
     Feed feed{io};
     Watch watch{io, feed.at()};
@@ -207,7 +207,7 @@
 
 // A move while the watch pauses, while it connects and while it is live: one watcher at the new place, none
 // left at the old one, and the numbers go on.
-void a_move_at_any_moment() {
+void moves_keep_event_numbers() {
     enum class When { paused, connecting, live, at_the_pauses_end };
     for (const When when : {When::paused, When::connecting, When::live, When::at_the_pauses_end}) {
         asio::io_context io;
@@ -244,7 +244,7 @@
 }
 
 // A feed that ends every connection at once is not asked without a pause.
-void a_feed_that_hangs_up() {
+void hang_ups_are_retried_with_backoff() {
     asio::io_context io;
     Feed feed{io};
     Watch watch{io, feed.at()};
@@ -261,10 +261,10 @@
 }  // namespace
 
 int main() {
-    bad_events_are_asked_for_again();
+    bad_events_are_fetched_once_more();
     a_line_without_end_is_silence();
-    slow_answers_are_not_sure();
-    a_move_at_any_moment();
-    a_feed_that_hangs_up();
+    slow_responses_are_not_synchronized();
+    moves_keep_event_numbers();
+    hang_ups_are_retried_with_backoff();
     std::puts("bulletin: what is lost on the way is asked for again");
 }
--- a/tests/silverrail/dns_test.cpp
+++ b/tests/silverrail/dns_test.cpp
@@ -7,10 +7,10 @@
 #include "config/config.h"
 #include "front/dns/front.h"
 #include "net/dns_server.h"
-#include "stand.h"
+#include "test_fixture.h"
 
 using namespace silverrail;
-using namespace silverrail::stand;
+using namespace silverrail::test;
 using namespace silverrail::front::dns;
 using namespace std::string_literals;
 using silverrail::routing::Condition;
@@ -160,7 +160,7 @@
     return "lot-17.0000000000000" + std::to_string(100 + i) + ".pages.route.example";
 }
 
-void answers_and_errors() {
+void names_get_their_answers_or_errors() {
     net::asio::io_context io;
     Node node{io};
     node.list({listed("s-a", "127.0.1.1:80")});
@@ -276,7 +276,7 @@
 }
 
 // An answer that waited for its connection is not sent once it is too old to name its server.
-void old_answers_stay_here() {
+void stale_answers_are_not_sent() {
     net::asio::io_context io;
     HandClock clock;
     Log log;
@@ -397,7 +397,7 @@
     return hits;
 }
 
-void resolvers() {
+void clients_of_caching_resolvers_follow_drains_and_restarts() {
     const Hits kept = month_end(0s);
     const Hits over = month_end(30s);
     std::printf(
@@ -417,9 +417,9 @@
 }  // namespace
 
 int main() {
-    answers_and_errors();
+    names_get_their_answers_or_errors();
     refusals_and_deadlines();
-    old_answers_stay_here();
-    resolvers();
+    stale_answers_are_not_sent();
+    clients_of_caching_resolvers_follow_drains_and_restarts();
     std::puts("dns: every case holds");
 }
--- a/tests/silverrail/endings_test.cpp
+++ b/tests/silverrail/endings_test.cpp
@@ -2,10 +2,10 @@
 #include <optional>
 
 #include "net/listener.h"
-#include "stand.h"
+#include "test_fixture.h"
 
 using namespace silverrail;
-using namespace silverrail::stand;
+using namespace silverrail::test;
 namespace asio = net::asio;
 using silverrail::routing::Condition;
 
@@ -33,7 +33,7 @@
         return acceptor_.local_endpoint();
     }
     std::string address() const {
-        return stand::text_of(endpoint());
+        return test::text_of(endpoint());
     }
     void open() {
         accept();
@@ -69,8 +69,8 @@
     char part_[1024];
 };
 
-net::UpstreamLimits patient() {
-    net::UpstreamLimits limits;
+net::ConnectionPoolLimits patient() {
+    net::ConnectionPoolLimits limits;
     limits.connect_timeout =
         10s;  // a held connection comes up when its opening is sent again, after a second
     return limits;
@@ -105,12 +105,12 @@
 }
 
 // Nothing goes out for a request whose client has gone while it waited: here for a socket, ...
-void who_left_waiting_for_a_socket() {
+void nothing_is_sent_for_a_client_that_left_waiting_for_a_socket() {
     for (const Way way : kWays) {
         asio::io_context io;
         Server server{io};
         auto limits = patient();
-        limits.sockets = 1;
+        limits.connections = 1;
         Router router{io, {}, 1000, limits};
         server.act = Server::Act::stay_silent;
         router.list_with_sources({listed("s-a", server.address())});
@@ -133,7 +133,7 @@
 }
 
 // ... for a connection, at the first attempt or at a retry, ...
-void who_left_waiting_for_a_connection() {
+void nothing_is_sent_for_a_client_that_left_during_a_connect() {
     for (const bool retry : {false, true})
         for (const Way way : kWays) {
             asio::io_context io;
@@ -157,7 +157,7 @@
 }
 
 // ... and for the time at which another server would be asked.
-void who_left_before_a_second_copy() {
+void nothing_is_sent_for_a_client_that_left_before_a_hedge() {
     std::optional<core::Span> usual;  // until that, for one who stays
     for (const std::optional<Way> way :
          {std::optional<Way>{}, std::optional{kWays[0]}, std::optional{kWays[1]}, std::optional{kWays[2]},
@@ -185,7 +185,7 @@
 }
 
 // What waits for a connection is looked at again when that is up: the window of repeats, and drains.
-void late_connections_keep_the_rules() {
+void rules_are_checked_again_when_a_connection_comes_up() {
     for (const bool keyed : {true, false}) {
         asio::io_context io;
         Server server{io};
@@ -242,7 +242,7 @@
 }
 
 // An answer that comes before its request is out: the connection is of no further use.
-void answers_before_the_request_is_out() {
+void early_responses_end_the_connection() {
     asio::io_context io;
     tcp::acceptor acceptor{io};
     acceptor.open(tcp::v4());
@@ -260,7 +260,7 @@
     };
     accept();
     Router router{io};
-    router.list_with_sources({listed("s-a", stand::text_of(acceptor.local_endpoint()))});
+    router.list_with_sources({listed("s-a", test::text_of(acceptor.local_endpoint()))});
     Request large = ask("lodge", kObject);
     large.body() = std::string(60'000, 'x');
     Client client{io, router.server.local()};
@@ -273,12 +273,12 @@
     const std::string answer = "HTTP/1.1 500 Early\r\nContent-Length: 0\r\n\r\n";
     asio::write(*servers[0], asio::buffer(answer));
     run_until(io, [&] { return client.done; });
-    CHECK(client.status() == 502 && router.upstream.sockets() == 0);
+    CHECK(client.status() == 502 && router.pool.connections() == 0);
 }
 
 // A second answer, some ms after a good one, is not taken for the next request's: a connection rests before
 // it is used again.
-void second_answers_are_nobodys() {
+void second_responses_are_not_taken_for_the_next_request() {
     asio::io_context io;
     Server server{io};
     Router router{io};
@@ -298,11 +298,11 @@
 }
 
 // The limit's handler runs while the whole request lies in the socket: it is answered.
-void a_request_in_the_last_instant() {
+void request_received_at_its_timeout_is_answered() {
     asio::io_context io;
     Server server{io};
     net::HttpLimits limits;
-    limits.first_request = 100ms;
+    limits.first_request_timeout = 100ms;
     Router router{io, limits};
     router.list_with_sources({listed("s-a", server.address())});
     RawClient client{io, router.server.local()};
@@ -322,7 +322,7 @@
 void slow_requests_end_cleanly() {
     asio::io_context io;
     net::HttpLimits limits;
-    limits.first_request = limits.half_read = 100ms;
+    limits.first_request_timeout = limits.request_timeout = 100ms;
     Router router{io, limits};
     RawClient silent{io, router.server.local()};
     RawClient half{io, router.server.local(), "PUT /ops/pages/x HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"};
@@ -335,7 +335,7 @@
 }
 
 // More than a request's worth before the answer: the call is given up, the client told, and nothing grows.
-void early_bytes_wait_for_their_turn() {
+void pipelined_bytes_wait_for_their_turn() {
     for (const bool resets : {false, true}) {
         asio::io_context io;
         Server server{io};
@@ -345,7 +345,7 @@
         RawClient client{io, router.server.local(), text_of(ask("pages", kObject))};
         run_until(io, [&] { return server.seen.size() == 1; });
         // Past what is read early: it is bounded, and its end is seen behind it all the same.
-        const std::size_t most = net::HttpLimits{}.early;
+        const std::size_t most = net::HttpLimits{}.read_ahead;
         client.say(std::string(most + 1, 'x'));
         run_until(io, [&] { return router.server.counters().full_of_early_bytes == 1; });
         CHECK(!client.ended && router.engine.open() == 1);
@@ -392,7 +392,7 @@
 
 // The end of the server: who rests sees a plain end, and what crosses it is not sent on; who was promised a
 // further answer and has asked gets it.
-void the_end_owes_nothing() {
+void shutdown_answers_promised_requests() {
     asio::io_context io;
     Server server{io};
     Router router{io};
@@ -436,12 +436,12 @@
 }
 
 // A reader that is slow but moves gets its whole answer; one that has stopped is let go.
-void slow_readers() {
+void slow_readers_get_their_whole_answer() {
     asio::io_context io;
     Server server{io};
     server.response = Server::hit(std::string(240'000, 'b'));
     net::HttpLimits limits;
-    limits.write = 400ms;
+    limits.write_stall_timeout = 400ms;
     Router router{io, limits};
     router.list_with_sources({listed("s-a", server.address())});
     tcp::socket moves{io}, stopped{io};
@@ -472,7 +472,7 @@
 
 // The process is told to end while requests stand behind an open one, in the buffer or still in the socket:
 // they came before the connection's end was said, and each has its answer.
-void stopped_with_requests_behind() {
+void pipelined_requests_are_answered_at_shutdown() {
     for (const std::size_t length : {std::size_t{9}, std::size_t{40'000}})
         for (const bool retires_first : {false, true}) {
             asio::io_context io;
@@ -488,7 +488,7 @@
             run_until(io, [&] { return server.seen.size() == 1; });
             run_until(io, [&] { return io.poll() == 0; });
             if (retires_first)
-                router.server.retire();
+                router.server.stop_accepting();
             router.server.stop();
             server.act = Server::Act::answer;
             server.reset_all();  // the first one's attempt ends, and the next is answered
@@ -506,7 +506,7 @@
 // The machine has accepted a connection for us, and in the same turn of the loop the listener is stopped: it
 // is taken all the same, as the request on it is ours. `turns`: handlers that run before the one that stops,
 // so that it comes before, between and after the system's word on the connection and the handler for that.
-void accepted_in_the_turn_of_the_end(int turns) {
+void connection_accepted_with_the_stop_is_served(int turns) {
     asio::io_context io;
     Log log;
     net::Listener listener{io, loopback(), net::Listener::Port::alone, log};
@@ -531,18 +531,18 @@
 
 int main() {
     for (const int turns : {0, 1, 2, 3, 4, 5})
-        accepted_in_the_turn_of_the_end(turns);
-    who_left_waiting_for_a_socket();
-    who_left_waiting_for_a_connection();
-    who_left_before_a_second_copy();
-    late_connections_keep_the_rules();
-    answers_before_the_request_is_out();
-    second_answers_are_nobodys();
-    a_request_in_the_last_instant();
+        connection_accepted_with_the_stop_is_served(turns);
+    nothing_is_sent_for_a_client_that_left_waiting_for_a_socket();
+    nothing_is_sent_for_a_client_that_left_during_a_connect();
+    nothing_is_sent_for_a_client_that_left_before_a_hedge();
+    rules_are_checked_again_when_a_connection_comes_up();
+    early_responses_end_the_connection();
+    second_responses_are_not_taken_for_the_next_request();
+    request_received_at_its_timeout_is_answered();
     slow_requests_end_cleanly();
-    early_bytes_wait_for_their_turn();
-    stopped_with_requests_behind();
-    the_end_owes_nothing();
-    slow_readers();
+    pipelined_bytes_wait_for_their_turn();
+    pipelined_requests_are_answered_at_shutdown();
+    shutdown_answers_promised_requests();
+    slow_readers_get_their_whole_answer();
     std::puts("endings: nothing that is owed is lost");
 }
--- a/tests/silverrail/faults_test.cpp
+++ b/tests/silverrail/faults_test.cpp
@@ -4,10 +4,10 @@
 #include <cstring>
 #include <sstream>
 
-#include "program.h"
+#include "router_process.h"
 
 using namespace silverrail;
-using namespace silverrail::stand;
+using namespace silverrail::test;
 using lab::Fault;
 
 namespace {
@@ -58,10 +58,10 @@
     }
 
     asio::io_context io;
-    DiscoveryWatch discovery{io};
+    DiscoveryServer discovery{io};
     Server server{io};
     lab::FaultFile faults;
-    Program program;
+    RouterProcess program;
 };
 
 // The system takes a third of what it is given, as it may: answers, requests and writes go out all the same.
@@ -93,7 +93,7 @@
 // same.
 void reload_fails_for_a_moment() {
     World world;
-    DiscoveryWatch moved{world.io};
+    DiscoveryServer moved{world.io};
     world.program.configure(moved.address(), "1");
     world.faults.fail_next(Fault::file_open, 3);
     world.faults.fail_next(Fault::file_read, 2);
@@ -108,14 +108,14 @@
 // No socket, buffer or file for the first moments: it starts once there is.
 void start_fails_for_a_moment() {
     asio::io_context io;
-    DiscoveryWatch discovery{io};
+    DiscoveryServer discovery{io};
     Server server{io};
     lab::FaultFile faults{
         (std::filesystem::temp_directory_path() / ("silverrail-faults-" + std::to_string(::getpid())))
             .string()};
     for (const Fault fault : {Fault::socket_no_files, Fault::socket_no_buffers, Fault::file_open}) {
         faults.fail_next(fault, 3);
-        Program program{discovery.address(), server.address(), "", &faults};
+        RouterProcess program{discovery.address(), server.address(), "", &faults};
         run_until(io, [&] { return program.listens() || program.logged("fatal"); });
         CHECK(program.listens());
     }
--- a/tests/silverrail/parsers_test.cpp
+++ b/tests/silverrail/parsers_test.cpp
@@ -2,12 +2,11 @@
 #include <map>
 
 #include "check.h"
-#include "config/operator.h"
 #include "front/dns/zone.h"
 #include "front/platform/platform.h"
 #include "net/backoff.h"
-#include "net/sse.h"
-#include "net/upstream.h"
+#include "net/server_protocol.h"
+#include "net/sse_parser.h"
 
 using namespace silverrail;
 using namespace std::chrono_literals;
@@ -15,7 +14,7 @@
 
 namespace {
 
-void sse() {
+void sse_events_are_parsed_however_the_bytes_are_cut() {
     struct Case {
         const char* bytes;
         std::size_t events;
@@ -48,39 +47,7 @@
     CHECK(!bounded.feed(std::string(100, 'x'), [](const auto&) {}));
 }
 
-void discovery() {
-    struct Case {
-        const char* json;
-        bool good;
-    };
-    const Case cases[] = {
-        {R"({"no":1,"roster":{"full":true,"servers":[{"id":"a","addr":"h:1","state":"active"}]}})", true},
-        {R"({"no":2,"recall":{"item":"7f3a9c21e0b4d655","issued":5}})", true},
-        {R"({"no":3,"recall":{"lot":17,"issued":5}})", true},
-        {R"({"no":3,"recall":{"issued":5}})", false},
-        {R"({"no":3,"recall":{"item":"not hex","issued":5}})", false},
-        {R"({"no":4,"roster":{"servers":3}})", false},
-        {R"({"no":4,"roster":{"servers":[3]}})", false},
-        {R"([1])", false},
-        {R"({"no":4})", false},
-        // Numbers past what a whole one holds here are no reason to end.
-        {R"({"no":18446744073709551615,"recall":{"lot":17,"issued":18446744073709551615}})", true},
-        {R"({"no":1e300,"recall":{"lot":17,"issued":-1e300}})", true},
-        {R"({"no":1,"recall":{"lot":1e300,"issued":5}})", false},
-    };
-    for (const Case& c : cases)
-        CHECK(config::parse_event(*config::parse_json(c.json)).has_value() == c.good);
-    CHECK(!config::parse_json("{"));
-    CHECK(!config::parse_json(std::string(100000, '[')));
-
-    const auto event = config::parse_event(*config::parse_json(
-        R"({"roster":{"servers":[{"id":"a","addr":"h:1","state":"leaving","started_ms":1000}]}})"));
-    const auto& server = std::get<core::ServerChange>(event->what).servers.at(0);
-    CHECK(server.started_ms == 1000 && !server.entry.started_at);
-    CHECK(server.entry.condition == silverrail::routing::Condition::draining);
-}
-
-void calls() {
+void platform_requests_are_parsed_or_refused() {
     struct Case {
         net::http::verb verb;
         const char* target;
@@ -126,7 +93,7 @@
     two_keys.set("Max-Wait-Ms", "1500");
     two_keys.insert("Replay-Key", "one");
     two_keys.insert("Replay-Key", "other");
-    CHECK(std::holds_alternative<std::string>(front::parse_call(std::move(two_keys), core::Time{})));
+    CHECK(std::holds_alternative<front::RequestError>(front::parse_call(std::move(two_keys), core::Time{})));
     struct Tag {
         const char* header;
         const char* bare;
@@ -141,7 +108,7 @@
     }
 }
 
-void server_answers() {
+void server_responses_become_attempt_ends() {
     using core::AttemptStatus;
     struct Case {
         unsigned status;
@@ -167,13 +134,34 @@
         if (*c.never_ran)
             r.set("Not-Begun", c.never_ran);
         r.set("Detail", c.detail);
-        const auto end = net::server_answer(std::move(r));
+        const auto end = net::attempt_end(std::move(r));
         CHECK(end.attempt_status == c.attempt_status && end.cache_status == c.cache_status);
     }
-    const auto load = net::load_of("inflight:7;util:0.61;x1:oops;;x0:0.4");
+    const auto load = net::parse_load_report("inflight:7;util:0.61;x1:oops;;x0:0.4");
     CHECK(load.in_flight == 7 && load.utilisation == 0.61 && load.hit_share == 0.4 && !load.link_fullness);
 }
 
+// The servers' words for how they came by an answer, both ways.
+void cache_status_words_are_translated_both_ways() {
+    using core::CacheStatus;
+    const std::pair<const char*, CacheStatus> words[] = {{"hit", CacheStatus::hit},
+                                                         {"filled", CacheStatus::filled},
+                                                         {"via_origin", CacheStatus::filled_from_origin},
+                                                         {"joined", CacheStatus::coalesced},
+                                                         {"stale", CacheStatus::stale},
+                                                         {"src_refused", CacheStatus::source_rejected},
+                                                         {"src_broke", CacheStatus::source_unreachable},
+                                                         {"src_lacks", CacheStatus::source_missing},
+                                                         {"no_slot", CacheStatus::no_fill_slot},
+                                                         {"origin_failed", CacheStatus::origin_failed}};
+    for (const auto& [word, status] : words) {
+        CHECK(net::parse_cache_status(word) == status);
+        CHECK(net::cache_status_word(status) == word);
+    }
+    CHECK(net::parse_cache_status("unheard-of") == CacheStatus::none);
+    CHECK(net::cache_status_word(CacheStatus::none).empty());
+}
+
 std::string query(const std::string& name, std::uint16_t type, const std::string& more = {},
                   std::uint16_t additional = 0, std::uint16_t flags = 0x0100) {
     std::string q = "\x12\x34"s;
@@ -185,7 +173,7 @@
     return q + more;
 }
 
-void dns_queries() {
+void dns_queries_are_parsed_or_refused() {
     using namespace front::dns;
     const std::string opt = "\0\0\x29\x04\xd0\0\0\0\0\0\0"s;
     struct Case {
@@ -232,7 +220,7 @@
     CHECK(!(encode(q, r, *parse_name("example"), 65535)[2] & 2));
 }
 
-void dns_names() {
+void dns_names_have_meanings() {
     using namespace front::dns;
     using Kind = Meaning::Kind;
     ZoneSettings zone;
@@ -272,101 +260,8 @@
         CHECK(meaning_of(*parse_name(c.name), zone, classes, texts).kind == c.kind);
 }
 
-void operator_files() {
-    struct Case {
-        const char* json;
-        bool good;
-    };
-    const Case cases[] = {
-        {R"({})", true},
-        {R"({"dns":{"udp":"127.0.0.1:0","zone":"z.example","server":"ns.z.example"}})", true},
-        {R"({"dns":{"udp":"127.0.0.1:0"}})", false},
-        {R"({"dns":{"udp":"nowhere","zone":"z.example","server":"ns.z.example"}})", false},
-        {R"({"dns":{"ttl_s":2}})", false},  // would outlive the grace of a drain
-        {R"({"dns":3})", false},
-        {R"({"acme":{"directory":"https://ca.example/"}})", false},  // nothing to answer its challenge
-        {R"({"trace":{"folder":"/tmp/t","most_mb":100,"leave_out":["clients"]}})", true},
-        {R"({"trace":{"folder":"/tmp/t","flight_mb":4,"dump":{"at_failed_share":0.2}}})", true},
-        {R"({"trace":{"dump":{"at_failed_share":0.2}}})", false},  // nothing is kept that could be dumped
-        {R"({"trace":{"flight_mb":4}})", false},                   // nowhere to dump to
-        {R"({"trace":{"folder":"/tmp/t","most_mb":10,"file_mb":6}})", false},
-        {R"({"trace":{"leave_out":["names"]}})", false},
-        {R"({"trace":{"queue_kb":1.5}})", false},
-        {R"({"tracing":{}})", false},
-        {R"([])", false},
-    };
-    for (const Case& c : cases) {
-        std::vector<std::string> problems;
-        (void)config::parse_operator(*config::parse_json(c.json), problems);
-        CHECK(problems.empty() == c.good);
-    }
-    // All that is wrong is told at once, each with its whole path.
-    std::vector<std::string> problems;
-    (void)config::parse_operator(
-        *config::parse_json(R"({"dns":{"ttl_s":7},"trace":{"most_mb":0,"dump":{"share":1}},"x":1})"),
-        problems);
-    const std::vector<std::string> expected{"dns.ttl_s: expected a whole number from 0 to 1",
-                                            "trace.most_mb: expected a whole number from 1 to 1048576",
-                                            "trace.dump.share: no such setting", "x: no such setting"};
-    CHECK(problems == expected);
-    // The peers: absent, off; present, each wrong key by its path.
-    const struct {
-        const char* json;
-        std::vector<std::string> problems;
-    } kPeers[] = {
-        {R"({})", {}},
-        {R"({"peers":{"name":"a","bind":"127.0.0.1:7946","seeds":["127.0.0.2:7946"]}})", {}},
-        {R"({"peers":{"name":"a"}})", {"peers.bind: needed: where the peers' port is"}},
-        {R"({"peers":{"bind":"127.0.0.1:7946"}})", {"peers.name: needed, of 1 to 64 bytes"}},
-        {R"({"peers":{"name":"a","bind":"127.0.0.1:7946","seeds":"x"}})",
-         {"peers.seeds: expected a list of at most 64 texts"}},
-        {R"({"peers":{"name":"a","bind":"127.0.0.1:7946","seeds":["nowhere"]}})",
-         {"peers.seeds: not an address and a port: nowhere"}},
-        {R"({"peers":{"name":"a","bind":"127.0.0.1:7946","probe_ms":100,"probe_timeout_ms":100}})",
-         {"peers.probe_timeout_ms: must be shorter than probe_ms"}},
-        {R"({"peers":{"name":"a","bind":"127.0.0.1:7946","probe_ms":5}})",
-         {"peers.probe_ms: expected a whole number from 10 to 60000"}},
-        {R"({"peers":{"name":"a","bind":"127.0.0.1:7946","zone":"zzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzz"}})",
-         {"peers.zone: at most 32 bytes"}},
-        {R"({"peers":{"name":"a","bind":"127.0.0.1:7946","hearsay_ms":500}})",
-         {"peers.hearsay_ms: 0, or 1000 to 30000"}},
-        {R"({"peers":{"name":"a","bind":"127.0.0.1:7946","zone":"z1","failover":{"hold_ms":2000,"zones":[
-            {"name":"z1","region":"r1","routers":3},{"name":"z2","region":"r1","routers":3}]}}})",
-         {}},
-        {R"({"peers":{"name":"a","bind":"127.0.0.1:7946","zone":"z9","failover":{"panic":2,"zones":[
-            {"name":"z1","region":"r1","routers":0},{"name":"z1","region":"r=1","routers":3,"x":1}]}}})",
-         {"peers.failover.zones.0.routers: expected a whole number from 1 to 10000",
-          "peers.failover.zones.0.routers: needed: how many the zone has",
-          "peers.failover.zones.1.region: needed, of 1 to 32 plain letters without '='",
-          "peers.failover.zones.1.name: given twice: z1", "peers.failover.zones.1.x: no such setting",
-          "peers.failover.panic: expected a number from 0 to 1",
-          "peers.failover.zones: this router's own zone is not among them: z9"}},
-        {R"({"peers":{"name":"a","bind":"127.0.0.1:7946","zone":"z1","failover":{"zones":{}}}})",
-         {"peers.failover.zones: expected a list of at most 64",
-          "peers.failover.zones: this router's own zone is not among them: z1"}},
-        {R"({"peers":{"name":"a","bind":"127.0.0.1:7946","gossip":1}})", {"peers.gossip: no such setting"}},
-    };
-    for (const auto& c : kPeers) {
-        std::vector<std::string> found;
-        const auto o = config::parse_operator(*config::parse_json(c.json), found);
-        if (found != c.problems) {
-            for (const auto& f : found)
-                std::fprintf(stderr, "%s: %s\n", c.json, f.c_str());
-            CHECK(false);
-        }
-        CHECK(o.peers.on() == (std::string_view{c.json}.find("bind") != std::string_view::npos));
-    }
-    CHECK(config::parse_endpoint("[::1]:53")->host == "::1");
-    for (const char* bad : {"", ":1", "h", "h:", "h:x", "h:65536"})
-        CHECK(!config::parse_endpoint(bad));
-}
-
-}  // namespace
-
-namespace {
-
 // Growing, bounded, out of step with other seeds and the same for the same one.
-void backoff() {
+void backoff_grows_and_differs_between_routers() {
     using Ms = std::chrono::milliseconds;
     std::map<std::int64_t, int> firsts;
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
@@ -395,13 +290,12 @@
 }  // namespace
 
 int main() {
-    backoff();
-    sse();
-    discovery();
-    calls();
-    server_answers();
-    dns_queries();
-    dns_names();
-    operator_files();
+    backoff_grows_and_differs_between_routers();
+    sse_events_are_parsed_however_the_bytes_are_cut();
+    platform_requests_are_parsed_or_refused();
+    server_responses_become_attempt_ends();
+    cache_status_words_are_translated_both_ways();
+    dns_queries_are_parsed_or_refused();
+    dns_names_have_meanings();
     std::puts("parsers: all cases hold");
 }
--- a/tests/silverrail/program_test.cpp
+++ b/tests/silverrail/program_test.cpp
@@ -1,8 +1,8 @@
 // The program itself: started with a configuration file, followed through its phases, ended by SIGTERM.
-#include "program.h"
+#include "router_process.h"
 
 using namespace silverrail;
-using namespace silverrail::stand;
+using namespace silverrail::test;
 
 namespace {
 
@@ -19,12 +19,12 @@
 
 // Servers that hang for longer than SIGKILL waits after SIGTERM (3.7 s with these settings): whoever still
 // waits is answered before that, and the process ends by itself.
-void hung_servers_at_the_end() {
+void hung_servers_do_not_hold_up_the_exit() {
     asio::io_context io;
-    DiscoveryWatch discovery{io};
+    DiscoveryServer discovery{io};
     Server server{io};
     server.act = Server::Act::stay_silent;
-    Program program{discovery.address(), server.address()};
+    RouterProcess program{discovery.address(), server.address()};
     run_until(io, [&] { return program.listens(); });
     Client waits{io, program.at};
     waits.send(ask("lodge", kObject, 9000));
@@ -42,12 +42,12 @@
 }  // namespace
 
 int main() {
-    hung_servers_at_the_end();
+    hung_servers_do_not_hold_up_the_exit();
     asio::io_context io;
-    DiscoveryWatch discovery{io};
+    DiscoveryServer discovery{io};
     Server server{io};
     Server second{io};
-    Program program{discovery.address(), server.address()};
+    RouterProcess program{discovery.address(), server.address()};
     run_until(io, [&] { return program.listens(); });
     Client client{io, program.at};
     CHECK(get(io, client, "/alive") == 200);
@@ -117,7 +117,7 @@
     Client open{io, program.at};
     open.send(ask("pages", "00000000000000bb", 4000));
     run_until(io, [&] { return second.seen.size() == 2; });
-    DiscoveryWatch moved{io};
+    DiscoveryServer moved{io};
     program.configure(moved.address(), "2");
     program.hang_up();
     run_until(io, [&] { return moved.resumed_after.size() == 1; });
--- a/tests/silverrail/rough_test.cpp
+++ b/tests/silverrail/rough_test.cpp
@@ -1,8 +1,8 @@
 // What clients and servers do wrong: every case ends in time, within its bounds, and harms nobody else.
-#include "stand.h"
+#include "test_fixture.h"
 
 using namespace silverrail;
-using namespace silverrail::stand;
+using namespace silverrail::test;
 namespace asio = net::asio;
 
 namespace {
@@ -49,11 +49,11 @@
 }
 
 // Silence and half requests end by a limit that runs from connecting; idle usual clients are left alone.
-void silence_ends() {
+void silent_connections_are_closed() {
     asio::io_context io;
     Server server{io};
     net::HttpLimits limits;
-    limits.first_request = limits.half_read = 100ms;
+    limits.first_request_timeout = limits.request_timeout = 100ms;
     Router router{io, limits};
     router.list_with_sources({listed("s-a", server.address())});
     Client usual{io, router.server.local()};
@@ -72,7 +72,7 @@
 }
 
 // Connections run short: who never asked goes first, then who is idle; a request that is open never does.
-void floods_spare_usual_clients() {
+void idle_connections_are_evicted_first() {
     asio::io_context io;
     Server server{io};
     net::HttpLimits limits;
@@ -108,7 +108,7 @@
 }
 
 // An id that is open stands for one request; what no class can mean is not sent either.
-void impossible_requests_fail_unsent() {
+void invalid_requests_fail_unsent() {
     asio::io_context io;
     Server server{io};
     Router router{io};
@@ -144,7 +144,7 @@
 
 // Spoilt answers fail at once and are not stored; good ones that bring more than theirs are served, and no
 // connection of either is used again.
-void server_answers_are_bounded() {
+void server_responses_are_bounded() {
     struct Case {
         std::string bytes;
         bool served;
@@ -181,7 +181,7 @@
         CHECK(std::chrono::steady_clock::now() - begin < 5s);  // not by its deadline
         if (!c.kept)
             run_until(io, [&] { return server.closed == server.connections; });
-        CHECK(router.upstream.sockets() == (c.kept ? 1u : 0u));
+        CHECK(router.pool.connections() == (c.kept ? 1u : 0u));
     }
 }
 
@@ -189,9 +189,9 @@
 
 int main() {
     unreadable_requests_are_answered();
-    silence_ends();
-    floods_spare_usual_clients();
-    impossible_requests_fail_unsent();
-    server_answers_are_bounded();
+    silent_connections_are_closed();
+    idle_connections_are_evicted_first();
+    invalid_requests_fail_unsent();
+    server_responses_are_bounded();
     std::puts("rough: bad clients and bad boxes harm nobody else");
 }
--- a/tests/silverrail/program.h
+++ b/tests/silverrail/router_process.h
@@ -13,17 +13,17 @@
 
 #include "config/config.h"
 #include "lab/faults/control.h"
-#include "stand.h"
+#include "test_fixture.h"
 
-namespace silverrail::stand {
+namespace silverrail::test {
 
 namespace asio = net::asio;
 namespace http = net::http;
 
 // A discovery that says what it is told to, and can be cut off.
-class DiscoveryWatch {
+class DiscoveryServer {
 public:
-    explicit DiscoveryWatch(asio::io_context& io) : acceptor_(io, loopback()) {
+    explicit DiscoveryServer(asio::io_context& io) : acceptor_(io, loopback()) {
         accept();
     }
     std::string address() const {
@@ -89,12 +89,13 @@
     return tcp::acceptor{io, loopback()}.local_endpoint();
 }
 
-class Program {
+class RouterProcess {
 public:
-    Program(const std::string& discovery, const std::string& server) : Program(discovery, server, "") {}
+    RouterProcess(const std::string& discovery, const std::string& server)
+        : RouterProcess(discovery, server, "") {}
     // With `faults` its system calls fail by that file's word.
-    Program(const std::string& discovery, const std::string& server, const std::string& control,
-            const lab::FaultFile* faults = nullptr)
+    RouterProcess(const std::string& discovery, const std::string& server, const std::string& control,
+                  const lab::FaultFile* faults = nullptr)
         : at(free_endpoint()), server_(server), faults_(faults) {
         folder_ = std::filesystem::temp_directory_path() / ("silverrail-run-" + std::to_string(::getpid()));
         std::filesystem::create_directory(folder_);
@@ -173,7 +174,7 @@
     void hang_up() {
         CHECK(::kill(pid_, SIGHUP) == 0);
     }
-    ~Program() {
+    ~RouterProcess() {
         if (pid_ > 0)
             ::kill(pid_, SIGKILL);
         std::filesystem::remove_all(folder_);
@@ -212,4 +213,4 @@
     pid_t pid_ = -1;
 };
 
-}  // namespace silverrail::stand
+}  // namespace silverrail::test
--- a/tests/silverrail/sockets_test.cpp
+++ b/tests/silverrail/sockets_test.cpp
@@ -5,10 +5,10 @@
 #include <functional>
 #include <set>
 
-#include "stand.h"
+#include "test_fixture.h"
 
 using namespace silverrail;
-using namespace silverrail::stand;
+using namespace silverrail::test;
 using silverrail::routing::Condition;
 
 namespace {
@@ -84,7 +84,7 @@
 }
 
 // A request that the module gives up on is answered at once, and told when to come back.
-void refusals_come_at_once() {
+void rejections_come_at_once() {
     net::asio::io_context io;
     Router router{io};
     router.list_with_sources({});  // no server in this zone
@@ -95,7 +95,7 @@
 }
 
 // Rule 2: a class that must never run twice, on every way an attempt can end.
-void never_twice() {
+void non_idempotent_requests_never_run_twice() {
     struct Case {
         Server::Act act;
         bool may_have_run;
@@ -134,7 +134,7 @@
 
 // A repeat of a keyed request is told from a new one by its key: each attempt carries the client's own, and
 // one that has none is not sent.
-void keys_pass_on() {
+void idempotency_keys_are_passed_on() {
     net::asio::io_context io;
     Server up{io};
     Router router{io};
@@ -175,7 +175,7 @@
 }
 
 // Rule 3: nothing new to a server that drains or is gone, and no connection of it is used again.
-void drains_are_kept() {
+void draining_servers_get_nothing_new() {
     net::asio::io_context io;
     Server first{io};
     Server second{io};
@@ -219,11 +219,11 @@
         asks.leave();
         run_until(io, [&] { return router.engine.open() == 0; });
     }
-    CHECK(router.upstream.servers() == 0);
+    CHECK(router.pool.servers() == 0);
 }
 
 // Rule 4: a server that has just started is not sent more than its share, however many ask.
-void cold_servers_are_spared() {
+void warming_up_servers_get_only_their_share() {
     net::asio::io_context io;
     Server server{io};
     Router router{io};
@@ -244,7 +244,7 @@
 }
 
 // Rule 5: after a purge the server is told how old a copy may be, also where the purge came last of all.
-void purges_are_kept() {
+void purges_bound_the_age_of_cached_objects() {
     net::asio::io_context io;
     Server server{io};
     Router router{io};
@@ -269,7 +269,7 @@
 }
 
 // The client has gone: the server is told by the end of the connection.
-void gone_clients_cancel() {
+void disconnected_clients_cancel_their_attempts() {
     net::asio::io_context io;
     Server server{io};
     Router router{io};
@@ -286,7 +286,7 @@
 }
 
 // Out of descriptors: what has come in waits in the backlog and is served once some are free.
-void descriptors_run_out() {
+void connections_wait_while_descriptors_are_lacking() {
     net::asio::io_context io;
     Router router{io};
     router.list_with_sources({});
@@ -320,14 +320,14 @@
 int main() {
     answers_pass_unchanged();
     every_request_is_answered();
-    refusals_come_at_once();
-    never_twice();
-    keys_pass_on();
+    rejections_come_at_once();
+    non_idempotent_requests_never_run_twice();
+    idempotency_keys_are_passed_on();
     no_repeat_on_a_stale_connection();
-    drains_are_kept();
-    cold_servers_are_spared();
-    purges_are_kept();
-    gone_clients_cancel();
-    descriptors_run_out();
+    draining_servers_get_nothing_new();
+    warming_up_servers_get_only_their_share();
+    purges_bound_the_age_of_cached_objects();
+    disconnected_clients_cancel_their_attempts();
+    connections_wait_while_descriptors_are_lacking();
     std::puts("sockets: every rule holds");
 }
--- a/tests/silverrail/stand.h
+++ b/tests/silverrail/test_fixture.h
@@ -9,9 +9,9 @@
 #include "core/engine.h"
 #include "front/platform/platform.h"
 #include "net/clock.h"
-#include "net/upstream.h"
+#include "net/connection_pool.h"
 
-namespace silverrail::stand {
+namespace silverrail::test {
 
 using namespace std::chrono_literals;
 using net::asio::ip::tcp;
@@ -347,10 +347,10 @@
 class Router {
 public:
     explicit Router(net::asio::io_context& io, net::HttpLimits limits = {}, std::size_t most_open = 1000,
-                    net::UpstreamLimits to_servers = {})
+                    net::ConnectionPoolLimits to_servers = {})
         : timers(io),
-          upstream(io, to_servers, clock, log),
-          engine(settings(), 7, most_open, clock, timers, upstream, log),
+          pool(io, to_servers, clock, log),
+          engine(settings(), 7, most_open, clock, timers, pool, log),
           platform(engine, lifecycle, log),
           server(
               io, loopback(), limits,
@@ -370,7 +370,7 @@
     Log log;
     net::SystemClock clock;
     net::TimerQueue timers;
-    net::Upstream upstream;
+    net::ConnectionPool pool;
     Lifecycle lifecycle;
     core::Engine engine;
     front::Platform platform;
@@ -379,8 +379,8 @@
 
 // Until a connection to a server that has just answered is used again.
 inline void rest(net::asio::io_context& io, const Router& router) {
-    const auto rested = router.clock.now() + net::UpstreamLimits{}.rest;
+    const auto rested = router.clock.now() + net::ConnectionPoolLimits{}.quiet_before_reuse;
     run_until(io, [&] { return router.clock.now() > rested; });
 }
 
-}  // namespace silverrail::stand
+}  // namespace silverrail::test
--- a/tests/silverrail/upgrade_test.cpp
+++ b/tests/silverrail/upgrade_test.cpp
@@ -4,11 +4,11 @@
 
 #include "members/give_way.h"
 #include "members/shares.h"
-#include "program.h"
+#include "router_process.h"
 #include "store/presence.h"
 
 using namespace silverrail;
-using namespace silverrail::stand;
+using namespace silverrail::test;
 
 namespace {
 
@@ -150,7 +150,7 @@
         const bool write = ++asked_ % 5 == 0;
         char object[17];
         std::snprintf(object, sizeof object, "%016zx", asked_ % 400);
-        one->request = stand::ask(write ? "lodge" : "pages", object, 3000);
+        one->request = test::ask(write ? "lodge" : "pages", object, 3000);
         one->request.prepare_payload();
         one->response = {};
         ++one->asked;
@@ -218,10 +218,10 @@
 // A server is taken out at either process of an upgrade, and both heed it; what the file can't keep is said.
 void bans_over_an_upgrade() {
     asio::io_context io;
-    DiscoveryWatch discovery{io};
+    DiscoveryServer discovery{io};
     Server server{io};
     const tcp::endpoint first = free_endpoint();
-    Program program{discovery.address(), server.address(), text_of(first)};
+    RouterProcess program{discovery.address(), server.address(), text_of(first)};
     run_until(io, [&] { return says_yes(io, first); });
     const auto down = [&](const tcp::endpoint& at) {
         const std::string dump = call(io, at, "DUMP");
@@ -283,7 +283,7 @@
 
 // A further process of the program, once it says that it takes clients.
 struct Next {
-    Next(asio::io_context& io, Program& program)
+    Next(asio::io_context& io, RouterProcess& program)
         : control(free_endpoint()), pid(program.start(text_of(control))) {
         run_until(io, [&] { return says_yes(io, control); });
     }
@@ -293,10 +293,10 @@
 
 void upgrades_under_load() {
     asio::io_context io;
-    DiscoveryWatch discovery{io};
+    DiscoveryServer discovery{io};
     Server server{io};
     tcp::endpoint control = free_endpoint();
-    Program program{discovery.address(), server.address(), text_of(control)};
+    RouterProcess program{discovery.address(), server.address(), text_of(control)};
     pid_t serving = program.pid();
     run_until(io, [&] { return says_yes(io, control); });
     Load load{io, program.at, 12};
