--- a/src/app/optional_parts.cpp
+++ b/src/app/optional_parts.cpp
@@ -43,18 +43,18 @@
     const config::PeersSettings& settings = with_.settings.peers;
     const std::uint64_t seed = with_.config.seed;
     auto& [peers, state, reports] = peer_services_;
-    peers = add(std::make_unique<PeersPart>(with_.io, settings, seed, with_.clock.unix_ms(), with_.log));
+    peers = add(std::make_unique<MembershipPart>(with_.io, settings, seed, with_.clock.unix_ms(), with_.log));
     const ReplicaPart::World replica_dependencies{with_.io, *peers, with_.clock, with_.log};
     state = add(std::make_unique<ReplicaPart>(replica_dependencies, settings, shared_file("replica"), seed));
     // Started after the parts that use it.
     auto reports_part =
-        std::make_unique<ReplicaPart>(replica_dependencies, settings, ReplicaPart::Ageing{}, seed);
+        std::make_unique<ReplicaPart>(replica_dependencies, settings, ReplicaPart::Reports{}, seed);
     reports = reports_part.get();
     cluster_commands_.members = [members = peers] {
         return members->members();
     };
     cluster_commands_.replica = [replica = state] {
-        return replica->digest();
+        return replica->status();
     };
     if (settings.hearsay_ms > 0)
         add_server_reports();
--- a/src/app/optional_parts.h
+++ b/src/app/optional_parts.h
@@ -5,8 +5,8 @@
 #include <memory>
 #include <vector>
 
+#include "app/membership_part.h"
 #include "app/part.h"
-#include "app/peers_part.h"
 #include "app/replica_part.h"
 #include "config/config.h"
 #include "config/operator_settings.h"
@@ -44,7 +44,7 @@
 private:
     // Made for the parts that build on them; null where the router has no peers.
     struct PeerServices {
-        PeersPart* peers = nullptr;
+        MembershipPart* peers = nullptr;
         ReplicaPart* state = nullptr;    // replicated, durable
         ReplicaPart* reports = nullptr;  // on servers, in memory only
     };
--- a/src/config/peers_settings.cpp
+++ b/src/config/peers_settings.cpp
@@ -15,7 +15,7 @@
 
 // Zone and region names stand in stored decisions, whose text gives '=' and spaces a meaning.
 bool is_place_name(const std::string& name) {
-    return !name.empty() && name.size() <= cluster::kLongestPlace &&
+    return !name.empty() && name.size() <= cluster::kMaxZoneLength &&
            std::all_of(name.begin(), name.end(), [](char c) { return c > ' ' && c < '\x7f' && c != '='; });
 }
 
--- a/src/net/peer_transport.cpp
+++ b/src/net/peer_transport.cpp
@@ -30,10 +30,10 @@
 // Gossip is piggybacked as far as there is room: records are dropped from the end until the message fits.
 std::string encode_datagram(const PeerTransport::Message& message) {
     std::string bytes = encode(message);
-    const auto* membership = std::get_if<cluster::Message>(&message);
+    const auto* membership = std::get_if<cluster::MembershipMessage>(&message);
     if (!membership || bytes.size() <= wire::kMostDatagram)
         return bytes;
-    cluster::Message shortened = *membership;
+    cluster::MembershipMessage shortened = *membership;
     while (bytes.size() > wire::kMostDatagram && !shortened.records.empty()) {
         shortened.records.pop_back();
         bytes = wire::encode(shortened);
@@ -99,7 +99,7 @@
 
 std::optional<PeerTransport::Message> PeerTransport::decode(std::string_view bytes, bool stream) {
     auto decoded = wire::decode(bytes, stream);
-    if (auto* membership = std::get_if<cluster::Message>(&decoded))
+    if (auto* membership = std::get_if<cluster::MembershipMessage>(&decoded))
         return std::move(*membership);
     if (auto* replica = std::get_if<cluster::ReplicaMessage>(&decoded))
         return std::move(*replica);
--- a/src/net/peer_transport.h
+++ b/src/net/peer_transport.h
@@ -9,7 +9,7 @@
 #include <memory>
 #include <set>
 
-#include "cluster/members.h"
+#include "cluster/membership/membership_message.h"
 #include "cluster/wire.h"
 #include "log/log.h"
 #include "net/asio.h"
@@ -32,7 +32,7 @@
 
 class PeerTransport {
 public:
-    using Message = std::variant<cluster::Message, cluster::ReplicaMessage>;
+    using Message = std::variant<cluster::MembershipMessage, cluster::ReplicaMessage>;
     struct Outgoing {
         std::string address;
         Message message;
--- a/tests/installed/main.cpp
+++ b/tests/installed/main.cpp
@@ -1,6 +1,6 @@
 #include <iostream>
 
-#include "../embed_example.h"
+#include "embed_example.h"
 
 int main() {
     const auto target = embed_example::first_target();
--- a/tests/tracker_test.cpp
+++ b/tests/routing/hot_object_test.cpp
@@ -1,7 +1,7 @@
 // The design's mechanism, seen through the ranks that the Router gives and the sizes it reports.
 #include <set>
 
-#include "gateway.h"
+#include "router_fixture.h"
 
 namespace silverrail::routing::testing {
 namespace {
@@ -11,20 +11,20 @@
 }
 
 // Fills the tracker with one-off objects numbered from `first` until it holds K.
-void fill_tracker(Gateway& g, std::uint64_t first) {
+void fill_tracker(TestRouter& g, std::uint64_t first) {
     for (std::uint64_t i = first; g.router.sizes().tracked < g.router.sizes().tracker_capacity; ++i)
         g.serve(i);
 }
 
-TEST(Tracker, FirstRequestPassesUnkept) {
-    Gateway g;
+TEST(Tracker, AFirstRequestIsNotStored) {
+    TestRouter g;
     EXPECT_EQ(rank_of(g.serve(1)), RetentionPriority::no_store);
     EXPECT_EQ(rank_of(g.serve(1)),
               RetentionPriority::highest);  // among the C hottest: there are no others yet
 }
 
-TEST(Tracker, TheHottestAreKeptAtTheHighestRankOthersAtTheLowest) {
-    Gateway g;
+TEST(Tracker, TheHottestAreKeptAtTheHighestPriorityOthersAtTheLowest) {
+    TestRouter g;
     const auto c = g.router.sizes().hot_capacity;
     for (int round = 0; round < 3; ++round)
         for (std::uint64_t i = 1; i <= c; ++i)
@@ -37,7 +37,7 @@
 }
 
 TEST(Tracker, ANewcomerReplacesTheColdestAndInheritsItsHotness) {
-    Gateway g;
+    TestRouter g;
     const auto sizes = g.router.sizes();
     // S_c is filled with objects of hotness 4; the coldest of the rest has 3 after three rounds.
     for (int round = 0; round < 4; ++round)
@@ -55,38 +55,38 @@
 }
 
 TEST(Tracker, APurgeCountsAsAnUpdate) {
-    Gateway g;
+    TestRouter g;
     const auto c = g.router.sizes().hot_capacity;
     for (int round = 0; round < 3; ++round)
         for (std::uint64_t i = 1; i <= c + 1; ++i)
             g.serve(i);
     for (int i = 0; i < 3; ++i)
-        g.tell(Purge{.object = ObjectId{1}});                   // 3 reads - 3 purges = 0
+        g.notify(Purge{.object = ObjectId{1}});                 // 3 reads - 3 purges = 0
     EXPECT_EQ(rank_of(g.serve(1)), RetentionPriority::lowest);  // 1, under h_min = 3
     g.serve(c + 1);
     EXPECT_EQ(rank_of(g.serve(c + 1)), RetentionPriority::highest);
 }
 
 TEST(Tracker, AClientsMarkedRetryDoesNotCount) {
-    Gateway g;
+    TestRouter g;
     for (int i = 0; i < 5; ++i)
-        g.tell(Request{.id = RequestId{900u + static_cast<unsigned>(i)},
-                       .object = ObjectId{5},
-                       .deadline = g.now + 4s,
-                       .is_retry = true});
+        g.notify(Request{.id = RequestId{900u + static_cast<unsigned>(i)},
+                         .object = ObjectId{5},
+                         .deadline = g.now + 4s,
+                         .is_retry = true});
     EXPECT_EQ(g.router.sizes().tracked, 0u);
 }
 
-TEST(Tracker, UncachedClassesPassUntracked) {
-    Gateway g;
-    g.ask(5, 1);
+TEST(Tracker, UncachedClassesAreNotTracked) {
+    TestRouter g;
+    g.request(5, 1);
     EXPECT_EQ(g.router.sizes().tracked, 0u);
     EXPECT_EQ(g.target(), "origin");
 }
 
 // One fill at one of two parents: (n + 1) / (0 + 1) > I_t; kept objects get more requests than the rest.
 TEST(Resizing, AnImbalanceAtTheParentsDoublesBoth) {
-    Gateway g;
+    TestRouter g;
     const auto before = g.router.sizes();
     for (int i = 0; i < 10; ++i)
         g.serve(1, CacheStatus::filled);
@@ -98,7 +98,7 @@
 }
 
 TEST(Resizing, HitsAreNotFillsAndBalanceKeepsTheSizes) {
-    Gateway g;
+    TestRouter g;
     const auto before = g.router.sizes();
     for (int i = 0; i < 10; ++i)
         g.serve(1, CacheStatus::hit);  // I_c = (0 + 1) / (0 + 1)
@@ -108,7 +108,7 @@
 }
 
 TEST(Resizing, AnEpochAlsoEndsByCount) {
-    Gateway g;
+    TestRouter g;
     const auto before = g.router.sizes();
     for (std::size_t i = 0; i < before.tracker_capacity; ++i)
         g.serve(1, CacheStatus::filled);  // E = K requests
@@ -116,7 +116,7 @@
 }
 
 TEST(Resizing, StopsAtACapWithKAtLeastTwiceC) {
-    Gateway g;
+    TestRouter g;
     for (int epoch = 0; epoch < 20; ++epoch) {
         for (int i = 0; i < 10; ++i)
             g.serve(1, CacheStatus::filled);
@@ -132,7 +132,7 @@
 // alpha_t was set by an epoch of ten requests to one kept object; a balanced epoch in which both alphas
 // fall below (1 - epsilon) alpha_t halves C and K; K never falls below its start.
 TEST(Resizing, WhenBothAlphasFallBothHalve) {
-    Gateway g;
+    TestRouter g;
     const auto start = g.router.sizes();
     for (int i = 0; i < 10; ++i)
         g.serve(1, CacheStatus::filled);
@@ -153,8 +153,8 @@
 }
 
 // Only alpha_c falls: all hotness halves, so that a new favourite needs half as many requests.
-TEST(Resizing, WhenOnlyTheKeptFallAllHotnessHalves) {
-    Gateway g;
+TEST(Resizing, WhenOnlyTheHotOnesFallAllHotnessHalves) {
+    TestRouter g;
     for (int i = 0; i < 10; ++i)
         g.serve(1, CacheStatus::filled);
     g.pass(11s);
@@ -177,7 +177,7 @@
 }
 
 TEST(Tracker, AScanOfOneOffObjectsNeverGrowsIt) {
-    Gateway g;
+    TestRouter g;
     fill_tracker(g, 1);
     const auto full = g.router.sizes();
     for (std::uint64_t i = 0; i < 100; ++i)
@@ -185,11 +185,11 @@
     EXPECT_EQ(g.router.sizes().tracked, full.tracked);
 }
 
-TEST(FillPath, HomesDoNotDependOnTheGateway) {
+TEST(FillSource, AnObjectsServersDoNotDependOnTheRouter) {
     auto other = plain_settings();
     other.routers = 5;
-    Gateway a;
-    Gateway b{other};
+    TestRouter a;
+    TestRouter b{other};
     std::set<std::string> parents;
     for (std::uint64_t object = 1; object < 60; ++object) {
         const auto one = a.serve(object);
@@ -202,9 +202,9 @@
     EXPECT_EQ(parents.size(), 2u);
 }
 
-TEST(FillPath, TheNextParentThenTheOriginWhenSourcesFail) {
-    Gateway g;
-    const auto id = g.ask(9);
+TEST(FillSource, TheNextParentThenTheOriginWhenSourcesFail) {
+    TestRouter g;
+    const auto id = g.request(9);
     const auto first = g.source();
     g.end(id, AttemptStatus::miss, CacheStatus::source_unreachable);
     const auto second = g.source();
--- a/tests/size_share_test.cpp
+++ b/tests/routing/size_share_test.cpp
@@ -6,7 +6,7 @@
 #include <map>
 #include <random>
 
-#include "gateway.h"
+#include "router_fixture.h"
 
 namespace silverrail::routing::testing {
 namespace {
@@ -33,7 +33,7 @@
 
 class World {
 public:
-    explicit World(const Case& c) : case_(c), gateway_(settings(c)) {}
+    explicit World(const Case& c) : case_(c), test_router_(settings(c)) {}
 
     // Answered share of those that `from` and `to` say by size, as parts of all from the smallest up.
     double answered(double from, double to) const {
@@ -57,12 +57,12 @@
         const double cache_rate = case_.load * kCacheLinks / kMeanWork;
         const double rate = std::min(zone_rate, cache_rate);
         double next = 0;
-        for (const Time end = gateway_.now + kDay; gateway_.now < end; gateway_.pass(kStep)) {
+        for (const Time end = test_router_.now + kDay; test_router_.now < end; test_router_.pass(kStep)) {
             fire_timers();
             move_transfers();
             give_up_late_ones();
             for (next += rate * seconds(kStep); next >= 1; next -= 1)
-                ask();
+                request();
         }
     }
 
@@ -105,17 +105,17 @@
         return (static_cast<double>(random_() >> 11) + 0.5) * 0x1.0p-53;
     }
 
-    void ask() {
+    void request() {
         // Log-normal about the mean, as the sizes of kept objects are.
         const double normal = std::sqrt(-2 * std::log(draw())) * std::cos(6.283185307179586 * draw());
         const double work = kMeanWork * std::exp(normal - 0.5);
         const RequestId id{++ids_};
-        asked_[id] = {.work = work, .deadline = gateway_.now + 5s};
-        act(gateway_.tell(Request{.id = id,
-                                  .class_index = 0,
-                                  .object = ObjectId{1 + random_() % 400},
-                                  .size_kb = case_.tells_sizes ? work * kFlow : 0,
-                                  .deadline = asked_[id].deadline}));
+        asked_[id] = {.work = work, .deadline = test_router_.now + 5s};
+        act(test_router_.notify(Request{.id = id,
+                                        .class_index = 0,
+                                        .object = ObjectId{1 + random_() % 400},
+                                        .size_kb = case_.tells_sizes ? work * kFlow : 0,
+                                        .deadline = asked_[id].deadline}));
     }
     void act(const std::vector<Action>& actions) {
         for (const Action& a : std::vector<Action>{actions})
@@ -123,7 +123,7 @@
     }
     void on(const Send& s) {
         const Asked& r = asked_.at(s.request);
-        Transfer t{.request = s.request, .attempt = attempts_[s.request]++, .sent = gateway_.now};
+        Transfer t{.request = s.request, .attempt = attempts_[s.request]++, .sent = test_router_.now};
         t.target = s.target.address;
         // The draw is the request's own: a further attempt finds the same.
         const bool held = std::fmod(static_cast<double>(s.request) * 0.618033988749895, 1.0) > kMissShare;
@@ -131,7 +131,7 @@
         t.miss = !held && (!s.fill || s.fill->source == s.target);
         t.left = r.work;
         if (s.timeout > Span{})
-            t.until = gateway_.now + s.timeout;
+            t.until = test_router_.now + s.timeout;
         out_.push_back(t);
     }
     void on(const Cancel& c) {
@@ -144,7 +144,7 @@
         asked_.at(f.request).over = true;
     }
     void on(const SetTimer& t) {
-        timers_.emplace(gateway_.now + t.after, t.id);
+        timers_.emplace(test_router_.now + t.after, t.id);
     }
 
     void end(const Transfer& t, AttemptStatus attempt_status) {
@@ -152,14 +152,15 @@
         const bool good = attempt_status == AttemptStatus::success && !r.over;
         if (good)
             r.answered = r.over = true;
-        act(gateway_.tell(Outcome{.request = t.request,
-                                  .attempt = t.attempt,
-                                  .attempt_status = attempt_status,
-                                  .duration = gateway_.now - t.sent,
-                                  .request_completed = r.over,
-                                  .cache_status = attempt_status != AttemptStatus::success ? CacheStatus::none
-                                                  : t.fill ? CacheStatus::filled
-                                                           : CacheStatus::hit}));
+        act(test_router_.notify(Outcome{.request = t.request,
+                                        .attempt = t.attempt,
+                                        .attempt_status = attempt_status,
+                                        .duration = test_router_.now - t.sent,
+                                        .request_completed = r.over,
+                                        .cache_status = attempt_status != AttemptStatus::success
+                                                            ? CacheStatus::none
+                                                        : t.fill ? CacheStatus::filled
+                                                                 : CacheStatus::hit}));
     }
     template <class Test>
     void end_if(Test test, AttemptStatus attempt_status) {
@@ -174,15 +175,15 @@
             end(t, attempt_status);
     }
     void fire_timers() {
-        while (!timers_.empty() && timers_.begin()->first <= gateway_.now) {
+        while (!timers_.empty() && timers_.begin()->first <= test_router_.now) {
             const TimerId id = timers_.begin()->second;
             timers_.erase(timers_.begin());
-            act(gateway_.tell(Timer{id}));
+            act(test_router_.notify(Timer{id}));
         }
     }
     void move_transfers() {
         end_if([](const Transfer& t) { return t.miss; }, AttemptStatus::miss);
-        end_if([&](const Transfer& t) { return t.until <= gateway_.now; }, AttemptStatus::timeout);
+        end_if([&](const Transfer& t) { return t.until <= test_router_.now; }, AttemptStatus::timeout);
         std::map<std::string, double> at_cache;
         double fills = 0;
         for (const Transfer& t : out_)
@@ -197,16 +198,16 @@
     // Their clients leave, and what is out for them is given up.
     void give_up_late_ones() {
         for (auto& [id, r] : asked_) {
-            if (r.over || gateway_.now < r.deadline)
+            if (r.over || test_router_.now < r.deadline)
                 continue;
             r.over = true;
-            act(gateway_.tell(ClientClosed{id}));
+            act(test_router_.notify(ClientClosed{id}));
             end_if([id = id](const Transfer& t) { return t.request == id; }, AttemptStatus::cancelled);
         }
     }
 
     const Case& case_;
-    Gateway gateway_;
+    TestRouter test_router_;
     std::mt19937_64 random_{11};
     std::uint64_t ids_ = 0;
     std::map<RequestId, Asked> asked_;
@@ -217,7 +218,7 @@
 
 class SizeShare : public ::testing::TestWithParam<Case> {};
 
-TEST_P(SizeShare, TheLargestOfAClassGetTheirPart) {
+TEST_P(SizeShare, TheLargestOfAClassGetTheirShare) {
     World world{GetParam()};
     world.play();
     ASSERT_GT(world.size(), 1000u);
--- a/tests/silverrail/endings_test.cpp
+++ b/tests/silverrail/endings_test.cpp
@@ -509,7 +509,7 @@
 void connection_accepted_with_the_stop_is_served(int turns) {
     asio::io_context io;
     Log log;
-    net::Listener listener{io, loopback(), net::Listener::Port::alone, log};
+    net::Listener listener{io, loopback(), net::Listener::Port::exclusive, log};
     std::vector<tcp::socket> taken;
     listener.start([&](tcp::socket socket) { taken.push_back(std::move(socket)); });
     run_until(io, [&] { return io.poll() == 0; });
@@ -524,7 +524,7 @@
     asio::post(io, [&] { stop_after(turns); });
     run_until(io, [&] { return listener.closed(); });
     run_until(io, [&] { return io.poll() == 0; });
-    CHECK(taken.size() == clients.size() && listener.counters().taken == clients.size());
+    CHECK(taken.size() == clients.size() && listener.counters().accepted == clients.size());
 }
 
 }  // namespace
