--- a/src/app/failover_part.cpp
+++ b/src/app/failover_part.cpp
@@ -50,12 +50,12 @@
       max_report_age_(settings.hearsay_ms),
       failover_(settings.name, settings.zone, settings.failover),
       publisher_({.refresh_interval = kReportRefreshInterval}, seed ^ kSeed),
-      prober_(world.io, {}),
+      health_check_(world.io, {}),
       timer_(world.io) {}
 
 void FailoverPart::stop() {
     timer_.cancel();
-    prober_.stop();
+    health_check_.stop();
 }
 
 bool FailoverPart::is_drained() const {
@@ -126,7 +126,7 @@
         auto& probe = probes_[server.id];
         if (probe.under_way || now < probe.next)
             continue;
-        probe.under_way = prober_.look(server.address, [this, id = server.id](bool connected) {
+        probe.under_way = health_check_.check(server.address, [this, id = server.id](bool connected) {
             ++probes_finished_;
             probes_failed_ += connected ? 0 : 1;
             if (const auto found = probes_.find(id); found != probes_.end())
@@ -216,7 +216,7 @@
     return out + "--\n";
 }
 
-front::admin::Verdict FailoverPart::set_override(const std::string& zone, const std::string& how) {
+front::admin::CommandResult FailoverPart::set_override(const std::string& zone, const std::string& how) {
     if (!failover_.zones().contains(zone))
         return {false, "no such zone"};
     const auto key = cluster::override_key(zone);
--- a/src/app/failover_part.h
+++ b/src/app/failover_part.h
@@ -13,7 +13,7 @@
 #include "cluster/reports/report_publisher.h"
 #include "core/engine.h"
 #include "front/admin/admin.h"
-#include "net/prober.h"
+#include "net/tcp_health_check.h"
 
 namespace silverrail::app {
 
@@ -39,7 +39,7 @@
     // cent or "-", epoch, per cent of its requests that leave, where to, override, changes, flaps; then "--".
     std::string status() const;
     // An operator's override for the fleet: `how` is IN, OUT or OFF.
-    front::admin::Verdict set_override(const std::string& zone, const std::string& how);
+    front::admin::CommandResult set_override(const std::string& zone, const std::string& how);
 
 private:
     struct OwnServer {
@@ -73,7 +73,7 @@
     cluster::UnixMs max_report_age_;  // another's report on a server is a reason to probe for so long
     cluster::Failover failover_;
     cluster::ReportPublisher publisher_;
-    net::Prober prober_;
+    net::TcpHealthCheck health_check_;
     net::asio::steady_timer timer_;
     std::map<std::string, Probe> probes_;  // by server id
     std::map<std::string, double> factors_;
--- a/src/app/membership_part.cpp
+++ b/src/app/membership_part.cpp
@@ -40,7 +40,8 @@
       membership_(identity_of(settings), static_cast<std::uint64_t>(start_unix_ms),
                   membership_settings(settings), seed, settings.seeds, cluster::Time{0}),
       peer_(
-          io, settings.bind, {}, [this](const net::Peer::Message& message) { return receive(message); }, log),
+          io, settings.bind, {},
+          [this](const net::PeerTransport::Message& message) { return receive(message); }, log),
       timer_(io),
       // A probe's timeout is kept to a tenth of it.
       tick_interval_(std::clamp<std::int64_t>(settings.probe_timeout_ms / 10, kMinTickMs, kMaxTickMs)) {
@@ -64,20 +65,22 @@
     if (stopped_)
         return;
     stopped_ = true;
-    peer_.send(net::Peer::sends(membership_.leave()));
+    peer_.send(net::PeerTransport::outgoing(membership_.leave()));
     timer_.cancel();
     peer_.stop();
     log_events();
 }
 
-std::vector<net::Peer::Send> MembershipPart::receive(const net::Peer::Message& message) {
+std::vector<net::PeerTransport::Outgoing> MembershipPart::receive(
+    const net::PeerTransport::Message& message) {
     if (const auto* replicated = std::get_if<cluster::ReplicaMessage>(&message)) {
         const auto handler = replica_handlers_.find(replicated->channel);
         if (handler == replica_handlers_.end())
             return {};
         return handler->second(*replicated);
     }
-    auto out = net::Peer::sends(membership_.receive(std::get<cluster::MembershipMessage>(message), now()));
+    auto out = net::PeerTransport::outgoing(
+        membership_.receive(std::get<cluster::MembershipMessage>(message), now()));
     log_events();
     return out;
 }
@@ -85,7 +88,7 @@
 void MembershipPart::tick() {
     if (stopped_)
         return;
-    peer_.send(net::Peer::sends(membership_.tick(now())));
+    peer_.send(net::PeerTransport::outgoing(membership_.tick(now())));
     log_events();
     timer_.expires_after(tick_interval_);
     timer_.async_wait([this](const net::error_code& error) {
@@ -135,7 +138,7 @@
 std::string MembershipPart::counters() {
     using cluster::MemberState;
     const auto& protocol = membership_.counters();
-    const auto& transport = peer_.counts();
+    const auto& transport = peer_.counters();
     auto out = figure_lines("peers", {{"alive", membership_.count(MemberState::alive)},
                                       {"suspect", membership_.count(MemberState::suspect)},
                                       {"dead", membership_.count(MemberState::dead)},
--- a/src/app/membership_part.h
+++ b/src/app/membership_part.h
@@ -1,5 +1,5 @@
 // The fleet's membership in the running program: the state machine of src/cluster/membership on the transport
-// of src/net/peer, driven by a timer. Made only where the settings have a `peers` section.
+// of src/net/peer_transport, driven by a timer. Made only where the settings have a `peers` section.
 #pragma once
 
 #include <functional>
@@ -10,8 +10,8 @@
 #include "app/part.h"
 #include "cluster/membership/membership.h"
 #include "cluster/replicated_state/replica_message.h"
-#include "config/operator.h"
-#include "net/peer.h"
+#include "config/operator_settings.h"
+#include "net/peer_transport.h"
 
 namespace silverrail::app {
 
@@ -30,11 +30,12 @@
     std::string members() const;
 
     // What else uses the peers' transport: the messages of a replicated state, by its channel.
-    using ReplicaHandler = std::function<std::vector<net::Peer::Send>(const cluster::ReplicaMessage&)>;
+    using ReplicaHandler =
+        std::function<std::vector<net::PeerTransport::Outgoing>(const cluster::ReplicaMessage&)>;
     void set_replica_handler(std::uint8_t channel, ReplicaHandler handler) {
         replica_handlers_[channel] = std::move(handler);
     }
-    void send(std::vector<net::Peer::Send> messages) {
+    void send(std::vector<net::PeerTransport::Outgoing> messages) {
         peer_.send(std::move(messages));
     }
     // Of the other members that are alive.
@@ -47,11 +48,11 @@
 private:
     void tick();
     void log_events();
-    std::vector<net::Peer::Send> receive(const net::Peer::Message& message);
+    std::vector<net::PeerTransport::Outgoing> receive(const net::PeerTransport::Message& message);
 
     Log& log_;
     cluster::Membership membership_;
-    net::Peer peer_;
+    net::PeerTransport peer_;
     net::asio::steady_timer timer_;
     std::chrono::milliseconds tick_interval_;
     std::chrono::steady_clock::time_point epoch_ = std::chrono::steady_clock::now();
--- a/src/app/overrides_part.cpp
+++ b/src/app/overrides_part.cpp
@@ -114,7 +114,7 @@
     return engine_.is_listed(server) || engine_.overrides().excludes(server);
 }
 
-front::admin::Verdict OverridesPart::out(const core::ServerId& server) {
+front::admin::CommandResult OverridesPart::take_offline(const core::ServerId& server) {
     if (!is_known(server))
         return {false, "no such box"};
     ServerOverrides own = engine_.overrides();
@@ -142,7 +142,7 @@
     return {true, "out"};
 }
 
-front::admin::Verdict OverridesPart::back(const core::ServerId& server) {
+front::admin::CommandResult OverridesPart::bring_online(const core::ServerId& server) {
     if (!is_known(server))
         return {false, "no such box"};
     ServerOverrides own = engine_.overrides();
--- a/src/app/overrides_part.h
+++ b/src/app/overrides_part.h
@@ -15,7 +15,7 @@
 
 namespace silverrail::app {
 
-class OverridesPart : public Part, public front::admin::Hands {
+class OverridesPart : public Part, public front::admin::OverrideCommands {
 public:
     // `path` empty: the overrides are kept in this process only. What the file holds is in force from here
     // on. `fleet_state`: replicated to and from all other routers; null: the router has no peers.
@@ -27,8 +27,8 @@
         return figure_lines(
             "bans", {{"out", engine_.overrides().excluded().size()}, {"unwritten", unwritten_.size()}});
     }
-    front::admin::Verdict out(const core::ServerId& server) override;
-    front::admin::Verdict back(const core::ServerId& server) override;
+    front::admin::CommandResult take_offline(const core::ServerId& server) override;
+    front::admin::CommandResult bring_online(const core::ServerId& server) override;
 
 private:
     void poll_file();
--- a/src/app/replica_part.cpp
+++ b/src/app/replica_part.cpp
@@ -105,7 +105,8 @@
     if (store_)
         replica_.restore(std::move(stored.entries), std::move(stored.origins));
     world_.peers.set_replica_handler(replica.channel, [this](const cluster::ReplicaMessage& message) {
-        auto out = net::Peer::sends(replica_.receive(message, world_.peers.now(), world_.clock.unix_ms()));
+        auto out = net::PeerTransport::outgoing(
+            replica_.receive(message, world_.peers.now(), world_.clock.unix_ms()));
         // What is not stored is not acknowledged either: the peers ask again.
         if (!store_changes())
             out.clear();
@@ -141,7 +142,7 @@
 }
 
 void ReplicaPart::tick() {
-    auto messages = net::Peer::sends(
+    auto messages = net::PeerTransport::outgoing(
         replica_.tick(world_.peers.now(), world_.clock.unix_ms(), world_.peers.alive_addresses()));
     if (store_changes())
         world_.peers.send(std::move(messages));
--- a/src/app/resource_limits.h
+++ b/src/app/resource_limits.h
@@ -5,17 +5,17 @@
 
 #include "cache/response_cache.h"
 #include "config/config.h"
-#include "config/operator.h"
+#include "config/operator_settings.h"
 #include "limits/process_quota.h"
+#include "net/connection_pool.h"
 #include "net/http_server.h"
-#include "net/upstream.h"
 
 namespace silverrail::app {
 
 // What all processes of this router together may use.
 limits::RouterLimits total_resources(const config::Config& config, const config::OperatorSettings& settings);
 
-net::UpstreamLimits upstream_limits(const config::Config& config, const limits::ProcessQuota& quota);
+net::ConnectionPoolLimits pool_limits(const config::Config& config, const limits::ProcessQuota& quota);
 net::HttpLimits client_limits(const config::Config& config, const limits::ProcessQuota& quota);
 cache::CacheLimits cache_limits(const config::Config& config, const limits::ProcessQuota& quota);
 
--- a/tests/silverrail/upgrade_test.cpp
+++ b/tests/silverrail/upgrade_test.cpp
@@ -2,10 +2,10 @@
 // killed, the new one killed. Every request is answered exactly once, and no write runs twice.
 #include <map>
 
-#include "program.h"
+#include "router_process.h"
 
 using namespace silverrail;
-using namespace silverrail::stand;
+using namespace silverrail::test;
 
 namespace {
 
@@ -57,7 +57,7 @@
         const bool write = ++asked_ % 5 == 0;
         char object[17];
         std::snprintf(object, sizeof object, "%016zx", asked_ % 400);
-        one->request = stand::ask(write ? "lodge" : "pages", object, 3000);
+        one->request = test::ask(write ? "lodge" : "pages", object, 3000);
         one->request.prepare_payload();
         one->response = {};
         ++one->asked;
@@ -112,7 +112,7 @@
         CHECK(::waitpid(next, nullptr, 0) == next);
     }
     std::string call(const tcp::endpoint& at, const char* line) {
-        return stand::call(io, at, line);
+        return test::call(io, at, line);
     }
     // How many servers the process counts as down, with the end of the line.
     std::string down(const tcp::endpoint& at) {
@@ -131,11 +131,11 @@
         return {};
     }
     asio::io_context io;
-    DiscoveryWatch discovery{io};
+    DiscoveryServer discovery{io};
     Server server{io};
     tcp::endpoint first = free_endpoint();
     tcp::endpoint second = free_endpoint();
-    Program program;
+    RouterProcess program;
     pid_t next = -1;
 };
 
@@ -206,7 +206,7 @@
 
 // A further process of the program, once it says that it takes clients.
 struct Next {
-    Next(asio::io_context& io, Program& program)
+    Next(asio::io_context& io, RouterProcess& program)
         : control(free_endpoint()), pid(program.start(text_of(control))) {
         run_until(io, [&] { return says_yes(io, control); });
     }
@@ -216,10 +216,10 @@
 
 void upgrades_under_load_lose_no_request_and_repeat_no_write() {
     asio::io_context io;
-    DiscoveryWatch discovery{io};
+    DiscoveryServer discovery{io};
     Server server{io};
     tcp::endpoint control = free_endpoint();
-    Program program{discovery.address(), server.address(), text_of(control)};
+    RouterProcess program{discovery.address(), server.address(), text_of(control)};
     pid_t serving = program.pid();
     run_until(io, [&] { return says_yes(io, control); });
     Load load{io, program.at, 12};
