--- a/adapter/link.cpp
+++ b/adapter/link.cpp
@@ -110,9 +110,9 @@
             if (name == "load_share")
                 load.utilisation = value;
             if (name == "x0")
-                load.hit_share = value;
+                load.hit_ratio = value;
             if (name == "x1")
-                load.link_fullness = value;
+                load.link_utilisation = value;
         } catch (const std::invalid_argument&) {
             throw Malformed("expected a load report (name:value), got '" + std::string{pair} + "'");
         }
@@ -251,7 +251,7 @@
         r.object = f.text(4).empty() ? ObjectId{} : f.object(4);
         r.deadline = Time{Span{f.integer(5, "a deadline")}};
         r.is_retry = f.text(9) == "1";
-        r.part = static_cast<std::uint32_t>(f.integer_or_0(10, "a part"));
+        r.segment = static_cast<std::uint32_t>(f.integer_or_0(10, "a part"));
         r.size_kb = f.number_or(11, 0, "a size");
         const auto name = f.needed(8, "a class");
         if (!instance || !instance->router)
@@ -331,9 +331,9 @@
         if (!a.fill)
             return line("HAND_OFF", id, a.request, a.target.address, a.timeout);
         const int bits =
-            (a.fill->join ? 1 : 0) | (a.fill->only_if_cached ? 2 : 0) | (a.fill->revalidate ? 8 : 0);
+            (a.fill->coalesce ? 1 : 0) | (a.fill->only_if_cached ? 2 : 0) | (a.fill->revalidate ? 8 : 0);
         line("GET", id, a.request, a.target.address, a.timeout, a.fill->source.address, a.fill->retention,
-             a.fill->oldest, bits);
+             a.fill->max_age, bits);
     }
     void write(const std::string& id, const Cancel& a) {
         line("DROP_ATTEMPT", id, a.request, a.attempt);
--- a/adapter/settings.cpp
+++ b/adapter/settings.cpp
@@ -115,9 +115,9 @@
         c.key_scope = pairs.one_of<KeyScope>(
             at + "group", *scope,
             {{"all", KeyScope::all}, {"zone", KeyScope::zone}, {"cell", KeyScope::cell}});
-    c.window = pairs.span(at + "window");
+    c.retry_window = pairs.span(at + "window");
     c.max_age = Span{static_cast<Span::rep>(pairs.item_number("family-info.max-age", index))};
-    c.grace = Span{static_cast<Span::rep>(pairs.item_number("family-info.class-grace", index))};
+    c.stale_grace = Span{static_cast<Span::rep>(pairs.item_number("family-info.class-grace", index))};
     c.stale_weight = pairs.item_number("family-info.stale-earns", index);
     c.segmented = pairs.item_flag("family-info.segmented", index);
     c.uncached = pairs.item_flag("family-info.uncached", index);
@@ -188,15 +188,15 @@
                                                         {"nominal", ServerWeights::nominal},
                                                         {"rough", ServerWeights::nominal},
                                                         {"live", ServerWeights::live}});
-    s.flow_kb_per_s = pairs.number("family-info.one-flow-kb-per-s");
+    s.max_response_kb_per_s = pairs.number("family-info.one-flow-kb-per-s");
     if (const auto* detail = pairs.find("family-info.detail"))
         s.outcome_detail = pairs.one_of<OutcomeDetail>(
             "family-info.detail", *detail,
             {{"off", OutcomeDetail::off}, {"hit", OutcomeDetail::hit}, {"all", OutcomeDetail::all}});
     s.cancellation_supported = pairs.flag("allowed.cancel");
-    s.retry_after = pairs.flag("allowed.retry-after");
-    s.direct = pairs.flag("family-info.bypass-allowed");
-    s.joins = pairs.flag("family-info.shares-fills");
+    s.retry_after_supported = pairs.flag("allowed.retry-after");
+    s.cache_bypass_supported = pairs.flag("family-info.bypass-allowed");
+    s.coalescing_supported = pairs.flag("family-info.shares-fills");
     s.max_retry_after = pairs.span("allowed.max-retry-after");
     s.max_attempts = std::max(1, static_cast<int>(pairs.number("allowed.try-limit", 1)));
     s.purge_effective_within = pairs.span("family-info.heed-within");
--- a/include/silverrail/routing/router.h
+++ b/include/silverrail/routing/router.h
@@ -1,5 +1,5 @@
-// The interface of the decision module: what a program tells its Router (settings and events), and what the
-// Router asks of it (actions).
+// The interface of the decision module: what a program passes to its Router (settings and events), and
+// what the Router asks of it (actions).
 //
 // A Router is a deterministic state machine: it reads no clock, keeps no thread and does no I/O. Time comes
 // in with each event, randomness with the seed, so that the same events give the same actions. The
@@ -47,7 +47,7 @@
 enum class Idempotency { idempotent, keyed, none };
 // The servers that recognise each other's idempotency keys.
 enum class KeyScope { all, zone, cell };
-// How much answers tell of how they came about: nothing, hits, everything.
+// Which cache statuses servers report with their responses: none, hits only, all.
 enum class OutcomeDetail { off, hit, all };
 // The meaning of servers' weights. none: every server counts the same.
 enum class ServerWeights { none, nominal, live };
@@ -55,16 +55,16 @@
 struct ClassSettings {
     std::string name{};
     Span latency_objective{};  // an answer within this earns its full weight
-    double objective_stretch =
-        0;                       // multiple of the request's own sending time that is added to the objective
+    // Multiple of the time that sending the response takes at the top rate; it is added to the objective.
+    double objective_stretch = 0;
     Span client_timeout{};       // the longest that a client waits for its answer
     double priority_weight = 1;  // of an answer within the objective
     double late_weight = 0;      // of a later answer
     Idempotency idempotency = Idempotency::none;
     KeyScope key_scope = KeyScope::cell;
-    Span window{};            // keyed: how long repeats are recognised
+    Span retry_window{};      // keyed: servers recognise a retry for this long after the first attempt
     Span max_age{};           // 0: a copy is fresh until it is purged
-    Span grace{};             // how far past max_age a stale copy may be served
+    Span stale_grace{};       // how far past max_age a stale copy may be served
     double stale_weight = 0;  // of an answer with a stale copy
     bool segmented = false;   // objects are requested in segments
     bool uncached = false;    // requests run at the origin
@@ -78,13 +78,13 @@
     std::string parent_kind;  // empty: there are no parents
     std::string origin_kind;
     ServerWeights server_weights = ServerWeights::none;
-    double flow_kb_per_s = 0;       // top rate of one answer; 0: not told
-    double zone_link_kb_per_s = 0;  // of the link that this zone's fills use; 0: not told
+    double max_response_kb_per_s = 0;  // top rate of one response; 0: unknown
+    double zone_link_kb_per_s = 0;     // of the link that this zone's fills use; 0: unknown
     OutcomeDetail outcome_detail = OutcomeDetail::off;
     bool cancellation_supported = false;
-    bool retry_after = false;  // rejected clients are told how long to wait
-    bool direct = false;       // requests may be sent straight to a parent or the origin
-    bool joins = false;        // servers coalesce a request with a fill that is under way
+    bool retry_after_supported = false;   // a rejection may carry a delay before the client's next attempt
+    bool cache_bypass_supported = false;  // requests may be sent straight to a parent or the origin
+    bool coalescing_supported = false;    // servers coalesce a request with a fill that is under way
     Span max_retry_after{};
     int max_attempts = 1;
     Span purge_effective_within{};  // no purged copy is served later than this after the purge
@@ -100,7 +100,7 @@
     double parent_overload_multiple = 1;
 };
 
-// ---- Events: what the program tells ------------------------------------------------------------
+// ---- Events: what the program reports ----------------------------------------------------------
 
 enum class Condition { ready, draining, gone };
 
@@ -116,7 +116,7 @@
 
 struct ServerList {
     bool complete = false;  // a server that is absent from a complete list has left
-    std::vector<ListedServer> caches{};
+    std::vector<ListedServer> servers{};
 };
 
 struct Request {
@@ -124,8 +124,8 @@
     std::size_t class_index = 0;
     ObjectId object{};
     GroupId group{};
-    std::uint32_t part = 0;  // segment
-    double size_kb = 0;      // 0: not told
+    std::uint32_t segment = 0;  // of the object, counted from 0
+    double size_kb = 0;         // 0: unknown
     Time deadline{};
     bool is_retry = false;    // the client has sent it before
     bool redirected = false;  // the client goes to the server itself, and may do so again for a while
@@ -139,20 +139,20 @@
 
 enum class AttemptStatus {
     success,
-    error,           // an answer that is no good
+    error,           // an error response, or one that is malformed
     overloaded,      // rejected by the server, unprocessed
-    timeout,         // the attempt's own
+    timeout,         // the attempt's own timeout, before the request's deadline
     connect_failed,  // the connection was refused
     reset,           // the connection broke after the request was sent
     cancelled,
-    not_sent,    // held back by the program
-    miss,        // the server holds no copy and was not to fill it
-    unobserved,  // the client was redirected: nobody here saw how or whether it ended
+    not_sent,    // suppressed by the program before the first byte
+    miss,        // the server has no copy and was asked not to fill one
+    unobserved,  // the client was redirected: this router does not see how or whether it ended
 };
 
-// How an answer came about, as the server tells.
+// Where a response came from, or why there was none, as the server reports it.
 enum class CacheStatus {
-    none,  // not told
+    none,  // not reported
     hit,
     filled,
     filled_from_origin,
@@ -165,12 +165,13 @@
     origin_failed,
 };
 
-// A server's load report; absent values were not in it.
+// A server's load report; an absent value was not in it.
 struct LoadReport {
-    std::optional<double> in_flight;
-    std::optional<double> utilisation;
-    std::optional<double> hit_share;
-    std::optional<double> link_fullness;
+    std::optional<double> in_flight;    // requests
+    std::optional<double> utilisation;  // of its cores, 0 to 1
+    std::optional<double> hit_ratio;    // lately
+    // How full its zone's link is, 1: full; of a parent, the fetches that it has in flight.
+    std::optional<double> link_utilisation;
 };
 
 struct Outcome {
@@ -203,16 +204,16 @@
 
 // ---- Actions: what the Router asks for ---------------------------------------------------------
 
-// How long a server is to keep the copy that it fills.
+// How long a server should retain the copy that it fills, compared to others.
 enum class RetentionPriority { no_store = 0, lowest = 1, middle = 2, highest = 3 };
 
 struct Fill {
-    ServerId source{};  // the target itself: nothing is filled
+    ServerId source{};  // the server to fetch from; the target itself: no fill
     RetentionPriority retention = RetentionPriority::no_store;
-    Span oldest{};                // greatest age of a copy that will do; 0: the class's max_age
-    bool join = false;            // may be coalesced with a fill under way
+    Span max_age{};               // greatest acceptable age of a copy; 0: the class's max_age
+    bool coalesce = false;        // may be coalesced with a fill under way
     bool revalidate = false;      // a stale copy is to be revalidated
-    bool only_if_cached = false;  // the source gives only what it holds
+    bool only_if_cached = false;  // the source answers from its cache or not at all
 };
 
 struct Send {
@@ -220,8 +221,8 @@
     ServerId target{};
     Span timeout{};              // 0: none but the request's deadline
     std::optional<Fill> fill{};  // absent: the target's own copy, or a write
-    // A retry of a keyed request: none of it may be sent at or after this.
-    std::optional<Time> repeat_before{};
+    // A retry of a keyed request: no byte of it may be sent at or after this time.
+    std::optional<Time> retry_window_end{};
 };
 
 struct Cancel {
@@ -259,11 +260,11 @@
     // Events of unknown requests or attempts are ignored.
     [[nodiscard]] std::vector<Action> on(const Event& event, Time now);
 
-    // From now on so many processes count as this one router, and each keeps to its share of every budget.
-    void share_with(int processes);
+    // So many processes, this one among them, now act as one router; each uses its share of every budget.
+    void set_process_count(int processes);
 
     // Is the server listed as usable, but ejected or slow, so that it gets trial requests at most?
-    [[nodiscard]] bool avoids(const ServerId& id) const;
+    [[nodiscard]] bool is_outlier(const ServerId& id) const;
 
     // Sizes of the router's state, for metrics and tests.
     struct Sizes {
--- a/src/cache/response_cache.cpp
+++ b/src/cache/response_cache.cpp
@@ -93,7 +93,7 @@
     const auto& settings = classes_[request.key.class_index];
     const std::int64_t age = age_ms(*response, unix_ms);
     const bool ages = settings.max_age > Span{};
-    if (ages && age >= to_ms(settings.max_age + settings.grace))
+    if (ages && age >= to_ms(settings.max_age + settings.stale_grace))
         return std::nullopt;
     if (now + uplink_.time_to_send(bytes_to_send(request, *response), now) + kDeadlineMargin > deadline)
         return std::nullopt;
--- a/src/cache/response_store.h
+++ b/src/cache/response_store.h
@@ -20,7 +20,7 @@
 struct ResponseKey {
     ObjectId object{};
     std::size_t class_index = 0;
-    std::uint32_t part = 0;
+    std::uint32_t segment = 0;
     auto operator<=>(const ResponseKey&) const = default;
 };
 
--- a/src/config/routing_settings.cpp
+++ b/src/config/routing_settings.cpp
@@ -41,9 +41,9 @@
     c.late_weight = json.number_or("late-worth", 0);
     c.idempotency = json.required_word<Idempotency>("effect", kIdempotencyWords);
     c.key_scope = json.word<KeyScope>("group", kKeyScopeWords, "cell");
-    c.window = json.duration("window");
+    c.retry_window = json.duration("window");
     c.max_age = nanoseconds(family.list_item("max-age", index));
-    c.grace = nanoseconds(family.list_item("class-grace", index));
+    c.stale_grace = nanoseconds(family.list_item("class-grace", index));
     c.stale_weight = family.list_item("stale-earns", index);
     c.segmented = family.list_item("segmented", index) != 0;
     c.uncached = family.list_item("uncached", index) != 0;
@@ -94,16 +94,16 @@
     settings.parent_kind = server_kind(json, family, "second-tier-kind");
     settings.origin_kind = server_kind(json, family, "origin-kind");
     settings.server_weights = json.word<ServerWeights>("weights", kServerWeightsWords, "off");
-    settings.flow_kb_per_s = family.number_or("one-flow-kb-per-s", 0);
+    settings.max_response_kb_per_s = family.number_or("one-flow-kb-per-s", 0);
     settings.outcome_detail = family.word<OutcomeDetail>("detail", kOutcomeDetailWords, "off");
 }
 
 // What the router may do, and the family's rules on purges.
 void parse_permissions(const JsonObject& allowed, const JsonObject& family, routing::Settings& settings) {
     settings.cancellation_supported = allowed.flag("cancel");
-    settings.retry_after = allowed.flag("retry-after");
-    settings.direct = family.flag("bypass-allowed");
-    settings.joins = family.flag("shares-fills");
+    settings.retry_after_supported = allowed.flag("retry-after");
+    settings.cache_bypass_supported = family.flag("bypass-allowed");
+    settings.coalescing_supported = family.flag("shares-fills");
     settings.max_retry_after = allowed.duration("max-retry-after");
     settings.max_attempts = std::max(1, static_cast<int>(allowed.number_or("try-limit", 1)));
     settings.purge_effective_within = family.duration("heed-within");
--- a/src/core/attempt_builder.cpp
+++ b/src/core/attempt_builder.cpp
@@ -18,12 +18,12 @@
         if (send.fill->source != send.target)
             built.source = send.fill->source;
         built.retention = static_cast<int>(send.fill->retention);
-        built.oldest = send.fill->oldest;
-        built.join = send.fill->join;
+        built.max_age = send.fill->max_age;
+        built.coalesce = send.fill->coalesce;
         built.revalidate = send.fill->revalidate;
         built.only_if_cached = send.fill->only_if_cached;
     }
-    built.repeat_before = send.repeat_before;
+    built.retry_window_end = send.retry_window_end;
     built.deadline = request.client_request->deadline;
     if (send.timeout > Span{})
         built.deadline = std::min(built.deadline, now + send.timeout);
@@ -34,16 +34,16 @@
                                                                Time now) const {
     // Guards rule 5 (purges): one that came during the wait binds by the time of the first byte.
     const auto limit = purges_.max_copy_age(*request.client_request, now, unix_time_);
-    if (limit && (request.oldest == Span{} || *limit < request.oldest))
-        return {.oldest = *limit, .tightened = true};
-    return {.oldest = request.oldest, .tightened = false};
+    if (limit && (request.max_age == Span{} || *limit < request.max_age))
+        return {.max_age = *limit, .tightened = true};
+    return {.max_age = request.max_age, .tightened = false};
 }
 
 std::optional<std::string> AttemptBuilder::redirect_address(const AttemptRequest& request,
                                                             const std::string& parent_kind, Time now) const {
     // Neither a limit on a copy's age nor a fill's conditions fit into a name, and left out they would change
     // what the server does. Nor does a source other than the ordinary one.
-    if (request.oldest != Span{} || request.only_if_cached || !request.source)
+    if (request.max_age != Span{} || request.only_if_cached || !request.source)
         return std::nullopt;
     const Server* source = servers_.find(*request.source);
     if (!source || (!parent_kind.empty() && source->entry.kind != parent_kind))
--- a/src/core/attempt_builder.h
+++ b/src/core/attempt_builder.h
@@ -15,7 +15,7 @@
     std::optional<AttemptRequest> build(const routing::Send& send, const ActiveRequest& request,
                                         std::uint32_t attempt, Time now) const;
     struct CopyAge {
-        Span oldest{};           // as in AttemptRequest
+        Span max_age{};          // as in AttemptRequest
         bool tightened = false;  // by a purge that came after the decision
     };
     CopyAge copy_age_at_first_byte(const AttemptRequest& request, Time now) const;
--- a/src/core/discovery_updates.cpp
+++ b/src/core/discovery_updates.cpp
@@ -87,7 +87,7 @@
 void DiscoveryUpdates::notify_routing(const ServerChange& change) {
     routing::ServerList list{change.complete, {}};
     for (const Server& server : change.servers)
-        list.caches.push_back(state_.servers.router_view(server));
+        list.servers.push_back(state_.servers.router_view(server));
     routing_.notify(std::move(list), {.change = &change});
 }
 
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -226,7 +226,7 @@
 
 void Engine::for_each_server(const std::function<void(const Server&, bool avoided)>& visit) const {
     for (const auto& [id, server] : state_.servers.servers())
-        visit(server, routing_.avoids(id));
+        visit(server, routing_.is_outlier(id));
 }
 
 bool Engine::is_listed(const ServerId& id) const {
@@ -253,7 +253,7 @@
         std::ranges::count_if(state_.requests, [](const auto& e) { return !e.second.answered(); }));
     counters.hosts_listed = state_.servers.count_listed([](const Server&) { return true; });
     counters.hosts_down = state_.servers.count_listed([&](const Server& server) {
-        return state_.servers.is_excluded(server) || routing_.avoids(server.entry.id);
+        return state_.servers.is_excluded(server) || routing_.is_outlier(server.entry.id);
     });
     return counters;
 }
--- a/src/core/forwarding.cpp
+++ b/src/core/forwarding.cpp
@@ -105,21 +105,21 @@
     const Time now = state_.clock.now();
     const auto reason =
         state_.guard.check_first_byte(key, facts_at_first_byte(*request, *attempt->request, now));
-    std::optional<Span> oldest;
+    std::optional<Span> max_age;
     bool tightened = false;
     if (reason) {
         ++state_.counters.held_at_first_byte;
         log_suppression(*request, *attempt->request, *reason);
     } else {
         const auto copy_age = builder_.copy_age_at_first_byte(*attempt->request, now);
-        oldest = copy_age.oldest;
+        max_age = copy_age.max_age;
         tightened = copy_age.tightened;
     }
     if (tightened)
         ++state_.counters.tightened;
     if (state_.observer)
-        state_.observer->first_byte(key, oldest, tightened, now);
-    return oldest;
+        state_.observer->first_byte(key, max_age, tightened, now);
+    return max_age;
 }
 
 Guard::FirstByteFacts Forwarding::facts_at_first_byte(const ActiveRequest& request,
@@ -128,7 +128,7 @@
     facts.now = now;
     facts.deadline = attempt.deadline;
     // Guards rule 2 (no repeated effect): the wait for a connection may have outlasted the window of repeats.
-    facts.repeat_before = attempt.repeat_before;
+    facts.retry_window_end = attempt.retry_window_end;
     // The event loop may learn of it only with its next turn. Within the request's own turn it was just read.
     facts.client_closed = now > request.received + kSameTurn && request.sink->client_left();
     // Guards rule 3 (drains): a server may have begun to drain during the wait.
--- a/src/core/guard.cpp
+++ b/src/core/guard.cpp
@@ -114,7 +114,7 @@
         return SuppressionReason::answered;
     if (facts.now >= facts.deadline)
         return SuppressionReason::past_deadline;
-    if (facts.repeat_before && facts.now >= *facts.repeat_before)
+    if (facts.retry_window_end && facts.now >= *facts.retry_window_end)
         return SuppressionReason::past_key_window;
     if (!facts.target_usable)
         return SuppressionReason::target_drained;
--- a/src/core/guard.h
+++ b/src/core/guard.h
@@ -66,7 +66,7 @@
     struct FirstByteFacts {
         Time now{};
         Time deadline{};  // the attempt's
-        std::optional<Time> repeat_before{};
+        std::optional<Time> retry_window_end{};
         bool client_closed = false;
         bool target_usable = true;
         bool source_usable = true;
--- a/src/core/intake.cpp
+++ b/src/core/intake.cpp
@@ -46,7 +46,7 @@
     routed.class_index = class_index;
     routed.object = request.object_id;
     routed.group = request.group_known ? request.group : kUnknownGroup;
-    routed.part = request.part;
+    routed.segment = request.segment;
     routed.size_kb = request.size_kb;
     routed.deadline = request.deadline;
     routed.redirected = request.redirected;
--- a/src/core/response_cache_stage.cpp
+++ b/src/core/response_cache_stage.cpp
@@ -23,7 +23,7 @@
                                                            std::size_t class_index) const {
     if (!cache_ || request.write || request.redirected || settings_.classes[class_index].uncached)
         return std::nullopt;
-    return cache::Lookup{{request.object_id, class_index, request.part},
+    return cache::Lookup{{request.object_id, class_index, request.segment},
                          request.group,
                          request.group_known,
                          request.client_tag};
--- a/src/core/routing_stage.h
+++ b/src/core/routing_stage.h
@@ -26,10 +26,10 @@
     void notify(routing::Event event, const EventOrigin& origin);
 
     void set_process_count(std::size_t processes) {
-        router_.share_with(static_cast<int>(processes));
+        router_.set_process_count(static_cast<int>(processes));
     }
-    bool avoids(const ServerId& id) const {
-        return router_.avoids(id);
+    bool is_outlier(const ServerId& id) const {
+        return router_.is_outlier(id);
     }
     routing::Router::Sizes sizes() const {
         return router_.sizes();
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -34,7 +34,7 @@
     std::string class_name;  // as the settings name it
     std::string object;      // as the client wrote it
     routing::ObjectId object_id{};
-    std::uint32_t part = 0;
+    std::uint32_t segment = 0;
     routing::GroupId group{};
     bool group_known = true;  // false: a purge of any group may concern it
     double size_kb = 0;
@@ -74,13 +74,13 @@
     std::string address;
     std::optional<ServerId> source{};  // absent: a miss is not filled
     int retention = 0;
-    Span oldest{};  // greatest age of a copy that will do; 0: the class's max_age
-    bool join = false;
+    Span max_age{};  // greatest age of a copy that will do; 0: the class's max_age
+    bool coalesce = false;
     bool revalidate = false;
     bool only_if_cached = false;
     Time deadline{};  // of this attempt
     // Absent: no earlier attempt may have run. Else not a byte goes out at or after that time.
-    std::optional<Time> repeat_before{};
+    std::optional<Time> retry_window_end{};
 };
 
 // How an attempt ended, as seen on the wire.
--- a/src/front/dns/zone.cpp
+++ b/src/front/dns/zone.cpp
@@ -46,8 +46,8 @@
             --at;
         }
     if (at > 0)
-        if (const auto part = numbered(name[at - 1], "piece-")) {
-            call.part = *part;
+        if (const auto segment = numbered(name[at - 1], "piece-")) {
+            call.segment = *segment;
             --at;
         }
     return at == 0;
--- a/src/front/platform/platform.cpp
+++ b/src/front/platform/platform.cpp
@@ -51,14 +51,14 @@
 }
 
 // "piece-N", in the one form that servers are sent it in: without leading zeros.
-std::optional<std::uint32_t> parse_part(std::string_view text) {
+std::optional<std::uint32_t> parse_segment(std::string_view text) {
     if (!text.starts_with(kPartPrefix))
         return std::nullopt;
     text.remove_prefix(kPartPrefix.size());
-    const auto part = parse_number<std::uint32_t>(text);
-    if (!part || std::to_string(*part) != text)
+    const auto segment = parse_number<std::uint32_t>(text);
+    if (!segment || std::to_string(*segment) != text)
         return std::nullopt;
-    return part;
+    return segment;
 }
 
 // "/ops/CLASS/OBJECT/piece-N". Returns false if the target is of another form.
@@ -75,11 +75,11 @@
     call.class_name = target.substr(0, object_at);
     call.object = target.substr(object_at + 1, part_at - object_at - 1);
     const auto object = config::parse_hex(call.object);
-    const auto part = parse_part(target.substr(part_at + 1));
-    if (!object || call.object.size() != kIdDigits || !part)
+    const auto segment = parse_segment(target.substr(part_at + 1));
+    if (!object || call.object.size() != kIdDigits || !segment)
         return false;
     call.object_id = routing::ObjectId{*object};
-    call.part = *part;
+    call.segment = *segment;
     return true;
 }
 
--- a/src/net/server_protocol.cpp
+++ b/src/net/server_protocol.cpp
@@ -57,7 +57,7 @@
 constexpr std::pair<std::string_view, std::optional<double> routing::LoadReport::*> kLoadFields[] = {
     {"inflight", &routing::LoadReport::in_flight}, {"concurrent", &routing::LoadReport::in_flight},
     {"util", &routing::LoadReport::utilisation},   {"load_share", &routing::LoadReport::utilisation},
-    {"x0", &routing::LoadReport::hit_share},       {"x1", &routing::LoadReport::link_fullness}};
+    {"x0", &routing::LoadReport::hit_ratio},       {"x1", &routing::LoadReport::link_utilisation}};
 
 std::string_view view(beast::string_view text) {
     return {text.data(), text.size()};
@@ -98,7 +98,7 @@
             flags += '+';
         flags += flag;
     };
-    if (order.join)
+    if (order.coalesce)
         add(kJoinFill);
     if (order.only_if_cached)
         add(kOnlyIfCached);
@@ -161,7 +161,7 @@
 ServerRequest server_request(const core::AttemptRequest& order, core::Span max_age, core::Span remaining) {
     const core::ClientRequest& call = *order.client_request;
     const std::string target =
-        "/obj/" + call.class_name + "/" + call.object + "/" + std::to_string(call.part);
+        "/obj/" + call.class_name + "/" + call.object + "/" + std::to_string(call.segment);
     ServerRequest request{call.write ? http::verb::put : http::verb::get, target, kHttp11};
     request.set(http::field::host, order.address);
     request.set(kRequestId, call.trace_id);
--- a/src/routing/attempt_planner.cpp
+++ b/src/routing/attempt_planner.cpp
@@ -37,7 +37,7 @@
     ServerState* origin = d_.targets.select_origin();
     if (!origin)
         return std::nullopt;
-    if (d_.settings.direct && d_.retries.may_send(open, *origin, now))
+    if (d_.settings.cache_bypass_supported && d_.retries.may_send(open, *origin, now))
         return AttemptPlan{.target = origin};
     const double work = d_.work.of_class(open.request.class_index);
     ServerState* cache = d_.targets.select_cache(open, work, now);
@@ -49,14 +49,15 @@
 std::optional<AttemptPlan> AttemptPlanner::plan_cached(const OpenRequest& open, Time now) const {
     const double work = d_.work.of_class(open.request.class_index);
     // Several silent caches in a row may be a lost zone; an attempt past them tells.
-    const bool skip_caches = d_.settings.direct && open.silent_caches >= kSilentCachesOfLostZone;
+    const bool skip_caches =
+        d_.settings.cache_bypass_supported && open.silent_caches >= kSilentCachesOfLostZone;
     ServerState* cache = skip_caches ? nullptr : d_.targets.select_cache(open, work, now);
     ServerState* source = d_.targets.select_source(open, work, now);
     const double request_work = d_.work.of_request(open.request);
     const bool link_is_full = d_.fills.expected(now) >= d_.capacity.fill_limit(request_work, d_.work.mean());
     if (cache)
         return plan_through_cache(open, *cache, link_is_full ? nullptr : source, now);
-    if (link_is_full || !d_.settings.direct)
+    if (link_is_full || !d_.settings.cache_bypass_supported)
         return std::nullopt;
     return plan_past_caches(open, source, now);
 }
@@ -88,15 +89,15 @@
         return AttemptPlan{.target = source};
     const ServerState* origin = d_.targets.select_origin();
     const ServerId& fill_source = origin ? origin->id : source->id;
-    return AttemptPlan{.target = source, .fill = Fill{.source = fill_source, .oldest = max_age(open, now)}};
+    return AttemptPlan{.target = source, .fill = Fill{.source = fill_source, .max_age = max_age(open, now)}};
 }
 
 Fill AttemptPlanner::fill_through(const OpenRequest& open, const ServerState& cache,
                                   const ServerState* source, Time now) const {
-    Fill fill{.source = source ? source->id : cache.id, .oldest = max_age(open, now)};
+    Fill fill{.source = source ? source->id : cache.id, .max_age = max_age(open, now)};
     fill.retention = retention_of(open.popularity);
     // A fill under way may have left the origin before the purge.
-    fill.join = d_.settings.joins && !d_.purges.max_age(open.request, now);
+    fill.coalesce = d_.settings.coalescing_supported && !d_.purges.max_age(open.request, now);
     if (source) {
         fill.only_if_cached = source->role == ServerRole::parent && asks_parent_for_copy_only(open);
         fill.revalidate = class_of(open).max_age > Span{} && open.popularity != Popularity::newcomer;
@@ -119,7 +120,7 @@
     // The first attempt asks for a fresh copy (stale-while-revalidate); after a failure a stale one will do.
     const bool stale_is_better_than_late = request_class.stale_weight > request_class.late_weight;
     if (request_class.max_age > Span{} && !open.attempts.empty() && stale_is_better_than_late)
-        age = request_class.max_age + request_class.grace;
+        age = request_class.max_age + request_class.stale_grace;
     if (const auto purge_bound = d_.purges.max_age(open.request, now)) {
         const Span limit = age > Span{} ? age : request_class.max_age;
         age = limit > Span{} ? std::min(limit, *purge_bound) : *purge_bound;
--- a/src/routing/capacity_estimate.cpp
+++ b/src/routing/capacity_estimate.cpp
@@ -44,8 +44,8 @@
 }
 
 double CapacityEstimator::link_capacity() const {
-    if (settings_.zone_link_kb_per_s > 0 && settings_.flow_kb_per_s > 0)
-        return settings_.zone_link_kb_per_s / settings_.flow_kb_per_s;
+    if (settings_.zone_link_kb_per_s > 0 && settings_.max_response_kb_per_s > 0)
+        return settings_.zone_link_kb_per_s / settings_.max_response_kb_per_s;
     double capacity = 0;
     for (const ServerState* cache : servers_.listed(ServerRole::cache))
         capacity += cache->weight * kAssumedLinkShare;
--- a/src/routing/retry_policy.cpp
+++ b/src/routing/retry_policy.cpp
@@ -32,7 +32,7 @@
     const auto first_run = std::ranges::find_if(open.attempts, &Attempt::may_have_run);
     if (first_run == open.attempts.end() || class_of(open).idempotency != Idempotency::keyed)
         return std::nullopt;
-    return first_run->sent_at + class_of(open).window - kTravelTime;
+    return first_run->sent_at + class_of(open).retry_window - kTravelTime;
 }
 
 // Does `target` know the keys of requests that ran at the earlier target?
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -61,13 +61,13 @@
         return std::exchange(actions_, {});
     }
 
-    void share_with(int processes) {
+    void set_process_count(int processes) {
         settings_.routers = settings_.routers / processes_ * processes;
         settings_.routers_in_zone = settings_.routers_in_zone / processes_ * processes;
         processes_ = processes;
     }
 
-    bool avoids(const ServerId& id) const {
+    bool is_outlier(const ServerId& id) const {
         const ServerState* server = servers_.find(id);
         return server && is_usable(*server) && outliers_.is_on_trial(*server);
     }
@@ -310,8 +310,9 @@
     }
 
     Span retry_after(const OpenRequest& open) const {
-        return settings_.retry_after ? std::min(settings_.max_retry_after, class_of(open).latency_objective)
-                                     : Span{};
+        return settings_.retry_after_supported
+                   ? std::min(settings_.max_retry_after, class_of(open).latency_objective)
+                   : Span{};
     }
 
     void forget_if_done(OpenRequests::iterator found) {
@@ -365,12 +366,12 @@
     return impl_->on(event, now);
 }
 
-void Router::share_with(int processes) {
-    impl_->share_with(processes);
+void Router::set_process_count(int processes) {
+    impl_->set_process_count(processes);
 }
 
-bool Router::avoids(const ServerId& id) const {
-    return impl_->avoids(id);
+bool Router::is_outlier(const ServerId& id) const {
+    return impl_->is_outlier(id);
 }
 
 Router::Sizes Router::sizes() const {
--- a/src/routing/server_table.cpp
+++ b/src/routing/server_table.cpp
@@ -36,7 +36,7 @@
     if (list.complete)
         for (auto& [id, server] : servers_)
             server.listed = false;
-    for (const ListedServer& listed : list.caches)
+    for (const ListedServer& listed : list.servers)
         update(listed, now);
     std::erase_if(servers_, [](const auto& entry) {
         const ServerState& server = entry.second;
--- a/src/routing/target_selection.cpp
+++ b/src/routing/target_selection.cpp
@@ -19,7 +19,7 @@
 // Segments of one object are spread over the caches: a client asks for one after another, and one cache's
 // link would carry them all.
 std::uint64_t cache_key(const Request& request, bool segmented) {
-    const std::uint64_t segment = segmented ? mix_bits(request.part + 1) : 0;
+    const std::uint64_t segment = segmented ? mix_bits(request.segment + 1) : 0;
     return static_cast<std::uint64_t>(request.object) + segment;
 }
 
--- a/src/routing/work_estimate.cpp
+++ b/src/routing/work_estimate.cpp
@@ -25,7 +25,7 @@
 
 void WorkEstimator::record_size(const Request& request) {
     if (tells_work(request))
-        update_mean(by_class_[request.class_index].work, request.size_kb / settings_.flow_kb_per_s);
+        update_mean(by_class_[request.class_index].work, request.size_kb / settings_.max_response_kb_per_s);
 }
 
 void WorkEstimator::record_cacheable_request(const Request& request) {
@@ -40,7 +40,8 @@
 }
 
 double WorkEstimator::of_request(const Request& request) const {
-    return tells_work(request) ? request.size_kb / settings_.flow_kb_per_s : of_class(request.class_index);
+    return tells_work(request) ? request.size_kb / settings_.max_response_kb_per_s
+                               : of_class(request.class_index);
 }
 
 Span WorkEstimator::latency_objective(const Request& request) const {
--- a/src/routing/work_estimate.h
+++ b/src/routing/work_estimate.h
@@ -40,7 +40,7 @@
         double hits = 0;  // that the estimate rests on
     };
     bool tells_work(const Request& request) const {
-        return request.size_kb > 0 && settings_.flow_kb_per_s > 0;
+        return request.size_kb > 0 && settings_.max_response_kb_per_s > 0;
     }
 
     const Settings& settings_;
--- a/src/trace/observe.cpp
+++ b/src/trace/observe.cpp
@@ -36,7 +36,7 @@
     t.object = static_cast<std::uint64_t>(call.object_id);
     t.group = static_cast<std::uint64_t>(call.group);
     t.group_known = call.group_known;
-    t.part = call.part;
+    t.part = call.segment;
     t.size_kb = call.size_kb;
     t.time_to_deadline = (call.deadline - now).count();
     if (!left_out_.tags)
@@ -48,9 +48,9 @@
 }
 
 void Observing::put_list(const routing::ServerList& list, const core::ServerChange* change, core::Time now) {
-    put(now, model::ServerListChanged{list.caches.size(), list.complete});
-    for (std::size_t i = 0; i < list.caches.size(); ++i) {
-        const routing::ListedServer& c = list.caches[i];
+    put(now, model::ServerListChanged{list.servers.size(), list.complete});
+    for (std::size_t i = 0; i < list.servers.size(); ++i) {
+        const routing::ListedServer& c = list.servers[i];
         model::ServerListEntry e;
         e.id = c.id.address;
         e.zone = c.zone;
@@ -86,8 +86,8 @@
             s.fills = true;
             s.fill_source = send->fill->source.address;
             s.retention = static_cast<std::uint8_t>(send->fill->retention);
-            s.max_age = send->fill->oldest.count();
-            s.join = send->fill->join;
+            s.max_age = send->fill->max_age.count();
+            s.join = send->fill->coalesce;
             s.revalidate = send->fill->revalidate;
             s.only_if_cached = send->fill->only_if_cached;
         }
@@ -123,8 +123,8 @@
         e.fill_wait = outcome->source_wait.count();
         e.in_flight = outcome->load.in_flight.value_or(model::kNoValue);
         e.utilisation = outcome->load.utilisation.value_or(model::kNoValue);
-        e.hit_share = outcome->load.hit_share.value_or(model::kNoValue);
-        e.link_utilisation = outcome->load.link_fullness.value_or(model::kNoValue);
+        e.hit_share = outcome->load.hit_ratio.value_or(model::kNoValue);
+        e.link_utilisation = outcome->load.link_utilisation.value_or(model::kNoValue);
         put(now, e);
     } else if (const auto* abandoned = std::get_if<routing::ClientClosed>(&event)) {
         put(now, model::ClientClosed{static_cast<std::uint64_t>(abandoned->request)});
@@ -147,14 +147,14 @@
     put_taken(call, 0, class_index, now);
 }
 
-void Observing::first_byte(const core::AttemptKey& key, std::optional<core::Span> oldest, bool tightened,
+void Observing::first_byte(const core::AttemptKey& key, std::optional<core::Span> max_age, bool tightened,
                            core::Time now) {
     using V = model::FirstByteDue;
     put(now, V{static_cast<std::uint64_t>(key.request), key.attempt,
-               static_cast<std::uint8_t>(!oldest     ? V::suppressed
+               static_cast<std::uint8_t>(!max_age    ? V::suppressed
                                          : tightened ? V::age_bound_tightened
                                                      : V::written),
-               oldest.value_or(core::Span{}).count()});
+               max_age.value_or(core::Span{}).count()});
 }
 
 void Observing::answered(core::RequestId id, const core::Answer& answer, core::Time now) {
--- a/src/trace/observe.h
+++ b/src/trace/observe.h
@@ -26,7 +26,7 @@
                        const std::vector<routing::Action>& actions, const core::EventOrigin& origin) override;
     void answered_at_intake(const core::ClientRequest& call, std::size_t class_index,
                             core::Time now) override;
-    void first_byte(const core::AttemptKey& key, std::optional<core::Span> oldest, bool tightened,
+    void first_byte(const core::AttemptKey& key, std::optional<core::Span> max_age, bool tightened,
                     core::Time now) override;
     void answered(core::RequestId id, const core::Answer& answer, core::Time now) override;
 
--- a/src/trace/replay.cpp
+++ b/src/trace/replay.cpp
@@ -47,9 +47,9 @@
             if (s.fill) {
                 text += s.fill->source == s.target ? ", no fill" : ", filled from " + s.fill->source.address;
                 text += ", rank " + std::to_string(static_cast<int>(s.fill->retention));
-                if (s.fill->oldest > Span{})
-                    text += ", no older than " + milliseconds(s.fill->oldest);
-                if (s.fill->join)
+                if (s.fill->max_age > Span{})
+                    text += ", no older than " + milliseconds(s.fill->max_age);
+                if (s.fill->coalesce)
                     text += ", join";
                 if (s.fill->revalidate)
                     text += ", renew";
@@ -82,9 +82,9 @@
 bool same_fill(const std::optional<Fill>& a, const std::optional<Fill>& b) {
     if (a.has_value() != b.has_value())
         return false;
-    return !a ||
-           (a->source == b->source && a->retention == b->retention && a->oldest == b->oldest &&
-            a->join == b->join && a->revalidate == b->revalidate && a->only_if_cached == b->only_if_cached);
+    return !a || (a->source == b->source && a->retention == b->retention && a->max_age == b->max_age &&
+                  a->coalesce == b->coalesce && a->revalidate == b->revalidate &&
+                  a->only_if_cached == b->only_if_cached);
 }
 
 // Absent: they are the same.
@@ -188,7 +188,7 @@
         q.class_index = t->class_index;
         q.object = ObjectId{t->object};
         q.group = t->group_known ? GroupId{t->group} : GroupId{~std::uint64_t{0}};
-        q.part = static_cast<std::uint32_t>(t->part);
+        q.segment = static_cast<std::uint32_t>(t->part);
         q.size_kb = t->size_kb;
         q.deadline = time_of(record.at + t->time_to_deadline);
         q.redirected = t->redirected;
@@ -236,7 +236,7 @@
         c.kind = n->kind;
         if (n->started_at != model::kNoTime)
             c.started_at = time_of(n->started_at);
-        r.list.caches.push_back(std::move(c));
+        r.list.servers.push_back(std::move(c));
         if (--r.entries == 0)
             tell(record.router_index, r, std::exchange(r.list, {}), record.at, 0);
     } else if (const auto* s = std::get_if<model::AttemptSent>(&record.body)) {
--- a/src/trace/synth.cpp
+++ b/src/trace/synth.cpp
@@ -188,8 +188,8 @@
         core::AttemptResult how{.attempt_status = AttemptStatus::success};
         how.load.in_flight = held;
         how.load.utilisation = std::round(std::min(1.0, held / 80.0) * 100) / 100;
-        how.load.hit_share = 0.7;
-        how.load.link_fullness = std::round(chance() * 20) / 100 + 0.3;
+        how.load.hit_ratio = 0.7;
+        how.load.link_utilisation = std::round(chance() * 20) / 100 + 0.3;
         const double luck = chance();
         if (luck < 0.002) {
             how = {.attempt_status = AttemptStatus::reset};
@@ -226,7 +226,7 @@
     }
     // A copy is there once the object was asked for at that server; small and old ones fall out by chance.
     bool seen(const std::string& server, const core::ClientRequest& call) {
-        const auto key = checksum(server, static_cast<std::uint64_t>(call.object_id) ^ call.part);
+        const auto key = checksum(server, static_cast<std::uint64_t>(call.object_id) ^ call.segment);
         if (copies_.size() > 200'000)
             copies_.clear();
         return !copies_.insert(key).second && chance() > 0.05;
@@ -343,7 +343,7 @@
         call.object = digits;
         call.object_id = routing::ObjectId{object};
         call.group = routing::GroupId{object & 255};
-        call.part = index == 0 ? static_cast<std::uint32_t>(mixed(object) % 4) : 0;
+        call.segment = index == 0 ? static_cast<std::uint32_t>(mixed(object) % 4) : 0;
         const double spread = static_cast<double>(mixed(object + 7) % 1000) / 1000;
         call.size_kb = index == 0   ? std::round(1500 + 900 * spread)
                        : index == 1 ? std::round(180 + 300 * spread)
--- a/src/trace/tools/tool.cpp
+++ b/src/trace/tools/tool.cpp
@@ -84,7 +84,7 @@
     const routing::Settings& settings = router->settings;
     const routing::ClassSettings& class_settings = settings.classes[class_index];
     const double transfer_ns =
-        settings.flow_kb_per_s > 0 ? size_kb / settings.flow_kb_per_s * kNsPerSecond : 0;
+        settings.max_response_kb_per_s > 0 ? size_kb / settings.max_response_kb_per_s * kNsPerSecond : 0;
     return class_settings.latency_objective.count() +
            static_cast<std::int64_t>(class_settings.objective_stretch * transfer_ns);
 }
--- a/tests/cache/response_cache_test.cpp
+++ b/tests/cache/response_cache_test.cpp
@@ -16,7 +16,7 @@
 const Time kNow{1000s};
 const std::vector<silverrail::routing::ClassSettings> kClasses{
     {.name = "files", .latency_objective = 200ms, .objective_stretch = 1.5, .client_timeout = 2s},
-    {.name = "pages", .latency_objective = 200ms, .client_timeout = 2s, .max_age = 8s, .grace = 20s},
+    {.name = "pages", .latency_objective = 200ms, .client_timeout = 2s, .max_age = 8s, .stale_grace = 20s},
     {.name = "lodge", .latency_objective = 200ms, .client_timeout = 2s, .uncached = true},
 };
 constexpr CacheLimits kLimits{.bytes = 100'000,
@@ -66,7 +66,7 @@
     cache.store(lookup(0), "bytes", "tag", kNowMs + 1, kNowMs);
     CHECK(cache.find_fresh(lookup(0), kNow, kNowMs));
     Lookup part = lookup(0);
-    part.key.part = 4;
+    part.key.segment = 4;
     CHECK(!cache.find_fresh(part, kNow, kNowMs) && !cache.find_fresh(lookup(1), kNow, kNowMs));
     CHECK(!cache.find_fresh(no_group, kNow, kNowMs));
     // An older response that comes later does not replace a newer one.
--- a/tests/compatibility/load_report_test.cpp
+++ b/tests/compatibility/load_report_test.cpp
@@ -16,7 +16,7 @@
 
 LoadReport parse_load_report(const std::string& header) {
     const auto load = silverrail::net::parse_load_report(header);
-    return {load.in_flight, load.utilisation, load.hit_share, load.link_fullness};
+    return {load.in_flight, load.utilisation, load.hit_ratio, load.link_utilisation};
 }
 void words_of_the_protocol() {
     const LoadReport report = parse_load_report("inflight:7;util:0.61;x0:0.4;x1:1.25");
--- a/tests/core/guard_test.cpp
+++ b/tests/core/guard_test.cpp
@@ -70,7 +70,7 @@
          }},
         {SuppressionReason::past_key_window,
          [](Guard::FirstByteFacts& f) {
-             f.repeat_before = f.now;
+             f.retry_window_end = f.now;
          }},
         {SuppressionReason::target_drained,
          [](Guard::FirstByteFacts& f) {
--- a/tests/core/sample_settings.h
+++ b/tests/core/sample_settings.h
@@ -20,7 +20,7 @@
     s.server_weights = routing::ServerWeights::nominal;
     s.outcome_detail = routing::OutcomeDetail::all;
     s.cancellation_supported = true;
-    s.retry_after = true;
+    s.retry_after_supported = true;
     s.max_retry_after = 500ms;
     s.max_attempts = 6;
     s.purge_effective_within = 500ms;
@@ -37,7 +37,7 @@
                          .client_timeout = 5s,
                          .idempotency = routing::Idempotency::idempotent,
                          .max_age = 8s,
-                         .grace = 20s});
+                         .stale_grace = 20s});
     s.classes.push_back({.name = "lodge",
                          .latency_objective = 700ms,
                          .client_timeout = 5s,
@@ -48,7 +48,7 @@
                          .client_timeout = 5s,
                          .idempotency = routing::Idempotency::keyed,
                          .key_scope = routing::KeyScope::all,
-                         .window = 900ms,
+                         .retry_window = 900ms,
                          .uncached = true});
     return s;
 }
--- a/tests/installed/embed_example.cpp
+++ b/tests/installed/embed_example.cpp
@@ -23,9 +23,9 @@
     Router router{settings, 1};
     const Time start{1s};  // the router's own steady clock
     ServerList list{.complete = true};
-    list.caches.push_back({.id = {"10.0.0.1:80"}, .zone = "harbour", .kind = "cache"});
-    list.caches.push_back({.id = {"10.0.1.1:80"}, .zone = "hub", .kind = "parent"});
-    list.caches.push_back({.id = {"10.0.2.1:80"}, .zone = "hub", .kind = "origin"});
+    list.servers.push_back({.id = {"10.0.0.1:80"}, .zone = "harbour", .kind = "cache"});
+    list.servers.push_back({.id = {"10.0.1.1:80"}, .zone = "hub", .kind = "parent"});
+    list.servers.push_back({.id = {"10.0.2.1:80"}, .zone = "hub", .kind = "origin"});
     (void)router.on(list, start);
 
     const Request request{.id = RequestId{1}, .object = ObjectId{42}, .deadline = start + 2s};
--- a/tests/routing/outlier_detection_test.cpp
+++ b/tests/routing/outlier_detection_test.cpp
@@ -111,7 +111,7 @@
 TEST(Silence, TwoSilentCachesInARowSendARequestPastThemWhereThatIsAllowed) {
     for (const bool direct : {true, false}) {
         auto settings = plain_settings();
-        settings.direct = direct;
+        settings.cache_bypass_supported = direct;
         TestRouter g{settings, plain_fleet(3, 4)};
         const auto id = g.request(1);
         for (std::uint32_t n = 0; n < 2; ++n) {
@@ -164,7 +164,7 @@
 
 TEST(FullLink, DirectReadsCountAsFills) {
     auto settings = plain_settings();
-    settings.flow_kb_per_s = 1000;
+    settings.max_response_kb_per_s = 1000;
     settings.zone_link_kb_per_s = 4000;
     TestRouter g{settings, plain_fleet(0)};
     int sent = 0;
@@ -181,7 +181,7 @@
     auto settings = plain_settings();
     settings.server_weights =
         ServerWeights::nominal;  // 8 a cache: full at 20 and two deviations of this router's
-    settings.flow_kb_per_s = 1000;
+    settings.max_response_kb_per_s = 1000;
     settings.zone_link_kb_per_s = 1000000;
     TestRouter g{settings, plain_fleet(1)};
     int at_cache = 0;
@@ -197,7 +197,7 @@
 // overloaded.
 TEST(FullLink, RejectedFillsLowerTheLimit) {
     auto settings = plain_settings();
-    settings.flow_kb_per_s = 1000;
+    settings.max_response_kb_per_s = 1000;
     settings.zone_link_kb_per_s = 8000;
     const auto places = [&](int turned_away, AttemptStatus attempt_status = AttemptStatus::overloaded) {
         TestRouter g{settings, plain_fleet(9, 4)};
@@ -224,7 +224,7 @@
 TEST(CrowdedOrigin, ParentsAreFirstAskedForWhatTheyHold) {
     for (const bool late : {false, true}) {
         auto settings = plain_settings();
-        settings.flow_kb_per_s = 1000;
+        settings.max_response_kb_per_s = 1000;
         settings.zone_link_kb_per_s = 40000;
         TestRouter g{settings, plain_fleet(9, 4)};
         for (std::uint64_t object = 1; object <= 12; ++object) {
@@ -259,7 +259,7 @@
 // Guards small objects in a shortage: their fills are over soon.
 TEST(FullLink, SmallObjectsMayUseMoreOfIt) {
     auto settings = plain_settings();
-    settings.flow_kb_per_s = 1000;
+    settings.max_response_kb_per_s = 1000;
     settings.zone_link_kb_per_s = 4000;
     TestRouter g{settings, plain_fleet(0)};
     const auto ask_sized = [&](std::uint64_t object, double kb) {
@@ -302,7 +302,7 @@
 TEST(CrowdedParent, IsPassedOverOnceThisRoutersShareOfItsLinkIsUsed) {
     auto settings = plain_settings();
     settings.server_weights = ServerWeights::nominal;  // 8 answers at once, so 20 likely fills
-    settings.flow_kb_per_s = 1000;
+    settings.max_response_kb_per_s = 1000;
     settings.zone_link_kb_per_s = 1000000;
     TestRouter g{settings, plain_fleet(9, 1)};
     int at_parent = 0;
@@ -347,7 +347,7 @@
     EXPECT_EQ(g.target()[0], 'p');
     EXPECT_EQ(g.source(), "origin");
     auto settings = plain_settings();
-    settings.direct = false;
+    settings.cache_bypass_supported = false;
     TestRouter h{settings, plain_fleet(0)};
     h.request(1);
     EXPECT_TRUE(h.find<Reject>());
@@ -356,7 +356,7 @@
 // A link that is full of fills: hits go on, a miss is refused at once.
 TEST(FullLink, CachesAreAskedForWhatTheyHoldAndMissesAreRejected) {
     auto settings = plain_settings();
-    settings.flow_kb_per_s = 1000;
+    settings.max_response_kb_per_s = 1000;
     settings.zone_link_kb_per_s = 4000;
     settings.server_weights = ServerWeights::nominal;
     TestRouter g{settings};
@@ -407,7 +407,7 @@
 TEST(Hung, ARequestThatACacheLeavesWhileItAnswersOthersIsRetriedElsewhere) {
     for (const bool answers_others : {true, false}) {
         auto settings = plain_settings();
-        settings.flow_kb_per_s = 1000;
+        settings.max_response_kb_per_s = 1000;
         settings.zone_link_kb_per_s = 4000;
         settings.server_weights = ServerWeights::nominal;
         TestRouter g{settings};
@@ -443,11 +443,11 @@
     TestRouter g{settings};
     std::vector<std::string> targets;
     std::string source;
-    for (std::uint32_t part = 0; part < 12; ++part) {
+    for (std::uint32_t segment = 0; segment < 12; ++segment) {
         const RequestId id{++g.ids};
-        g.notify(Request{.id = id, .object = ObjectId{4}, .part = part, .deadline = g.now + 4s});
+        g.notify(Request{.id = id, .object = ObjectId{4}, .segment = segment, .deadline = g.now + 4s});
         targets.push_back(g.target());
-        if (part > 0) {
+        if (segment > 0) {
             EXPECT_EQ(g.source(), source);
         }
         source = g.source();
--- a/tests/routing/request_rules_test.cpp
+++ b/tests/routing/request_rules_test.cpp
@@ -89,11 +89,11 @@
 
 TEST(Idempotency, AKeyedRequestOfANarrowerScopeLeavesItNever) {
     auto settings = plain_settings();
-    settings.direct = false;  // through a cache, the origin as its source
+    settings.cache_bypass_supported = false;  // through a cache, the origin as its source
     settings.classes[1].key_scope = KeyScope::cell;
     auto fleet = plain_fleet();
-    for (std::size_t i = 0; i < fleet.caches.size(); ++i)
-        fleet.caches[i].cell = CellId{static_cast<int>(i)};
+    for (std::size_t i = 0; i < fleet.servers.size(); ++i)
+        fleet.servers[i].cell = CellId{static_cast<int>(i)};
     TestRouter g{settings, fleet};
     const auto id = g.request(1, 1);
     g.end(id, AttemptStatus::reset);
@@ -157,7 +157,7 @@
     auto s = plain_settings();
     s.routers = 4;
     s.routers_in_zone = 2;
-    s.flow_kb_per_s = 1000;
+    s.max_response_kb_per_s = 1000;
     s.server_weights = ServerWeights::nominal;
     s.zone_link_kb_per_s = 1000000;
     s.slow_start_share = 0.25;
@@ -225,7 +225,7 @@
 TEST(Purges, BoundTheAgeOfCopiesUntilAllOlderOnesAreGone) {
     TestRouter g;
     const auto age = [&](std::uint64_t object) {
-        return g.serve(object)->fill->oldest;
+        return g.serve(object)->fill->max_age;
     };
     EXPECT_EQ(age(1), 0ns);
     g.notify(Purge{.object = ObjectId{1}, .age = 100ms});
@@ -241,9 +241,9 @@
     TestRouter g;
     g.notify(Purge{.group = GroupId{5}, .age = 0ns});
     g.request(1, 0, 4s, GroupId{5});
-    EXPECT_EQ(g.find<Send>()->fill->oldest, 1ns);  // zero would mean any age
+    EXPECT_EQ(g.find<Send>()->fill->max_age, 1ns);  // zero would mean any age
     g.request(1, 0, 4s, GroupId{6});
-    EXPECT_EQ(g.find<Send>()->fill->oldest, 0ns);
+    EXPECT_EQ(g.find<Send>()->fill->max_age, 0ns);
     EXPECT_EQ(g.router.sizes().remembered_purges, 1u);
     g.pass(10s);
     g.notify(Purge{.object = ObjectId{8}});
@@ -256,33 +256,33 @@
     g.notify(Purge{.object = ObjectId{1}, .age = 900ms});
     g.notify(Purge{.group = GroupId{0}, .age = 500ms});
     g.request(1);
-    EXPECT_EQ(g.find<Send>()->fill->oldest, 10ms);
+    EXPECT_EQ(g.find<Send>()->fill->max_age, 10ms);
 }
 
 TEST(Purges, AFillUnderWayIsNotJoinedWhileAPurgeBinds) {
     auto settings = plain_settings();
-    settings.joins = true;
+    settings.coalescing_supported = true;
     TestRouter g{settings};
     g.request(1);
-    EXPECT_TRUE(g.find<Send>()->fill->join);
+    EXPECT_TRUE(g.find<Send>()->fill->coalesce);
     g.notify(Purge{.object = ObjectId{2}, .age = 10ms});
     g.request(2);
-    EXPECT_FALSE(g.find<Send>()->fill->join);
+    EXPECT_FALSE(g.find<Send>()->fill->coalesce);
 }
 
 TEST(Purges, StaleCopiesAreNotAskedForPastThePurge) {
     auto settings = plain_settings();
     settings.classes[0].max_age = 8s;
-    settings.classes[0].grace = 10s;
+    settings.classes[0].stale_grace = 10s;
     settings.classes[0].stale_weight = 0.5;
     TestRouter g{settings};
     g.notify(Purge{.object = ObjectId{1}, .age = 700ms});
     const auto id = g.request(1);
     g.end(id, AttemptStatus::overloaded);
-    EXPECT_EQ(g.find<Send>()->fill->oldest, 700ms);
+    EXPECT_EQ(g.find<Send>()->fill->max_age, 700ms);
     const auto other = g.request(2);
     g.end(other, AttemptStatus::overloaded);
-    EXPECT_EQ(g.find<Send>()->fill->oldest, 18s);  // a failed first try: stale will do
+    EXPECT_EQ(g.find<Send>()->fill->max_age, 18s);  // a failed first try: stale will do
 }
 
 }  // namespace
@@ -290,7 +290,7 @@
 // requests, and nothing may be learned from it.
 TEST(Redirected, NeverNamesAColdCache) {
     auto settings = plain_settings();
-    settings.direct = false;
+    settings.cache_bypass_supported = false;
     settings.slow_start_duration = 10s;
     settings.slow_start_share = 0.3;
     settings.overload_window = 3s;
@@ -308,7 +308,7 @@
 
 TEST(Redirected, AnUnobservedEndTeachesNothing) {
     auto settings = plain_settings();
-    settings.direct = false;
+    settings.cache_bypass_supported = false;
     TestRouter told{settings, plain_fleet(3)};
     TestRouter not_told{settings, plain_fleet(3)};
     for (std::uint64_t i = 1; i <= 200; ++i) {
--- a/tests/routing/router_fixture.h
+++ b/tests/routing/router_fixture.h
@@ -20,7 +20,7 @@
     s.origin_kind = "origin";
     s.max_attempts = 4;
     s.cancellation_supported = true;
-    s.direct = true;
+    s.cache_bypass_supported = true;
     s.outcome_detail = OutcomeDetail::all;
     s.purge_effective_within = 300ms;
     s.purge_complete_within = 6s;
@@ -33,7 +33,7 @@
                          .client_timeout = 4s,
                          .idempotency = Idempotency::keyed,
                          .key_scope = KeyScope::all,
-                         .window = 2s,
+                         .retry_window = 2s,
                          .uncached = true});
     s.classes.push_back({.name = "order",
                          .latency_objective = 400ms,
@@ -50,11 +50,11 @@
 inline ServerList plain_fleet(int caches = 3, int parents = 2, bool origin = true) {
     ServerList list{.complete = true};
     for (int i = 1; i <= caches; ++i)
-        list.caches.push_back(listed("c" + std::to_string(i), "bay", "cache"));
+        list.servers.push_back(listed("c" + std::to_string(i), "bay", "cache"));
     for (int i = 1; i <= parents; ++i)
-        list.caches.push_back(listed("p" + std::to_string(i), "hub", "parent"));
+        list.servers.push_back(listed("p" + std::to_string(i), "hub", "parent"));
     if (origin)
-        list.caches.push_back(listed("origin", "hub", "origin"));
+        list.servers.push_back(listed("origin", "hub", "origin"));
     return list;
 }
 
@@ -124,12 +124,12 @@
         return entry;
     }
     void change(const std::string& address, Condition condition) {
-        notify(ServerList{.complete = false, .caches = {listed_server(address, condition)}});
+        notify(ServerList{.complete = false, .servers = {listed_server(address, condition)}});
     }
     void restart(const std::string& address, Time since) {
         auto entry = listed_server(address, Condition::ready);
         entry.started_at = since;
-        notify(ServerList{.complete = false, .caches = {entry}});
+        notify(ServerList{.complete = false, .servers = {entry}});
     }
 
     Router router;
--- a/tests/routing/settings_test.cpp
+++ b/tests/routing/settings_test.cpp
@@ -63,10 +63,10 @@
     odd = plain;
     odd.server_weights = ServerWeights::nominal;
     auto fleet = plain_fleet();
-    for (auto& c : fleet.caches)
+    for (auto& c : fleet.servers)
         c.weight = 0;
     expect_all_answered(odd, fleet, "no sizes");
-    for (auto& c : fleet.caches)
+    for (auto& c : fleet.servers)
         c.started_at = Time{100s};
     expect_all_answered(odd, fleet, "all just started, no figures for it");
 }
@@ -74,7 +74,7 @@
 TEST(OddSettings, WithoutCancellationATimeoutLetsARetryStart) {
     auto settings = plain_settings();
     settings.cancellation_supported = false;
-    settings.flow_kb_per_s = 1000;
+    settings.max_response_kb_per_s = 1000;
     settings.classes[0].objective_stretch = 1.5;
     for (const double size_kb : {200.0, 2000.0, 0.0}) {
         TestRouter g{settings};
--- a/tests/routing/size_share_test.cpp
+++ b/tests/routing/size_share_test.cpp
@@ -86,11 +86,11 @@
 
     static Settings settings(const Case& c) {
         Settings s = plain_settings();
-        s.direct = false;
+        s.cache_bypass_supported = false;
         s.cancellation_supported = c.cancels;
         s.server_weights = ServerWeights::nominal;
         if (c.tells_sizes) {
-            s.flow_kb_per_s = kFlow;
+            s.max_response_kb_per_s = kFlow;
             s.zone_link_kb_per_s = kFlow * kZoneLink;
         }
         s.classes[0].latency_objective = 400ms;
--- a/tests/routing/target_selection_test.cpp
+++ b/tests/routing/target_selection_test.cpp
@@ -306,7 +306,7 @@
 // top pace.
 TEST(InStep, AfterAPurgeOfAllGroupsAllFillsTogetherKeepToTheLink) {
     auto settings = shared_settings(9, 100);
-    settings.flow_kb_per_s = 1000;
+    settings.max_response_kb_per_s = 1000;
     settings.zone_link_kb_per_s = 11000;  // eleven answers at top pace
     auto zone = zone_of(9, settings);
     for (auto& g : zone)
@@ -326,7 +326,7 @@
             const auto id = g.request(object, 0, 4s, GroupId{object % 32});
             if (!g.find<Send>())
                 continue;
-            EXPECT_GT(g.find<Send>()->fill->oldest, Span{});  // no copy from before the purge
+            EXPECT_GT(g.find<Send>()->fill->max_age, Span{});  // no copy from before the purge
             if (g.source()[0] == 'p')
                 fills.began(i, g, id);
             else
--- a/tests/silverrail/parsers_test.cpp
+++ b/tests/silverrail/parsers_test.cpp
@@ -140,7 +140,7 @@
         CHECK(end.attempt_status == c.attempt_status && end.cache_status == c.cache_status);
     }
     const auto load = net::parse_load_report("inflight:7;util:0.61;x1:oops;;x0:0.4");
-    CHECK(load.in_flight == 7 && load.utilisation == 0.61 && load.hit_share == 0.4 && !load.link_fullness);
+    CHECK(load.in_flight == 7 && load.utilisation == 0.61 && load.hit_ratio == 0.4 && !load.link_utilisation);
 }
 
 // The servers' words for how they came by an answer, both ways.
--- a/tests/silverrail/settings_wires_test.cpp
+++ b/tests/silverrail/settings_wires_test.cpp
@@ -52,13 +52,13 @@
                           s.parent_kind,
                           s.origin_kind,
                           s.server_weights,
-                          s.flow_kb_per_s,
+                          s.max_response_kb_per_s,
                           s.zone_link_kb_per_s,
                           s.outcome_detail,
                           s.cancellation_supported,
-                          s.retry_after,
-                          s.direct,
-                          s.joins,
+                          s.retry_after_supported,
+                          s.cache_bypass_supported,
+                          s.coalescing_supported,
                           s.max_retry_after,
                           s.max_attempts,
                           s.purge_effective_within,
@@ -74,8 +74,8 @@
     const auto each = [](const routing::ClassSettings& c) {
         return std::tuple{
             c.name,        c.latency_objective, c.objective_stretch, c.client_timeout, c.priority_weight,
-            c.late_weight, c.idempotency,       c.key_scope,         c.window,         c.max_age,
-            c.grace,       c.stale_weight,      c.segmented,         c.uncached};
+            c.late_weight, c.idempotency,       c.key_scope,         c.retry_window,   c.max_age,
+            c.stale_grace, c.stale_weight,      c.segmented,         c.uncached};
     };
     CHECK(all(a) == all(b) && a.classes.size() == 2 && b.classes.size() == 2);
     for (std::size_t i = 0; i < 2; ++i)
