--- a/src/core/attempt_builder.cpp
+++ b/src/core/attempt_builder.cpp
@@ -31,10 +31,12 @@
 }
 
 AttemptBuilder::CopyAge AttemptBuilder::copy_age_at_first_byte(const AttemptRequest& request,
-                                                               Time now) const {
-    // Guards rule 5 (purges): one that came during the wait binds by the time of the first byte.
+                                                               Span class_max_age, Time now) const {
+    // Guards rule 5 (purges): one that came during the wait binds by the time of the first byte. It may be
+    // older than what the attempt allows, and must not loosen that.
     const auto limit = purges_.max_copy_age(*request.client_request, now, unix_time_);
-    if (limit && (request.oldest == Span{} || *limit < request.oldest))
+    const Span allowed = request.oldest > Span{} ? request.oldest : class_max_age;
+    if (limit && (allowed == Span{} || *limit < allowed))
         return {.oldest = *limit, .tightened = true};
     return {.oldest = request.oldest, .tightened = false};
 }
--- a/src/core/attempt_builder.h
+++ b/src/core/attempt_builder.h
@@ -18,7 +18,8 @@
         Span oldest{};           // as in AttemptRequest
         bool tightened = false;  // by a purge that came after the decision
     };
-    CopyAge copy_age_at_first_byte(const AttemptRequest& request, Time now) const;
+    // `class_max_age` is that of the request's class; 0: its copies do not age.
+    CopyAge copy_age_at_first_byte(const AttemptRequest& request, Span class_max_age, Time now) const;
     // The address to redirect a client to. It carries nothing but the server's name: absent where the attempt
     // needs more than that, or the server must not be named.
     std::optional<std::string> redirect_address(const AttemptRequest& request, const std::string& parent_kind,
--- a/src/core/forwarding.cpp
+++ b/src/core/forwarding.cpp
@@ -111,7 +111,8 @@
         ++state_.counters.held_at_first_byte;
         log_suppression(*request, *attempt->request, *reason);
     } else {
-        const auto copy_age = builder_.copy_age_at_first_byte(*attempt->request, now);
+        const auto copy_age = builder_.copy_age_at_first_byte(
+            *attempt->request, state_.settings.classes[request->class_index].max_age, now);
         oldest = copy_age.oldest;
         tightened = copy_age.tightened;
     }
--- a/tests/core/first_byte_test.cpp
+++ b/tests/core/first_byte_test.cpp
@@ -55,6 +55,18 @@
     CHECK(f.sender.cancelled == 1 && f.engine.open() == 0);
 }
 
+// The module has forgotten the purge by then, and asks for the class's max_age.
+void a_purge_older_than_the_max_age_of_the_class_does_not_loosen_it() {
+    auto with_short_max_age = settings();
+    with_short_max_age.classes.at(0).max_age = 3s;
+    Fixture f{with_short_max_age};
+    f.engine.apply(PurgeNotice{{}, kGroup, f.clock.unix_ms()});
+    f.timers.pass(7200ms);
+    (void)f.submit();
+    CHECK(f.sender.in_flight.at(0).oldest == Span{});
+    CHECK(f.sender.first_byte(0) == Span{});
+}
+
 }  // namespace
 
 int main() {
@@ -62,5 +74,6 @@
     no_byte_names_a_source_that_is_gone();
     repeats_of_a_keyed_request_end_with_the_window_of_its_first_attempt();
     a_purge_limits_the_age_and_a_closed_client_ends_the_attempt();
+    a_purge_older_than_the_max_age_of_the_class_does_not_loosen_it();
     std::puts("first byte: every case holds");
 }
--- a/tests/core/fixture.h
+++ b/tests/core/fixture.h
@@ -105,7 +105,8 @@
 
 // An engine with two servers of its zone, s-a and s-b, a parent and an origin.
 struct Fixture {
-    Fixture() {
+    explicit Fixture(routing::Settings routing_settings = settings())
+        : engine(std::move(routing_settings), 7, 20, clock, timers, sender, log) {
         list({listed("s-a", "127.0.0.1:1"), listed("s-b", "127.0.0.1:2"),
               listed("s-parent", "127.0.0.1:3", "parent"), listed("s-origin", "127.0.0.1:4", "origin")},
              true);
@@ -149,7 +150,7 @@
     ManualTimers timers{clock};
     ManualSender sender;
     Log log;
-    Engine engine{settings(), 7, 20, clock, timers, sender, log};
+    Engine engine;
     std::optional<RequestId> id;
 };
 
