--- a/bench/trace_bench.cpp
+++ b/bench/trace_bench.cpp
@@ -9,7 +9,7 @@
 #include <thread>
 
 #include "config/config.h"
-#include "lab/site.h"
+#include "lab/sample_deployment.h"
 #include "trace/recorder.h"
 #include "trace/replay.h"
 #include "trace/synth.h"
--- a/src/lab/demo.cpp
+++ b/src/lab/demo.cpp
@@ -65,8 +65,8 @@
         --day_.left;
         ++day_.open;
         const auto dice = day_.random() % 100;
-        class_name_ = kClasses[dice < 54 ? 0 : dice < 90 ? 1 : 2];
-        const bool write = class_name_ == kClasses[2];
+        class_name_ = kRequestClasses[dice < 54 ? 0 : dice < 90 ? 1 : 2];
+        const bool write = class_name_ == kRequestClasses[2];
         object_ = hex(write ? day_.random() : day_.random() % 60 * 0x9e3779b97f4a7c15U);
         part_ = write ? "0" : std::to_string(day_.random() % 2);
         request_ = {write ? http::verb::put : http::verb::get,
@@ -167,11 +167,11 @@
             [&] {
                 if (!purged && day.left < kRequests * 2 / 3) {
                     purged = true;
-                    discovery_.say(recall_event(0, hex(0), unix_ms()));
+                    discovery_.say(purge_event(0, hex(0), unix_ms()));
                 }
                 if (!drained && day.left < kRequests / 3) {
                     drained = true;
-                    discovery_.say(roster_event(0, false, {listed(plans_[0], "leaving")}));
+                    discovery_.say(endpoint_list_event(0, false, {endpoint_json(plans_[0], "leaving")}));
                 }
                 return day.left == 0 && day.open == 0;
             },
@@ -224,9 +224,9 @@
             router_config("demo", 7, "127.0.0.1:" + std::to_string(at_.port()), discovery_.address(), 1);
         std::vector<Json::Value> all;
         for (const auto& plan : plans_)
-            all.push_back(listed(plan, "active"));
+            all.push_back(endpoint_json(plan, "active"));
         config["known"]["no"] = 1;
-        config["known"]["items"].append(roster_event(1, true, all));
+        config["known"]["items"].append(endpoint_list_event(1, true, all));
         std::ofstream{folder_ / "config.json"} << config::json_line(config);
         Json::Value settings;
         settings["trace"]["folder"] = (folder_ / "traces").string();
@@ -299,7 +299,7 @@
     asio::io_context io_;
     DiscoveryWatch discovery_{io_};
     std::vector<std::unique_ptr<Server>> servers_;
-    std::vector<ServerPlan> plans_;
+    std::vector<SampleServer> plans_;
     tcp::endpoint at_;
     pid_t pid_ = -1;
 };
--- a/src/lab/servers.h
+++ b/src/lab/servers.h
@@ -10,7 +10,7 @@
 #include <set>
 #include <string>
 
-#include "lab/site.h"
+#include "lab/sample_deployment.h"
 #include "net/asio.h"
 
 namespace silverrail::lab {
--- a/src/trace/synth.cpp
+++ b/src/trace/synth.cpp
@@ -9,7 +9,7 @@
 
 #include "config/config.h"
 #include "core/engine.h"
-#include "lab/site.h"
+#include "lab/sample_deployment.h"
 #include "trace/observe.h"
 
 namespace silverrail::trace {
@@ -127,7 +127,7 @@
 
 // The servers, as all routers see them: which are up, and how crowded.
 struct Servers {
-    std::vector<lab::ServerPlan> plan;
+    std::vector<lab::SampleServer> plan;
     std::map<std::string, bool> dead;
     std::map<std::string, int> held;
 };
@@ -269,7 +269,7 @@
         core::ServerChange all{true, {}};
         for (const auto& server : servers_.plan)
             all.servers.push_back(
-                lab::known(server, servers_.dead[server.id] ? Condition::gone : Condition::ready));
+                lab::registry_server(server, servers_.dead[server.id] ? Condition::gone : Condition::ready));
         engine_.apply(all);
         tick();
         arrive();
@@ -331,7 +331,7 @@
         core::ClientRequest call;
         const double kind = chance();
         const int index = kind < 0.54 ? 0 : kind < 0.966 ? 1 : 2;
-        call.class_name = lab::kClasses[index];
+        call.class_name = lab::kRequestClasses[index];
         char digits[17];
         std::snprintf(digits, sizeof digits, "%016llx", static_cast<unsigned long long>(random_()));
         call.trace_id = digits;
@@ -482,7 +482,7 @@
         world.at(kSecond, purge);
     const std::function<void(std::size_t)> trouble = [&](std::size_t server) {
         const auto tell = [&, server](Condition condition) {
-            core::ServerChange change{false, {lab::known(servers.plan[server], condition)}};
+            core::ServerChange change{false, {lab::registry_server(servers.plan[server], condition)}};
             for (auto& run : runs)
                 run->hear(change);
         };
