--- a/src/routing/hang_detection.cpp
+++ b/src/routing/hang_detection.cpp
@@ -2,20 +2,16 @@
 
 #include <algorithm>
 
-#include "routing/durations.h"
-
 namespace silverrail::routing {
 
 namespace {
 
-constexpr double kUsualLatencies = 3;   // so many usual latencies are not waited for
-constexpr double kMinObjective = 1e-3;  // seconds
+constexpr double kUsualLatencies = 3;  // so many usual latencies are not waited for
 
 }  // namespace
 
 double HangDetector::waited(const OpenRequest& open, const Attempt& attempt, Time now) const {
-    const double objective = to_seconds(work_.latency_objective(open.request));
-    return to_seconds(now - attempt.sent_at) / std::max(kMinObjective, objective);
+    return work_.relative_latency(open.request, now - attempt.sent_at);
 }
 
 bool HangDetector::is_hung(const OpenRequest& open, const Attempt& attempt, Time now) const {
--- a/src/routing/outcome_learning.cpp
+++ b/src/routing/outcome_learning.cpp
@@ -1,17 +1,7 @@
 #include "routing/outcome_learning.h"
 
-#include <algorithm>
-
-#include "routing/durations.h"
-
 namespace silverrail::routing {
 
-namespace {
-
-constexpr double kMinObjective = 1e-3;  // seconds
-
-}  // namespace
-
 void OutcomeLearner::record(const OpenRequest& open, Attempt& attempt, const Outcome& outcome, Time now) {
     const Servers servers{d_.servers.find(attempt.target),
                           attempt.source ? d_.servers.find(*attempt.source) : nullptr};
@@ -42,7 +32,6 @@
     const AttemptStatus status = outcome.attempt_status;
     const CacheStatus cache_status = outcome.cache_status;
     const bool untold = cache_status == CacheStatus::none;
-    const Span objective = d_.work.latency_objective(open.request);
 
     Findings findings;
     findings.succeeded = status == AttemptStatus::success;
@@ -55,8 +44,8 @@
     const bool spoilt = status == AttemptStatus::reset || (status == AttemptStatus::error && untold);
     findings.failed =
         !findings.succeeded && !spoilt && status != AttemptStatus::miss && status != AttemptStatus::cancelled;
-    findings.in_time = findings.succeeded && outcome.duration <= objective;
-    findings.relative_latency = to_seconds(outcome.duration) / std::max(kMinObjective, to_seconds(objective));
+    findings.in_time = findings.succeeded && outcome.duration <= d_.work.latency_objective(open.request);
+    findings.relative_latency = d_.work.relative_latency(open.request, outcome.duration);
     return findings;
 }
 
--- a/src/routing/work_estimate.cpp
+++ b/src/routing/work_estimate.cpp
@@ -10,6 +10,7 @@
 
 constexpr double kSampleWeight = 0.05;   // of a new sample in a running mean
 constexpr double kInitialHits = 5;       // that the first estimate counts for
+constexpr double kMinObjective = 1e-3;   // seconds
 constexpr double kMinHitWeight = 0.005;  // so that a short fault hardly moves the estimate
 
 }  // namespace
@@ -49,4 +50,8 @@
     return request_class.latency_objective + to_span(request_class.objective_stretch * of_request(request));
 }
 
+double WorkEstimator::relative_latency(const Request& request, Span latency) const {
+    return to_seconds(latency) / std::max(kMinObjective, to_seconds(latency_objective(request)));
+}
+
 }  // namespace silverrail::routing
--- a/src/routing/work_estimate.h
+++ b/src/routing/work_estimate.h
@@ -33,6 +33,8 @@
 
     // The time within which an answer to the request earns its full weight.
     Span latency_objective(const Request& request) const;
+    // A latency in multiples of the request's objective; one below a millisecond counts as a millisecond.
+    double relative_latency(const Request& request, Span latency) const;
 
 private:
     struct ClassEstimate {
