--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -1,6 +1,6 @@
 #include <iostream>
 
-#include "link.h"
+#include "session.h"
 
 int main() {
     std::ios::sync_with_stdio(false);
--- a/adapter/settings.cpp
+++ b/adapter/settings.cpp
@@ -1,214 +1,226 @@
 #include "settings.h"
 
 #include <algorithm>
-#include <charconv>
 #include <map>
+#include <string>
 
 namespace silverrail::routing::adapter {
+
 namespace {
 
-class Pairs {
+constexpr double kMaxNumber = 1e15;
+constexpr double kMaxNanoseconds = 9e18;  // all that are below it fit into Span
+constexpr double kMaxClasses = 1000;
+
+constexpr std::array<WireWord<bool>, 4> kFlagWords{
+    {{"true", true}, {"1", true}, {"false", false}, {"0", false}}};
+constexpr std::array<WireWord<Idempotency>, 3> kIdempotencyWords{
+    {{"pure", Idempotency::idempotent}, {"token", Idempotency::keyed}, {"side_effect", Idempotency::none}}};
+constexpr std::array<WireWord<KeyScope>, 3> kKeyScopeWords{
+    {{"all", KeyScope::all}, {"zone", KeyScope::zone}, {"cell", KeyScope::cell}}};
+constexpr std::array<WireWord<ServerWeights>, 4> kServerWeightsWords{{{"off", ServerWeights::none},
+                                                                      {"nominal", ServerWeights::nominal},
+                                                                      {"rough", ServerWeights::nominal},
+                                                                      {"live", ServerWeights::live}}};
+constexpr std::array<WireWord<OutcomeDetail>, 3> kOutcomeDetailWords{
+    {{"off", OutcomeDetail::off}, {"hit", OutcomeDetail::hit}, {"all", OutcomeDetail::all}}};
+
+Span nanoseconds(double count) {
+    return Span{static_cast<Span::rep>(count)};
+}
+
+// Values by key. Members throw SettingsError for a value that cannot be read.
+class SettingPairs {
 public:
-    explicit Pairs(const std::vector<std::string_view>& pairs) {
-        for (std::string_view pair : pairs)
+    explicit SettingPairs(const Words& pairs) {
+        for (const std::string_view pair : pairs) {
             if (const auto at = pair.find('='); at != std::string_view::npos)
                 values_[std::string{pair.substr(0, at)}] = pair.substr(at + 1);
+        }
     }
-    const std::string_view* find(const std::string& key) const {
-        auto at = values_.find(key);
-        return at == values_.end() || at->second == "-" ? nullptr : &at->second;
+
+    // Empty if absent.
+    std::string_view text(const std::string& key) const {
+        const auto found = values_.find(key);
+        return found == values_.end() || found->second == kAbsent ? std::string_view{} : found->second;
     }
-    std::string_view needed(const std::string& key) const {
-        if (const auto* value = find(key); value && !value->empty())
-            return *value;
-        throw SettingsError("setting absent: " + key);
+    std::string_view required_text(const std::string& key) const {
+        const std::string_view value = text(key);
+        if (value.empty())
+            throw SettingsError("setting absent: " + key);
+        return value;
     }
-    template <class Read, class Value>
-    Value read(const std::string& key, Read parse, Value fallback) const {
-        const auto* value = find(key);
-        if (!value || value->empty())
+    double any_number_or(const std::string& key, double fallback) const {
+        const std::string_view value = text(key);
+        if (value.empty())
             return fallback;
-        try {
-            return static_cast<Value>(parse(*value));
-        } catch (const std::invalid_argument&) {
-            throw SettingsError("setting unreadable: " + key + "=" + std::string{*value});
-        }
+        const auto number = parse_number(value);
+        if (!number)
+            fail(key, value);
+        return *number;
     }
-    double number(const std::string& key, double fallback = 0) const {
-        const double value = read(key, to_double, fallback);
-        if (!(value >= 0 && value <= 1e15))
-            throw SettingsError("setting unreadable: " + key);
+    // From 0 to kMaxNumber.
+    double number_or(const std::string& key, double fallback) const {
+        const double value = any_number_or(key, fallback);
+        if (!(value >= 0 && value <= kMaxNumber))
+            fail(key);
         return value;
     }
-    Span span(const std::string& key) const {
-        const auto value = read(key, to_double, 0.0);
-        if (!(value >= 0 && value < 9e18))
-            throw SettingsError("setting unreadable: " + key);
-        return Span{static_cast<Span::rep>(value)};
+    // In nanoseconds on the wire.
+    Span span_or_zero(const std::string& key) const {
+        const double value = any_number_or(key, 0);
+        if (!(value >= 0 && value < kMaxNanoseconds))
+            fail(key);
+        return nanoseconds(value);
     }
-    Span needed_span(const std::string& key) const {
-        needed(key);
-        return span(key);
+    Span required_span(const std::string& key) const {
+        (void)required_text(key);
+        return span_or_zero(key);
     }
     bool flag(const std::string& key) const {
-        return read(key, to_flag, false);
+        return text(key).empty() ? false : required_word(key, kFlagWords);
     }
-    std::string text(const std::string& key) const {
-        const auto* value = find(key);
-        return value ? std::string{*value} : std::string{};
+    template <class Value, std::size_t N>
+    Value required_word(const std::string& key, const std::array<WireWord<Value>, N>& table) const {
+        const std::string_view word = required_text(key);
+        const auto value = find_word(table, word);
+        if (!value)
+            fail(key, word);
+        return *value;
     }
-    // Item `index` of a list, or absent.
-    std::string_view item(const std::string& key, std::size_t index) const {
-        const auto* value = find(key);
+    // Absent: the fallback. An empty word is not absent.
+    template <class Value, std::size_t N>
+    Value word_or(const std::string& key, const std::array<WireWord<Value>, N>& table, Value fallback) const {
+        if (!is_present(key))
+            return fallback;
+        const auto value = find_word(table, text(key));
         if (!value)
-            return {};
-        const auto items = split(*value, ',');
+            fail(key, text(key));
+        return *value;
+    }
+
+    // Items of lists, with commas between them.
+    std::string_view item(const std::string& key, std::size_t index) const {
+        const Words items = split(text(key), ',');
         return index < items.size() ? items[index] : std::string_view{};
     }
-    double item_number(const std::string& key, std::size_t index) const {
-        const auto text = item(key, index);
+    double item_number_or_zero(const std::string& key, std::size_t index) const {
+        const std::string_view text = item(key, index);
         if (text.empty())
             return 0;
-        try {
-            return to_double(text);
-        } catch (const std::invalid_argument&) {
-            throw SettingsError("setting unreadable: " + key);
-        }
+        const auto number = parse_number(text);
+        if (!number)
+            fail(key);
+        return *number;
     }
     bool item_flag(const std::string& key, std::size_t index) const {
         return item(key, index) == "true";
     }
-    template <class Value>
-    Value one_of(const std::string& key, std::string_view value,
-                 std::initializer_list<std::pair<std::string_view, Value>> known) const {
-        for (const auto& [name, meaning] : known)
-            if (name == value)
-                return meaning;
-        throw SettingsError("setting unreadable: " + key + "=" + std::string{value});
-    }
 
 private:
-    static bool to_flag(std::string_view text) {
-        if (text == "true" || text == "1")
-            return true;
-        if (text == "false" || text == "0")
-            return false;
-        throw std::invalid_argument("not a bool");
+    bool is_present(const std::string& key) const {
+        const auto found = values_.find(key);
+        return found != values_.end() && found->second != kAbsent;
+    }
+    [[noreturn]] static void fail(const std::string& key) {
+        throw SettingsError("setting unreadable: " + key);
+    }
+    [[noreturn]] static void fail(const std::string& key, std::string_view value) {
+        throw SettingsError("setting unreadable: " + key + "=" + std::string{value});
     }
+
     std::map<std::string, std::string_view> values_;
 };
 
-ClassSettings parse_class(const Pairs& pairs, std::size_t index) {
-    const std::string at = "classes." + std::to_string(index) + ".";
-    ClassSettings c;
-    c.name = pairs.needed(at + "name");
-    c.latency_objective = pairs.needed_span(at + "aim");
-    c.objective_stretch = pairs.number(at + "aim-stretch");
-    c.client_timeout = pairs.needed_span(at + "give-up");
-    c.priority_weight = pairs.number(at + "worth", 1);
-    c.late_weight = pairs.number(at + "late-worth");
-    c.idempotency = pairs.one_of<Idempotency>(at + "effect", pairs.needed(at + "effect"),
-                                              {{"pure", Idempotency::idempotent},
-                                               {"token", Idempotency::keyed},
-                                               {"side_effect", Idempotency::none}});
-    if (const auto* scope = pairs.find(at + "group"))
-        c.key_scope = pairs.one_of<KeyScope>(
-            at + "group", *scope,
-            {{"all", KeyScope::all}, {"zone", KeyScope::zone}, {"cell", KeyScope::cell}});
-    c.retry_window = pairs.span(at + "window");
-    c.max_age = Span{static_cast<Span::rep>(pairs.item_number("family-info.max-age", index))};
-    c.stale_grace = Span{static_cast<Span::rep>(pairs.item_number("family-info.class-grace", index))};
-    c.stale_weight = pairs.item_number("family-info.stale-earns", index);
-    c.segmented = pairs.item_flag("family-info.segmented", index);
-    c.uncached = pairs.item_flag("family-info.uncached", index);
-    return c;
+ClassSettings parse_class(const SettingPairs& pairs, std::size_t index) {
+    const std::string prefix = "classes." + std::to_string(index) + ".";
+    ClassSettings parsed;
+    parsed.name = pairs.required_text(prefix + "name");
+    parsed.latency_objective = pairs.required_span(prefix + "aim");
+    parsed.objective_stretch = pairs.number_or(prefix + "aim-stretch", 0);
+    parsed.client_timeout = pairs.required_span(prefix + "give-up");
+    parsed.priority_weight = pairs.number_or(prefix + "worth", 1);
+    parsed.late_weight = pairs.number_or(prefix + "late-worth", 0);
+    parsed.idempotency = pairs.required_word(prefix + "effect", kIdempotencyWords);
+    parsed.key_scope = pairs.word_or(prefix + "group", kKeyScopeWords, parsed.key_scope);
+    parsed.retry_window = pairs.span_or_zero(prefix + "window");
+    parsed.max_age = nanoseconds(pairs.item_number_or_zero("family-info.max-age", index));
+    parsed.stale_grace = nanoseconds(pairs.item_number_or_zero("family-info.class-grace", index));
+    parsed.stale_weight = pairs.item_number_or_zero("family-info.stale-earns", index);
+    parsed.segmented = pairs.item_flag("family-info.segmented", index);
+    parsed.uncached = pairs.item_flag("family-info.uncached", index);
+    return parsed;
 }
 
-// How many routers share this one's zone, and what the zone's link for fills carries.
-void parse_zone(const Pairs& pairs, Settings& s) {
-    s.zone = pairs.needed("zone");
-    const std::string dcs = pairs.text("dcs");
-    const auto zones = split(dcs, ',');
-    const auto at = static_cast<std::size_t>(std::find(zones.begin(), zones.end(), s.zone) - zones.begin());
-    s.routers = std::max(1, static_cast<int>(pairs.number("balancers", 1)));
-    const auto here = static_cast<int>(pairs.item_number("family-info.zone-balancers", at));
-    s.routers_in_zone = here > 0 ? here : s.routers;
-    s.zone_link_kb_per_s = pairs.item_number("family-info.pipe-kb-per-s", at);
+void parse_classes(const SettingPairs& pairs, Settings& settings) {
+    (void)pairs.required_text("classes.count");
+    const double count = pairs.number_or("classes.count", 0);
+    if (count > kMaxClasses)
+        throw SettingsError("setting unreadable: classes.count");
+    for (std::size_t i = 0; i < static_cast<std::size_t>(count); ++i)
+        settings.classes.push_back(parse_class(pairs, i));
 }
 
-std::string parse_kind(const Pairs& pairs, const std::string& key) {
-    const double index = pairs.read(key, to_double, -1.0);
-    return index < 0 ? std::string{} : std::string{pairs.item("kinds", static_cast<std::size_t>(index))};
+// How many routers share this one's zone, and the rate of the zone's link for fills.
+void parse_zone(const SettingPairs& pairs, Settings& settings) {
+    settings.zone = pairs.required_text("zone");
+    const Words zones = split(pairs.text("dcs"), ',');
+    const auto own = std::find(zones.begin(), zones.end(), settings.zone);
+    const auto index = static_cast<std::size_t>(own - zones.begin());
+    settings.routers = std::max(1, static_cast<int>(pairs.number_or("balancers", 1)));
+    const auto in_zone = static_cast<int>(pairs.item_number_or_zero("family-info.zone-balancers", index));
+    settings.routers_in_zone = in_zone > 0 ? in_zone : settings.routers;
+    settings.zone_link_kb_per_s = pairs.item_number_or_zero("family-info.pipe-kb-per-s", index);
 }
 
-}  // namespace
+// The server kind whose index stands at `key`; empty if there is none.
+std::string parse_kind(const SettingPairs& pairs, const std::string& key) {
+    const double index = pairs.any_number_or(key, -1);
+    return index < 0 ? std::string{} : std::string{pairs.item("kinds", static_cast<std::size_t>(index))};
+}
 
-double to_double(std::string_view text) {
-    double value = 0;
-    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-    if (error != std::errc{} || end != text.data() + text.size())
-        throw std::invalid_argument("not a number");
-    return value;
+void parse_servers(const SettingPairs& pairs, Settings& settings) {
+    settings.parent_kind = parse_kind(pairs, "family-info.second-tier-kind");
+    settings.origin_kind = parse_kind(pairs, "family-info.origin-kind");
+    settings.server_weights = pairs.word_or("weights", kServerWeightsWords, settings.server_weights);
+    settings.max_response_kb_per_s = pairs.number_or("family-info.one-flow-kb-per-s", 0);
+    settings.outcome_detail =
+        pairs.word_or("family-info.detail", kOutcomeDetailWords, settings.outcome_detail);
 }
 
-std::int64_t to_integer(std::string_view text) {
-    std::int64_t value = 0;
-    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-    if (error != std::errc{} || end != text.data() + text.size())
-        throw std::invalid_argument("not an integer");
-    return value;
+// What the router may do, and the rules on purges.
+void parse_permissions(const SettingPairs& pairs, Settings& settings) {
+    settings.cancellation_supported = pairs.flag("allowed.cancel");
+    settings.retry_after_supported = pairs.flag("allowed.retry-after");
+    settings.cache_bypass_supported = pairs.flag("family-info.bypass-allowed");
+    settings.coalescing_supported = pairs.flag("family-info.shares-fills");
+    settings.max_retry_after = pairs.span_or_zero("allowed.max-retry-after");
+    settings.max_attempts = std::max(1, static_cast<int>(pairs.number_or("allowed.try-limit", 1)));
+    settings.purge_effective_within = pairs.span_or_zero("family-info.heed-within");
+    settings.purge_complete_within = pairs.span_or_zero("family-info.cleared-within");
 }
 
-std::vector<std::string_view> split(std::string_view text, char at) {
-    std::vector<std::string_view> parts;
-    while (true) {
-        const auto end = text.find(at);
-        parts.push_back(text.substr(0, end));
-        if (end == std::string_view::npos)
-            return parts;
-        text.remove_prefix(end + 1);
-    }
+void parse_server_limits(const SettingPairs& pairs, Settings& settings) {
+    settings.slow_start_share = pairs.number_or("invariants.cold-from", 0);
+    settings.slow_start_duration = pairs.span_or_zero("invariants.cold");
+    settings.overload_multiple = pairs.number_or("invariants.tip-multiple", 1);
+    settings.overload_window = pairs.span_or_zero("invariants.fall");
+    settings.parent_slow_start_share = pairs.number_or("family-info.upper-cold-from", 0);
+    settings.parent_slow_start_duration = pairs.span_or_zero("family-info.parent-warms-in");
+    settings.parent_overload_multiple = pairs.number_or("family-info.parent-limit-factor", 1);
 }
 
-Settings parse_settings(const std::vector<std::string_view>& words) {
-    const Pairs pairs{words};
-    Settings s;
-    pairs.needed("classes.count");
-    const double count = pairs.number("classes.count");
-    if (count > 1000)
-        throw SettingsError("setting unreadable: classes.count");
-    for (std::size_t i = 0; i < static_cast<std::size_t>(count); ++i)
-        s.classes.push_back(parse_class(pairs, i));
-    parse_zone(pairs, s);
-    s.parent_kind = parse_kind(pairs, "family-info.second-tier-kind");
-    s.origin_kind = parse_kind(pairs, "family-info.origin-kind");
-    if (const auto* weights = pairs.find("weights"))
-        s.server_weights = pairs.one_of<ServerWeights>("weights", *weights,
-                                                       {{"off", ServerWeights::none},
-                                                        {"nominal", ServerWeights::nominal},
-                                                        {"rough", ServerWeights::nominal},
-                                                        {"live", ServerWeights::live}});
-    s.max_response_kb_per_s = pairs.number("family-info.one-flow-kb-per-s");
-    if (const auto* detail = pairs.find("family-info.detail"))
-        s.outcome_detail = pairs.one_of<OutcomeDetail>(
-            "family-info.detail", *detail,
-            {{"off", OutcomeDetail::off}, {"hit", OutcomeDetail::hit}, {"all", OutcomeDetail::all}});
-    s.cancellation_supported = pairs.flag("allowed.cancel");
-    s.retry_after_supported = pairs.flag("allowed.retry-after");
-    s.cache_bypass_supported = pairs.flag("family-info.bypass-allowed");
-    s.coalescing_supported = pairs.flag("family-info.shares-fills");
-    s.max_retry_after = pairs.span("allowed.max-retry-after");
-    s.max_attempts = std::max(1, static_cast<int>(pairs.number("allowed.try-limit", 1)));
-    s.purge_effective_within = pairs.span("family-info.heed-within");
-    s.purge_complete_within = pairs.span("family-info.cleared-within");
-    s.slow_start_share = pairs.number("invariants.cold-from");
-    s.slow_start_duration = pairs.span("invariants.cold");
-    s.overload_multiple = pairs.number("invariants.tip-multiple", 1);
-    s.overload_window = pairs.span("invariants.fall");
-    s.parent_slow_start_share = pairs.number("family-info.upper-cold-from");
-    s.parent_slow_start_duration = pairs.span("family-info.parent-warms-in");
-    s.parent_overload_multiple = pairs.number("family-info.parent-limit-factor", 1);
-    return s;
+}  // namespace
+
+Settings parse_settings(const Words& words) {
+    const SettingPairs pairs{words};
+    Settings settings;
+    parse_classes(pairs, settings);
+    parse_zone(pairs, settings);
+    parse_servers(pairs, settings);
+    parse_permissions(pairs, settings);
+    parse_server_limits(pairs, settings);
+    return settings;
 }
 
 }  // namespace silverrail::routing::adapter
--- a/adapter/settings.h
+++ b/adapter/settings.h
@@ -1,25 +1,19 @@
-// Start-up settings as the wire gives them (path=value pairs) into silverrail::routing::Settings.
+// The settings that the simulator opens an instance with, as KEY=VALUE words, mapped to routing::Settings.
 #pragma once
 
 #include <stdexcept>
-#include <string>
-#include <string_view>
-#include <vector>
 
 #include "silverrail/routing/router.h"
+#include "wire_text.h"
 
 namespace silverrail::routing::adapter {
 
-// A key that is needed and absent, or any key read whose value makes no sense. what() names the key.
+// A required key is absent, or a value makes no sense. what() names the key.
 class SettingsError : public std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-Settings parse_settings(const std::vector<std::string_view>& pairs);
-
-// Whole text as a number; throws std::invalid_argument.
-double to_double(std::string_view text);
-std::int64_t to_integer(std::string_view text);
-std::vector<std::string_view> split(std::string_view text, char at);
+// Keys that are not known are ignored. Throws SettingsError.
+Settings parse_settings(const Words& pairs);
 
 }  // namespace silverrail::routing::adapter
--- a/tests/adapter/simulator_wire_test.cpp
+++ b/tests/adapter/simulator_wire_test.cpp
@@ -4,7 +4,7 @@
 #include <sstream>
 
 #include "../installed/embed_example.h"
-#include "link.h"
+#include "session.h"
 
 namespace silverrail::routing::adapter {
 namespace {
