--- a/src/app/optional_parts.cpp
+++ b/src/app/optional_parts.cpp
@@ -44,7 +44,7 @@
     const std::uint64_t seed = with_.config.seed;
     auto& [peers, state, reports] = peer_services_;
     peers = add(std::make_unique<MembershipPart>(with_.io, settings, seed, with_.clock.unix_ms(), with_.log));
-    const ReplicaPart::World replica_dependencies{with_.io, *peers, with_.clock, with_.log};
+    const ReplicaPart::Dependencies replica_dependencies{with_.io, *peers, with_.clock, with_.log};
     state = add(std::make_unique<ReplicaPart>(replica_dependencies, settings, shared_file("replica"), seed));
     // Started after the parts that use it.
     auto reports_part =
@@ -66,14 +66,14 @@
 void OptionalParts::add_server_reports() {
     const auto& [peers, state, reports] = peer_services_;
     add(std::make_unique<OutlierConsensusPart>(
-        OutlierConsensusPart::World{with_.io, with_.engine, *peers, *reports, with_.clock, with_.log},
+        OutlierConsensusPart::Dependencies{with_.io, with_.engine, *peers, *reports, with_.clock, with_.log},
         with_.settings.peers, with_.config.seed));
 }
 
 void OptionalParts::add_failover() {
     const auto& [peers, state, reports] = peer_services_;
     auto* const failover = add(std::make_unique<FailoverPart>(
-        FailoverPart::World{with_.io, with_.engine, *peers, *state, *reports, with_.clock, with_.log},
+        FailoverPart::Dependencies{with_.io, with_.engine, *peers, *state, *reports, with_.clock, with_.log},
         with_.settings.peers, with_.config.seed));
     cluster_commands_.failover = [failover] {
         return failover->status();
--- a/src/app/outlier_consensus_part.cpp
+++ b/src/app/outlier_consensus_part.cpp
@@ -7,39 +7,39 @@
 namespace {
 
 constexpr std::chrono::milliseconds kTickInterval{100};
-// A server that is gone is reported for as long as another router's list may well be late.
+// A server that is gone goes on being reported while the lists of other routers may lag behind.
 constexpr auto kReportGoneFor = std::chrono::seconds{60};
 // Each state machine draws its own numbers from the program's seed.
 constexpr std::uint64_t kSeed = 0xa0761d6478bd642fULL;
 
 }  // namespace
 
-OutlierConsensusPart::OutlierConsensusPart(World world, const config::PeersSettings& settings,
-                                           std::uint64_t seed)
-    : world_(world),
-      name_(settings.name),
+OutlierConsensusPart::OutlierConsensusPart(const Dependencies& dependencies,
+                                           const config::PeersSettings& settings, std::uint64_t seed)
+    : with_(dependencies),
+      router_name_(settings.name),
       consensus_(settings.name, {.max_report_age = settings.hearsay_ms}, seed ^ kSeed),
-      timer_(world.io) {}
+      timer_(dependencies.io) {}
 
 std::vector<cluster::ServerObservation> OutlierConsensusPart::observe_servers() const {
     using routing::Condition;
     std::vector<cluster::ServerObservation> out;
-    const auto now = world_.clock.now();
-    world_.engine.for_each_server([&](const core::Server& server, bool avoided) {
+    const auto now = with_.clock.now();
+    with_.engine.for_each_server([&](const core::Server& server, bool outlier) {
         const bool gone = server.entry.condition == Condition::gone;
         if (gone && (!server.unavailable_since || now > *server.unavailable_since + kReportGoneFor))
             return;
-        out.push_back({server.entry.id.address, server.entry.zone, server.started_ms, avoided,
+        out.push_back({server.entry.id.address, server.entry.zone, server.started_ms, outlier,
                        server.entry.condition != Condition::ready});
     });
     return out;
 }
 
 void OutlierConsensusPart::tick() {
-    const auto result = consensus_.tick(world_.peers.now(), world_.clock.unix_ms(), observe_servers(),
-                                        world_.reports.entries(), world_.peers.alive_zones());
+    const auto result = consensus_.tick(with_.membership.now(), with_.clock.unix_ms(), observe_servers(),
+                                        with_.reports.entries(), with_.membership.alive_zones());
     for (const auto& update : result.reports)
-        world_.reports.publish(name_, update);
+        with_.reports.publish(router_name_, update);
     if (result.changed)
         eject(result.ejected);
     timer_.expires_after(kTickInterval);
@@ -53,9 +53,9 @@
     std::set<core::ServerId> servers;
     for (const auto& id : ids)
         servers.insert(core::ServerId{id});
-    world_.engine.set_reported_outliers(std::move(servers));
-    world_.log.line("outlier-consensus", R"({"held_out":%zu,"one":"%s"})", ids.size(),
-                    ids.empty() ? "" : ids.begin()->c_str());
+    with_.engine.set_reported_outliers(std::move(servers));
+    with_.log.line("outlier-consensus", R"({"held_out":%zu,"one":"%s"})", ids.size(),
+                   ids.empty() ? "" : ids.begin()->c_str());
 }
 
 std::string OutlierConsensusPart::counters() {
--- a/src/app/outlier_consensus_part.h
+++ b/src/app/outlier_consensus_part.h
@@ -14,15 +14,17 @@
 
 class OutlierConsensusPart : public Part {
 public:
-    struct World {
+    // All must outlive the part.
+    struct Dependencies {
         net::asio::io_context& io;
         core::Engine& engine;
-        MembershipPart& peers;
+        MembershipPart& membership;
         ReplicaPart& reports;
         const core::Clock& clock;
         Log& log;
     };
-    OutlierConsensusPart(World world, const config::PeersSettings& settings, std::uint64_t seed);
+    OutlierConsensusPart(const Dependencies& dependencies, const config::PeersSettings& settings,
+                         std::uint64_t seed);
     void start() override {
         tick();
     }
@@ -36,8 +38,8 @@
     void eject(const std::set<std::string>& ids);
     std::vector<cluster::ServerObservation> observe_servers() const;
 
-    World world_;
-    std::string name_;
+    Dependencies with_;
+    std::string router_name_;
     cluster::OutlierConsensus consensus_;
     net::asio::steady_timer timer_;
 };
--- a/src/app/replica_part.cpp
+++ b/src/app/replica_part.cpp
@@ -29,16 +29,16 @@
     cluster::ReplicaSettings out;
     out.channel = kReportsChannel;
     out.exchange_interval = std::chrono::milliseconds{peers.replica_ms};
-    out.fast_exchange_interval = cluster::Time{0};  // one that is missed is one of several
+    out.fast_exchange_interval = cluster::Time{0};  // off: one missed report of several matters little
     out.value_retention = kReportRetentionMs;
     out.tombstone_retention = kReportTombstoneRetentionMs;
     return out;
 }
 
-// An origin is a name and the time at which it was first used: whoever lost its store is another origin, so
-// that a version stands for one change only.
-std::string new_origin(const ReplicaPart::World& world, const config::PeersSettings& settings) {
-    return settings.name + "@" + std::to_string(world.clock.unix_ms());
+// An origin is a router's name and the time of its first use: a router that lost its store is a new origin,
+// so that a version always stands for one change.
+std::string new_origin(const ReplicaPart::Dependencies& dependencies, const config::PeersSettings& settings) {
+    return settings.name + "@" + std::to_string(dependencies.clock.unix_ms());
 }
 
 void set_aside(const std::string& file) {
@@ -71,7 +71,7 @@
         log.line("replica-store-none", R"({"store":"none","why":"%s"})", e.what());
         return {new_origin};
     } catch (const std::exception& e) {
-        // Nothing of it is trusted; the peers have what it held.
+        // Nothing of the file is used; the peers have the state.
         log.line("replica-store-rejected", R"({"why":"%s","aside":"%s.refused"})", e.what(), file.c_str());
         set_aside(file);
     }
@@ -83,31 +83,32 @@
     }
 }
 
-ReplicaPart::ReplicaPart(World world, const config::PeersSettings& settings, const std::string& file,
-                         std::uint64_t seed)
-    : ReplicaPart(world, settings, state_settings(settings), "replica", seed ^ kStateSeed,
-                  open_store(file, new_origin(world, settings), world.log)) {}
+ReplicaPart::ReplicaPart(const Dependencies& dependencies, const config::PeersSettings& settings,
+                         const std::string& file, std::uint64_t seed)
+    : ReplicaPart(dependencies, settings, state_settings(settings), "replica", seed ^ kStateSeed,
+                  open_store(file, new_origin(dependencies, settings), dependencies.log)) {}
 
-ReplicaPart::ReplicaPart(World world, const config::PeersSettings& settings, Reports, std::uint64_t seed)
-    : ReplicaPart(world, settings, report_settings(settings), "reports", seed ^ kReportsSeed,
-                  Stored{new_origin(world, settings)}) {}
+ReplicaPart::ReplicaPart(const Dependencies& dependencies, const config::PeersSettings& settings, Reports,
+                         std::uint64_t seed)
+    : ReplicaPart(dependencies, settings, report_settings(settings), "reports", seed ^ kReportsSeed,
+                  Stored{new_origin(dependencies, settings)}) {}
 
-ReplicaPart::ReplicaPart(World world, const config::PeersSettings& settings,
+ReplicaPart::ReplicaPart(const Dependencies& dependencies, const config::PeersSettings& settings,
                          const cluster::ReplicaSettings& replica, const char* counter_prefix,
                          std::uint64_t seed, Stored stored)
-    : world_(world),
+    : with_(dependencies),
       counter_prefix_(counter_prefix),
       store_(std::move(stored.store)),
       replica_(settings.name, settings.advertise.empty() ? settings.bind : settings.advertise, stored.origin,
                replica, seed, cluster::Time{0}),
       started_empty_(stored.empty),
-      timer_(world.io) {
+      timer_(dependencies.io) {
     if (store_)
         replica_.restore(std::move(stored.entries), std::move(stored.origins));
-    world_.peers.set_replica_handler(replica.channel, [this](const cluster::ReplicaMessage& message) {
+    with_.membership.set_replica_handler(replica.channel, [this](const cluster::ReplicaMessage& message) {
         auto out = net::PeerTransport::outgoing(
-            replica_.receive(message, world_.peers.now(), world_.clock.unix_ms()));
-        // What is not stored is not acknowledged either: the peers ask again.
+            replica_.receive(message, with_.membership.now(), with_.clock.unix_ms()));
+        // A change that is not stored is not acknowledged, so that the peers send it again.
         if (!store_changes())
             out.clear();
         return out;
@@ -115,13 +116,13 @@
 }
 
 void ReplicaPart::start() {
-    world_.log.line("replica-start", R"({"of":"%s","origin":"%s","keys":%zu,"kept":%s})", counter_prefix_,
-                    replica_.origin().c_str(), replica_.entries().size(), store_ ? "true" : "false");
+    with_.log.line("replica-start", R"({"of":"%s","origin":"%s","keys":%zu,"kept":%s})", counter_prefix_,
+                   replica_.origin().c_str(), replica_.entries().size(), store_ ? "true" : "false");
     tick();
 }
 
-// Stores what has changed and tells the listeners. False: it could not be written; the store is given up, as
-// what it holds from here on would have gaps.
+// Stores what has changed and notifies the listeners. Returns false if it could not be written; the store is
+// then closed for good, as its contents would have gaps.
 bool ReplicaPart::store_changes() {
     const auto changes = replica_.take_unsaved_changes();
     bool stored = true;
@@ -132,7 +133,7 @@
             ++failed_writes_;
             stored = false;
             store_.reset();
-            world_.log.line("replica-store-failed", R"({"why":"%s"})", e.what());
+            with_.log.line("replica-store-failed", R"({"why":"%s"})", e.what());
         }
     const auto touched = replica_.take_touched_keys();
     if (!touched.empty())
@@ -143,9 +144,9 @@
 
 void ReplicaPart::tick() {
     auto messages = net::PeerTransport::outgoing(
-        replica_.tick(world_.peers.now(), world_.clock.unix_ms(), world_.peers.alive_addresses()));
+        replica_.tick(with_.membership.now(), with_.clock.unix_ms(), with_.membership.alive_addresses()));
     if (store_changes())
-        world_.peers.send(std::move(messages));
+        with_.membership.send(std::move(messages));
     timer_.expires_after(kTickInterval);
     timer_.async_wait([this](const net::error_code& error) {
         if (!error)
@@ -154,12 +155,12 @@
 }
 
 bool ReplicaPart::set(const std::string& key, const std::string& value) {
-    const bool applied = replica_.set(key, value, world_.clock.unix_ms());
+    const bool applied = replica_.set(key, value, with_.clock.unix_ms());
     return store_changes() && applied;
 }
 
 bool ReplicaPart::clear(const std::string& key) {
-    const bool applied = replica_.clear(key, world_.clock.unix_ms());
+    const bool applied = replica_.clear(key, with_.clock.unix_ms());
     return store_changes() && applied;
 }
 
--- a/src/app/replica_part.h
+++ b/src/app/replica_part.h
@@ -20,20 +20,22 @@
 
 class ReplicaPart : public Part {
 public:
-    struct World {
+    // All must outlive the part.
+    struct Dependencies {
         net::asio::io_context& io;
-        MembershipPart& peers;
+        MembershipPart& membership;
         const core::Clock& clock;
         Log& log;
     };
-    // The state that operators change, stored in `file`. Where that is empty, or held by another process of
-    // this router, nothing outlives the process, and the log says so. A file that is damaged or somebody
-    // else's is renamed, and the log gives its new name.
-    ReplicaPart(World world, const config::PeersSettings& settings, const std::string& file,
-                std::uint64_t seed);
-    // The reports of routers on servers and zones: on a channel of their own, in memory only, ageing out.
+    // The state that operators change, stored in `file`. If that is empty, or locked by another process of
+    // this router, nothing is stored, which is logged. A file that is damaged or belongs to another router is
+    // renamed; the log gives its new name.
+    ReplicaPart(const Dependencies& dependencies, const config::PeersSettings& settings,
+                const std::string& file, std::uint64_t seed);
+    // The reports of routers on servers and zones: on a channel of their own, in memory only, expiring.
     struct Reports {};
-    ReplicaPart(World world, const config::PeersSettings& settings, Reports, std::uint64_t seed);
+    ReplicaPart(const Dependencies& dependencies, const config::PeersSettings& settings, Reports,
+                std::uint64_t seed);
 
     void start() override;
     void stop() override {
@@ -41,7 +43,7 @@
     }
     std::string counters() override;
 
-    // Called from the start on with the keys whose value may have changed.
+    // Called from start() on with the keys whose value may have changed.
     using Listener = std::function<void(const std::set<std::string>& keys)>;
     void add_listener(Listener listener) {
         listeners_.push_back(std::move(listener));
@@ -61,11 +63,11 @@
     std::uint64_t revision() const {
         return replica_.revision();
     }
-    // True where nothing was restored: what the router holds from elsewhere is still to be set.
+    // Nothing was restored from a store.
     bool started_empty() const {
         return started_empty_;
     }
-    // The answer to REPLICA: a line an origin: origin, version held, highest heard, lag; then "--".
+    // The answer to REPLICA: a line an origin: origin, own version, highest version heard of, lag; then "--".
     std::string status() const;
 
 private:
@@ -80,12 +82,13 @@
     static Stored open_store(const std::string& file, const std::string& new_origin, Log& log);
     static Stored read_store(const std::string& file, const std::string& new_origin);
 
-    ReplicaPart(World world, const config::PeersSettings& settings, const cluster::ReplicaSettings& replica,
-                const char* counter_prefix, std::uint64_t seed, Stored stored);
+    ReplicaPart(const Dependencies& dependencies, const config::PeersSettings& settings,
+                const cluster::ReplicaSettings& replica, const char* counter_prefix, std::uint64_t seed,
+                Stored stored);
     void tick();
     bool store_changes();
 
-    World world_;
+    Dependencies with_;
     const char* counter_prefix_;
     std::unique_ptr<store::ReplicaStore> store_;
     cluster::Replica replica_;
