--- a/src/app/commands.h
+++ b/src/app/commands.h
@@ -5,7 +5,7 @@
 
 namespace silverrail::app {
 
-// Serves until it is told to end. Returns the exit code: 0, or 1 if it cannot start.
+// Serves until a signal ends it. Returns the exit code: 0, or 1 if it cannot start.
 int serve(const SettingsSources& sources);
 
 // Reads all settings that serve() would read, and prints each problem with its path on standard output.
--- a/src/app/failover_part.cpp
+++ b/src/app/failover_part.cpp
@@ -48,7 +48,7 @@
     : with_(dependencies),
       router_name_(settings.name),
       zone_(settings.zone),
-      max_report_age_(settings.hearsay_ms),
+      max_report_age_(settings.report_lifetime_ms),
       failover_(settings.name, settings.zone, settings.failover),
       publisher_({.refresh_interval = kReportRefreshInterval}, seed ^ kSeed),
       health_check_(dependencies.io, {}),
--- a/src/app/membership_part.cpp
+++ b/src/app/membership_part.cpp
@@ -43,7 +43,7 @@
           io, settings.bind, {},
           [this](const net::PeerTransport::Message& message) { return receive(message); }, log),
       timer_(io),
-      // A probe's timeout is kept to a tenth of it.
+      // So that a probe's timeout is met to a tenth of it.
       tick_interval_(std::clamp<std::int64_t>(settings.probe_timeout_ms / 10, kMinTickMs, kMaxTickMs)) {
 } catch (const boost::system::system_error& e) {
     throw config::ConfigError("peers.bind: cannot listen at " + settings.bind + ": " + e.code().message());
--- a/src/app/optional_parts.cpp
+++ b/src/app/optional_parts.cpp
@@ -56,7 +56,7 @@
     cluster_commands_.replica = [replica = state] {
         return replica->status();
     };
-    if (settings.hearsay_ms > 0)
+    if (settings.report_lifetime_ms > 0)
         add_server_reports();
     if (!settings.failover.zones.empty())
         add_failover();
@@ -83,7 +83,7 @@
     };
 }
 
-// Reads the servers that operators have taken out before the first server list is applied, so that they get
+// Reads the servers that operators have excluded before the first server list is applied, so that they get
 // no request from the start on.
 void OptionalParts::add_control() {
     auto* const overrides = add(std::make_unique<OverridesPart>(with_.io, with_.engine, shared_file("bans"),
--- a/src/app/outlier_consensus_part.cpp
+++ b/src/app/outlier_consensus_part.cpp
@@ -18,7 +18,7 @@
                                            const config::PeersSettings& settings, std::uint64_t seed)
     : with_(dependencies),
       router_name_(settings.name),
-      consensus_(settings.name, {.max_report_age = settings.hearsay_ms}, seed ^ kSeed),
+      consensus_(settings.name, {.max_report_age = settings.report_lifetime_ms}, seed ^ kSeed),
       timer_(dependencies.io) {}
 
 std::vector<cluster::ServerObservation> OutlierConsensusPart::observe_servers() const {
--- a/src/app/overrides_part.h
+++ b/src/app/overrides_part.h
@@ -17,7 +17,7 @@
 
 class OverridesPart : public Part, public front::admin::OverrideCommands {
 public:
-    // `path` empty: the overrides are kept in this process only. What the file holds is in force from here
+    // `path` empty: the overrides are known to this process only. The file's contents are in force from here
     // on. `fleet_state`: replicated to and from all other routers; null: the router has no peers.
     OverridesPart(net::asio::io_context& io, core::Engine& engine, const std::string& path, Log& log,
                   ReplicaPart* fleet_state = nullptr);
--- a/src/app/part.h
+++ b/src/app/part.h
@@ -27,7 +27,7 @@
     virtual void stop() = 0;
     // Every request has been answered.
     virtual void end() {}
-    // SIGUSR2: writes out what is kept for diagnosis.
+    // SIGUSR2: writes out what was recorded for diagnosis.
     virtual void dump() {}
     // One "name value" a line.
     virtual std::string counters() {
--- a/src/app/program.cpp
+++ b/src/app/program.cpp
@@ -42,7 +42,7 @@
       platform_(engine_, lifecycle_, log_),
       server_(
           io_, endpoint_of(config_.listen), client_limits(config_, quota_),
-          [this](auto session, auto request) { platform_.handle(session, std::move(request)); }, log_),
+          [this](const auto& session, auto request) { platform_.handle(session, std::move(request)); }, log_),
       parts_(part_dependencies()),
       signals_(io_, signal_actions()),
       shutdown_(shutdown_dependencies(), config_.settings),
@@ -52,7 +52,7 @@
         on_process_count(processes);
     handover_.on_change([this](std::size_t processes) { on_process_count(processes); });
     lifecycle_.on_change([this](Lifecycle::Phase phase) { on_phase(phase); });
-    platform_.also_count([this] { return module_counters(); });
+    platform_.set_more_counters([this] { return module_counters(); });
     parts_.create();
 }
 
--- a/src/app/program.h
+++ b/src/app/program.h
@@ -29,7 +29,7 @@
 
     // Accepts clients from now on. Throws what makes a start impossible, for a moment or permanently.
     void start();
-    // Serves until it is told to end by SIGTERM or SIGINT, and shuts down gracefully.
+    // Serves until it is ended by SIGTERM or SIGINT, and shuts down gracefully.
     void run();
 
 private:
--- a/src/app/replica_part.cpp
+++ b/src/app/replica_part.cpp
@@ -67,7 +67,7 @@
     }
     try {
         return read_store(file, new_origin);
-    } catch (const store::ReplicaStore::Held& e) {
+    } catch (const store::ReplicaStore::Locked& e) {
         log.line("replica-store-none", R"({"store":"none","why":"%s"})", e.what());
         return {new_origin};
     } catch (const std::exception& e) {
--- a/src/app/resource_limits.h
+++ b/src/app/resource_limits.h
@@ -19,8 +19,8 @@
 net::HttpLimits client_limits(const config::Config& config, const limits::ProcessQuota& quota);
 cache::CacheLimits cache_limits(const config::Config& config, const limits::ProcessQuota& quota);
 
-// The path of a file that all processes of one router share. They are told from other routers by the clients'
-// address, which the name contains. Empty if `folder` is.
+// The path of a file that all processes of one router share. The file's name contains the clients' address,
+// by which routers differ. Empty if `folder` is.
 std::string shared_file_path(const std::string& folder, const std::string& clients_address,
                              const std::string& extension);
 
--- a/src/cache/response_cache.cpp
+++ b/src/cache/response_cache.cpp
@@ -6,12 +6,12 @@
 
 using namespace std::chrono_literals;
 
-// Of the latency objective: the way to the client takes the rest.
+// Of the latency objective; the rest is for the network between router and client.
 constexpr double kObjectiveShare = 0.85;
 // Between the writing of a response's age at its server and the reading of the clock here.
 constexpr std::int64_t kAgeMarginMs = 20;
 constexpr Span kDeadlineMargin = 30ms;
-// Of a response's bytes: what "not modified" takes to send.
+// Size of a "not modified" response, as a share of the full response.
 constexpr double kNotModifiedShare = 0.05;
 
 std::int64_t to_ms(Span span) {
--- a/src/cache/response_cache.h
+++ b/src/cache/response_cache.h
@@ -15,13 +15,13 @@
 struct CacheLimits {
     std::size_t bytes = 0;
     UplinkRates uplink;
-    // Without known rates nothing says whether a response would be in time.
+    // Without known rates it cannot be foreseen whether a response would be in time.
     bool enabled() const {
         return bytes > 0 && uplink.known();
     }
 };
 
-// What of a request the cache needs to know.
+// The part of a request that the cache looks at.
 struct Lookup {
     ResponseKey key;
     GroupId group{};
@@ -29,6 +29,7 @@
     std::string_view client_tag;  // of the client's copy; empty: none
 };
 
+// A cached response that answers a request.
 struct Hit {
     std::shared_ptr<const std::string> body;  // absent: the client's copy is current
     std::string tag;
@@ -41,8 +42,8 @@
     // `classes` must outlive the cache.
     ResponseCache(const std::vector<routing::ClassSettings>& classes, CacheLimits limits);
 
-    // Guards rule 5 (no purged copy): servers drop what was purged by themselves, this cache only what it
-    // hears of. Nothing is answered while it may miss a purge, which is so until the first call.
+    // Guards rule 5 (no purged copy): this cache drops only what it receives a purge of. It answers nothing
+    // while it may miss one, which is so until the first call.
     void set_purges_reliable(bool reliable) {
         purges_reliable_ = reliable;
     }
@@ -51,8 +52,8 @@
     // 0: never.
     void store(const Lookup& request, std::string_view body, std::string_view tag, std::int64_t made_ms,
                std::int64_t purged_ms);
-    // A fresh response that is sent within the class's latency
-    // objective. A hit reserves its part of the uplink.
+    // A fresh response that is sent within the class's latency objective. A hit reserves its part of the
+    // uplink.
     std::optional<Hit> find_fresh(const Lookup& request, Time now, std::int64_t unix_ms);
     // For a request that is rejected otherwise: a response, fresh or within its grace, that is sent by
     // `deadline`. A hit reserves its part of the uplink.
--- a/src/cache/response_store.h
+++ b/src/cache/response_store.h
@@ -1,5 +1,5 @@
-// Responses that passed through this router, by object, class and part. Bounded in bytes: the least recently
-// used one is evicted first. A purge drops what is older than itself. No clock and no I/O.
+// Responses that passed through this router, by object, class and segment. Bounded in bytes: the least
+// recently used one is evicted first. A purge drops what is older than itself. No clock and no I/O.
 #pragma once
 
 #include <compare>
@@ -36,8 +36,8 @@
     explicit ResponseStore(std::size_t capacity_bytes) : capacity_bytes_(capacity_bytes) {}
     // Evicts what exceeds the new capacity.
     void set_capacity(std::size_t bytes);
-    // Ignored: a response without a body, one older than the stored one, and one that would take too much of
-    // the capacity.
+    // Ignored: a response without a body, one older than the stored one, and one too large for the
+    // capacity.
     void put(const ResponseKey& key, StoredResponse response);
     // Absent: null. Counts as a use. Valid until the next change of the store.
     const StoredResponse* find(const ResponseKey& key);
--- a/src/cache/uplink_budget.h
+++ b/src/cache/uplink_budget.h
@@ -1,6 +1,6 @@
 // How long the router's own uplink takes to send a response to a client. Responses share it in the order in
-// which they are reserved, and a single one is sent no faster
-// than its own bound. No clock: time is passed in.
+// which they are reserved, and a single one is sent no faster than its own limit. No clock: time is passed
+// in.
 #pragma once
 
 #include "silverrail/routing/router.h"
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,4 +1,4 @@
-// The platform's configuration file, read into what the program uses.
+// The platform's configuration file as typed settings.
 #pragma once
 
 #include <json/json.h>
--- a/src/config/operator_settings.cpp
+++ b/src/config/operator_settings.cpp
@@ -54,7 +54,7 @@
     t.most_mb = section.integer("most_mb", t.most_mb, 1, 1 << 20);
     const std::int64_t half_of_all = std::max<std::int64_t>(1, t.most_mb / 2);
     t.file_mb = section.integer("file_mb", std::min<std::int64_t>(t.file_mb, half_of_all), 1, 1 << 16);
-    t.file_minutes = section.integer("file_minutes", t.file_minutes, 1, 7 * 24 * 60);
+    t.file_minutes = section.integer("file_minutes", t.file_minutes, 1, 7LL * 24 * 60);
     t.flush_ms = section.integer("flush_ms", t.flush_ms, 20, 600'000);
     t.queue_kb = section.integer("queue_kb", t.queue_kb, 64, 1 << 20);
     t.flight_mb = section.integer("flight_mb", 0, 0, 1 << 14);
@@ -126,7 +126,7 @@
         text = store::read_file(path, kMaxFileBytes);
     } catch (const std::system_error& e) {
         const bool absent = e.code() == std::errc::no_such_file_or_directory;
-        // Not to be taken for an absent file, which would turn every part off without notice.
+        // Not the same as an absent file, which turns every part off without notice.
         if (!absent && store::is_transient(e.code().value()))
             throw;
         if (must_exist || !absent)
--- a/src/config/operator_settings.h
+++ b/src/config/operator_settings.h
@@ -1,6 +1,6 @@
 // The operator's file (deploy/silverrail.json): the optional subsystems. JSON with comments, a section for
-// each subsystem; an absent section leaves it off. Fields have the names of the keys; `docs/settings.md`
-// lists them.
+// each subsystem; an absent section leaves it off. Fields have the names of the keys unless their comment
+// gives another; `docs/settings.md` lists the keys.
 #pragma once
 
 #include <json/json.h>
@@ -49,7 +49,7 @@
     std::int64_t file_minutes = 60;
     std::int64_t flush_ms = 2000;
     std::int64_t queue_kb = 4096;
-    std::int64_t flight_mb = 0;  // above 0: only the newest records are kept, in memory, until a dump
+    std::int64_t flight_mb = 0;  // above 0: only the newest records are retained, in memory, until a dump
     double dump_at_failed_share = 0;
     std::int64_t dump_window_s = 10;
     std::int64_t dump_least_answers = 50;
@@ -79,7 +79,8 @@
     double suspicion_max_mult = 6;
     std::int64_t replica_ms = 1000;
     std::int64_t tombstone_keep_ms = 86'400'000;
-    std::int64_t hearsay_ms = 10'000;    // lifetime of other members' reports on servers; 0: none are shared
+    // Key hearsay_ms: the lifetime of other members' reports on servers; 0: none are shared.
+    std::int64_t report_lifetime_ms = 10'000;
     cluster::FailoverSettings failover;  // no zones: off
     bool on() const {
         return !bind.empty();
--- a/src/config/peers_settings.cpp
+++ b/src/config/peers_settings.cpp
@@ -89,8 +89,8 @@
     p.replica_ms = section.integer("replica_ms", p.replica_ms, 50, 60'000);
     p.tombstone_keep_ms =
         section.integer("tombstone_keep_ms", p.tombstone_keep_ms, 10'000, 30 * 86'400'000LL);
-    p.hearsay_ms = section.integer("hearsay_ms", p.hearsay_ms, 0, 30'000);
-    if (p.hearsay_ms > 0 && p.hearsay_ms < kMinSharedReportMs)
+    p.report_lifetime_ms = section.integer("hearsay_ms", p.report_lifetime_ms, 0, 30'000);
+    if (p.report_lifetime_ms > 0 && p.report_lifetime_ms < kMinSharedReportMs)
         section.add_problem("hearsay_ms", "0, or 1000 to 30000");
 }
 
--- a/src/config/routing_settings.cpp
+++ b/src/config/routing_settings.cpp
@@ -123,9 +123,9 @@
 }  // namespace
 
 routing::Settings parse_routing_settings(const JsonObject& json) {
-    static const Json::Value kNoFamilyInfo{Json::objectValue};
+    static const Json::Value no_family_info{Json::objectValue};
     const JsonObject family =
-        json.has("family-info") ? json.child("family-info") : JsonObject{kNoFamilyInfo, "family-info"};
+        json.has("family-info") ? json.child("family-info") : JsonObject{no_family_info, "family-info"};
     const JsonObject allowed = json.child("allowed");
     const JsonObject rules = json.child("invariants");
     routing::Settings settings;
--- a/src/config/settings_section.cpp
+++ b/src/config/settings_section.cpp
@@ -43,9 +43,9 @@
 }
 
 const Json::Value& SettingsSection::value(const char* key) {
-    static const Json::Value kAbsent;
+    static const Json::Value absent;
     keys_read_.insert(key);
-    return present() ? json_[key] : kAbsent;
+    return present() ? json_[key] : absent;
 }
 
 SettingsSection SettingsSection::child(const char* key) {
--- a/src/core/attempt_builder.h
+++ b/src/core/attempt_builder.h
@@ -1,4 +1,4 @@
-// Makes attempts of the decision module's Send actions, and says at an attempt's first byte what still holds.
+// Makes attempts of the decision module's Send actions, and checks them again right before their first byte.
 #pragma once
 
 #include "core/active_request.h"
@@ -11,9 +11,10 @@
 public:
     AttemptBuilder(const ServerRegistry& servers, const Purges& purges, const UnixTime& unix_time)
         : servers_(servers), purges_(purges), unix_time_(unix_time) {}
-    // Absent: the server is not known, so nothing may be sent.
+    // The attempt that `send` asks for. Absent: its server is not known, so nothing may be sent.
     std::optional<AttemptRequest> build(const routing::Send& send, const ActiveRequest& request,
                                         std::uint32_t attempt, Time now) const;
+    // The greatest age of a copy that the server may answer with.
     struct CopyAge {
         Span max_age{};          // as in AttemptRequest
         bool tightened = false;  // by a purge that came after the decision
--- a/src/core/completion.h
+++ b/src/core/completion.h
@@ -5,7 +5,7 @@
 
 namespace silverrail::core {
 
-// Answers, made from what a stage has to say.
+// Answers by kind. `timed_out`: the deadline has passed.
 Answer served(AttemptResult result);
 Answer rejected(Span retry_after, bool timed_out);
 Answer failed(bool timed_out);
--- a/src/core/counters.h
+++ b/src/core/counters.h
@@ -42,7 +42,7 @@
     // Computed when the figures are read.
     std::uint64_t inflight = 0;      // of `open`, those without their answer
     std::uint64_t hosts_listed = 0;  // servers that are listed and not gone
-    std::uint64_t hosts_down = 0;    // of those, excluded or avoided now
+    std::uint64_t hosts_down = 0;    // of those, excluded or outliers now
     struct ByClass {
         std::string name;
         std::uint64_t success = 0;
--- a/src/core/discovery_updates.cpp
+++ b/src/core/discovery_updates.cpp
@@ -34,7 +34,7 @@
     const Server* known = state_.servers.find(server.entry.id);
     if (known && known->started_ms == server.started_ms && known->entry.started_at)
         return *known->entry.started_at;
-    const Span age = state_.read_unix_time(now).least_age(now, server.started_ms);
+    const Span age = state_.read_unix_time(now).min_age(now, server.started_ms);
     if (is_plausible(age, max_age))
         return now - age;
     ++state_.counters.clock_doubts;
@@ -98,7 +98,7 @@
     state_.unix_time.observe_stamp(now, purge.issued_ms, UnixTime::Source::trusted);
     // Guards rule 5 (no purged copy): a new purge is as old as can be proven. Of those known at the start
     // most are long past, by this clock; the check at the first byte goes by what is proven there too.
-    Span age = state_.unix_time.least_age(now, purge.issued_ms);
+    Span age = state_.unix_time.min_age(now, purge.issued_ms);
     if (age > max_age)
         ++state_.counters.clock_doubts;
     if (max_age < Span::max())
--- a/src/core/discovery_updates.h
+++ b/src/core/discovery_updates.h
@@ -1,5 +1,5 @@
-// Applies what discovery, operators and other routers say of servers and purges, and notifies the decision
-// module of what changes for it.
+// Applies what discovery, operators and other routers report on servers and purges, and notifies the decision
+// module of the changes.
 #pragma once
 
 #include <functional>
@@ -16,9 +16,8 @@
     DiscoveryUpdates(EngineState& state, ResponseCacheStage& cache, RoutingStage& routing)
         : state_(state), cache_(cache), routing_(routing) {}
 
-    // Discovery's events, in its order. `max_age`: how long ago the event can have come about at most, by
-    // when discovery was last heard completely. An event that is older
-    // by the wall clock counts the clock as wrong.
+    // Discovery's events, in its order. `max_age`: how long ago the event can have happened at most, by the
+    // time at which the watch was last complete. If it is older by the wall clock, the clock counts as wrong.
     void apply(ServerChange change, Span max_age);
     void apply(const PurgeNotice& purge, Span max_age);
 
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -224,7 +224,7 @@
     return !index || state_.settings.classes[*index].idempotency != routing::Idempotency::idempotent;
 }
 
-void Engine::for_each_server(const std::function<void(const Server&, bool avoided)>& visit) const {
+void Engine::for_each_server(const std::function<void(const Server&, bool outlier)>& visit) const {
     for (const auto& [id, server] : state_.servers.servers())
         visit(server, routing_.is_outlier(id));
 }
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -46,7 +46,7 @@
     // The sink gets exactly one answer, now or later, unless the client closes first. Absent: it has been
     // answered already.
     std::optional<RequestId> submit(ClientRequest request, std::shared_ptr<ReplySink> sink);
-    // The client has closed; nothing is owed to it any more.
+    // The client has closed and gets no answer.
     void client_closed(RequestId id);
     // The process ends before they could: every open request is failed now.
     void fail_all();
@@ -75,8 +75,8 @@
     void set_zone_factors(const ZoneFactors& factors) {
         updates_.set_zone_factors(factors);
     }
-    // Calls `visit` for every known server; `avoided`: by this router's own decision module.
-    void for_each_server(const std::function<void(const Server&, bool avoided)>& visit) const;
+    // Calls `visit` for every known server; `outlier`: to this router's own decision module.
+    void for_each_server(const std::function<void(const Server&, bool outlier)>& visit) const;
     bool is_cache_server(const Server& server) const {
         return state_.servers.is_cache_server(server);
     }
@@ -90,11 +90,11 @@
     void enable_response_cache(cache::CacheLimits limits) {
         cache_.enable(limits);
     }
-    // Whether every purge is certain to be heard of in time.
+    // Whether every purge is certain to be received in time.
     void set_purges_reliable(bool reliable) {
         cache_.set_purges_reliable(reliable);
     }
-    // From here on `processes` count as this one router, and this one's response cache gets so many bytes.
+    // From here on so many processes act as one router; this one's response cache gets `cache_bytes`.
     void set_process_share(std::size_t processes, std::size_t cache_bytes);
     // Notified of everything from here on; null: nobody. It must outlive the engine or be removed.
     void set_observer(Observer* observer) {
--- a/src/core/guard.h
+++ b/src/core/guard.h
@@ -21,21 +21,22 @@
     connecting,        // an attempt waits for its connection
     sent,              // an attempt's first byte is written
     answered,          // the client has its one answer
-    client_closed,     // nothing is owed any more
+    client_closed,     // no answer is due any more
     count_
 };
 std::string_view name_of(RequestState state);
 bool may_follow(RequestState from, RequestState to);
 
-// Why an attempt's first byte is suppressed. All but the last two are usual: connections may take long.
+// Why an attempt's first byte is suppressed. All but the last two occur in normal operation, as a connection
+// may take long to establish.
 enum class SuppressionReason : std::uint8_t {
     client_closed,
     answered,
     past_deadline,    // the attempt's or the client's
-    past_key_window,  // servers remember a keyed request's repeats only so long
+    past_key_window,  // servers no longer recognise a retry by its idempotency key
     target_drained,
     source_drained,
-    may_run_twice,  // the class has no repeats, and an earlier attempt may have run
+    may_run_twice,  // the class is not idempotent, and an earlier attempt may have run
     another_in_flight,
     count_
 };
--- a/src/core/intake.h
+++ b/src/core/intake.h
@@ -39,7 +39,7 @@
     struct ClassRules {
         Span client_timeout;
         bool write;
-        bool keyed;  // may be repeated, as servers recognise a repeat by its key
+        bool keyed;  // may be retried, as servers recognise a retry by its key
     };
     std::unordered_map<std::string, std::size_t> class_indexes_;
     std::vector<ClassRules> class_rules_;
--- a/src/core/observer.h
+++ b/src/core/observer.h
@@ -26,7 +26,7 @@
                                const std::vector<routing::Action>& actions, const EventOrigin& origin) = 0;
     // A request is answered at intake, without the decision module. `answered` follows.
     virtual void answered_at_intake(const ClientRequest& request, std::size_t class_index, Time now) = 0;
-    // An attempt's first byte was due; absent `oldest`: the attempt was suppressed.
+    // An attempt's first byte was due; absent `max_age`: the attempt was suppressed.
     virtual void first_byte(const AttemptKey& key, std::optional<Span> max_age, bool tightened, Time now) = 0;
     // `id` is 0 for a request that is answered at intake.
     virtual void answered(RequestId id, const Answer& answer, Time now) = 0;
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -37,8 +37,8 @@
 class AttemptEvents {
 public:
     virtual ~AttemptEvents() = default;
-    // Called right before an attempt's first byte is written. Returns the greatest age of a copy that will do
-    // now, or nothing if the attempt must not be sent any more.
+    // Called right before an attempt's first byte is written. Returns the greatest acceptable age of
+    // a copy, or nothing if the attempt must not be sent any more.
     virtual std::optional<Span> before_first_byte(const AttemptKey& key) = 0;
     // An attempt's last byte is written, even if it was cancelled meanwhile.
     virtual void written() = 0;
--- a/src/core/purges.h
+++ b/src/core/purges.h
@@ -1,4 +1,4 @@
-// The purges heard of, for the check at an attempt's first byte. Bounded in time; the decision module has a
+// The purges received, for the check at an attempt's first byte. Bounded in time; the decision module has a
 // memory of its own.
 #pragma once
 
@@ -16,8 +16,8 @@
 };
 
 // A purge is as old as timestamps from elsewhere prove, and at least as old as the moment it was received.
-// This machine's wall clock, which may be ahead, says nothing here. Unix times are compared only with each
-// other: when a copy was made with when its object was purged.
+// This machine's wall clock is not used, as it may be ahead. Unix times are compared only with each other:
+// the time at which a copy was made with that at which its object was purged.
 class Purges {
 public:
     // After `cleared_after` no server holds an older copy. A response that was requested before that may be
@@ -28,8 +28,8 @@
     // When the request's object was purged last, as Unix time in ms. Absent: no response that arrives now can
     // be older than a purge of it.
     std::optional<std::int64_t> last_issued_ms(const ClientRequest& request, Time now) const;
-    // The greatest age of a copy that a server may answer with.
-    // Absent: no server holds a copy that a purge concerns.
+    // The greatest age of a copy that a server may answer with. Absent: no server holds a copy that a purge
+    // concerns.
     std::optional<Span> max_copy_age(const ClientRequest& request, Time now, const UnixTime& unix_time) const;
     std::size_t size() const {
         return objects_.size() + groups_.size();
--- a/src/core/response_cache_stage.h
+++ b/src/core/response_cache_stage.h
@@ -20,7 +20,7 @@
     void enable(cache::CacheLimits limits) {
         cache_.emplace(settings_.classes, limits);
     }
-    // Whether every purge is certain to be heard of in time.
+    // Whether every purge is certain to be received in time.
     void set_purges_reliable(bool reliable);
     void set_capacity(std::size_t bytes);
 
--- a/src/core/routing_stage.h
+++ b/src/core/routing_stage.h
@@ -1,4 +1,4 @@
-// Routing: notifies the decision module of events, one at a time, and hands on the actions that it returns.
+// Routing: notifies the decision module of events, one at a time, and passes on the actions that it returns.
 #pragma once
 
 #include <deque>
@@ -8,6 +8,7 @@
 
 namespace silverrail::core {
 
+// Carries out the decision module's actions.
 class ActionHandler {
 public:
     virtual ~ActionHandler() = default;
@@ -41,7 +42,7 @@
     EngineState& state_;
     ActionHandler& handler_;
     routing::Router router_;
-    Time last_event_time_{};  // the module's time must not run backwards
+    Time last_event_time_{};  // time must not run backwards for the module
     EventOrigin origin_;
     std::deque<routing::Event> waiting_;
     bool handling_ = false;
--- a/src/core/server_registry.h
+++ b/src/core/server_registry.h
@@ -32,7 +32,7 @@
 
 class ServerRegistry {
 public:
-    // Without settings no server is told from a parent or an origin, and zone factors have no effect.
+    // Without settings every server counts as a cache server, and zone factors have no effect.
     ServerRegistry() = default;
     explicit ServerRegistry(const routing::Settings& settings)
         : zone_(settings.zone),
@@ -42,7 +42,7 @@
 
     // Returns the ids of the servers whose open connections are void: gone, restarted or moved.
     std::vector<ServerId> apply(const ServerChange& change, Time now);
-    // Excluded by an operator, whatever the list says; ids that it does not name too.
+    // Servers that an operator has excluded, listed or not.
     void set_overrides(overrides::ServerOverrides overrides) {
         overrides_ = std::move(overrides);
     }
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -1,4 +1,4 @@
-// What the core deals in: client requests, attempts and answers. No wire format is known here.
+// The core's types: client requests, attempts and answers. They are independent of any wire format.
 #pragma once
 
 #include <algorithm>
@@ -28,7 +28,7 @@
     std::uint8_t size = 0;
 };
 
-// One request as a front hands it over. Immutable once the engine has accepted it.
+// One request as a front submits it. Immutable once the engine has accepted it.
 struct ClientRequest {
     std::string trace_id;    // the client's own id, passed on unchanged
     std::string class_name;  // as the settings name it
@@ -42,7 +42,7 @@
     bool write = false;
     std::shared_ptr<const std::string> body;  // of a write
     std::string client_tag;                   // entity tag of the client's copy, without quotes; empty: none
-    std::string idempotency_key;              // lets servers recognise a repeat; empty: none
+    std::string idempotency_key;              // lets servers recognise a retry; empty: none
     bool redirected = false;  // the client connects to the server itself and wants its name only
     Front front = Front::platform;
     ClientAddress client;
@@ -54,12 +54,13 @@
     Kind kind = Kind::failed;
     std::string body;            // served
     std::string tag;             // served, not_modified
-    Span retry_after{};          // rejected: how long the client should stay away; 0: not told
+    Span retry_after{};          // rejected: how long the client should wait; 0: unspecified
     std::string server_address;  // redirected
     bool timed_out = false;      // rejected, failed: the deadline has passed
-    std::int64_t made_ms = 0;  // served, not_modified: Unix time in ms at the origin's response; 0: not told
+    std::int64_t made_ms = 0;    // served, not_modified: Unix time in ms at the origin's response; 0: unknown
 };
 
+// Names one attempt: its request, and its number among the request's attempts.
 struct AttemptKey {
     RequestId request{};
     std::uint32_t attempt = 0;
@@ -74,8 +75,8 @@
     std::string address;
     std::optional<ServerId> source{};  // absent: a miss is not filled
     int retention = 0;
-    Span max_age{};  // greatest age of a copy that will do; 0: the class's max_age
-    bool coalesce = false;
+    Span max_age{};         // greatest acceptable age of a copy; 0: the class's max_age
+    bool coalesce = false;  // this and the next two: see routing::Fill
     bool revalidate = false;
     bool only_if_cached = false;
     Time deadline{};  // of this attempt
--- a/src/core/unix_time.cpp
+++ b/src/core/unix_time.cpp
@@ -60,7 +60,7 @@
     offsets_->latest = std::max(offsets_->latest, offsets_->shown);
 }
 
-Span UnixTime::least_age(Time now, std::int64_t stamp_ms) const {
+Span UnixTime::min_age(Time now, std::int64_t stamp_ms) const {
     return offsets_ ? age(now, stamp_ms, offsets_->earliest) : Span{};
 }
 
--- a/src/core/unix_time.h
+++ b/src/core/unix_time.h
@@ -1,7 +1,7 @@
 // Unix time by a wall clock that may be stepped at any moment, by seconds or an hour, both ways. Steps are
-// seen against the monotonic clock. Which side of a step is right can't be known, so both are kept, as the
-// earliest and the latest that the time may be; timestamps from elsewhere narrow the span again. No clock is
-// read here: both readings are passed in.
+// seen against the monotonic clock. Which side of a step is right can't be known, so both are recorded,
+// as the earliest and the latest that the time may be; timestamps from elsewhere narrow the range again. No
+// clock is read here: both readings are passed in.
 #pragma once
 
 #include <cstdint>
@@ -27,7 +27,7 @@
 
     // How long ago a timestamp was made by this clock, by the earliest time that it has shown; never
     // negative. Before the first reading every timestamp is of this moment.
-    Span least_age(Time now, std::int64_t stamp_ms) const;
+    Span min_age(Time now, std::int64_t stamp_ms) const;
     // The same by timestamps from elsewhere alone, whatever this clock has shown: 0 before the first of them.
     Span proven_age(Time now, std::int64_t stamp_ms) const;
     // The latest that the time may be now, in Unix ms: by it nothing counts as younger than it is.
--- a/src/front/admin/admin.h
+++ b/src/front/admin/admin.h
@@ -1,4 +1,4 @@
-// The control address as operators see it: a command in, an answer out.
+// The control address: answers operators' commands.
 #pragma once
 
 #include <functional>
@@ -11,12 +11,13 @@
 
 namespace silverrail::front::admin {
 
+// How an operator's command ended.
 struct CommandResult {
     bool ok = false;
     std::string text;  // for the operator
 };
 
-// Takes servers out of use, and back, by an operator's command.
+// Excludes and readmits servers by an operator's command.
 class OverrideCommands {
 public:
     virtual ~OverrideCommands() = default;
@@ -24,9 +25,11 @@
     virtual CommandResult bring_online(const core::ServerId& server) = 0;
 };
 
-// What the cluster's parts answer; each is empty where the router has no such part.
+// Commands that the cluster's parts answer; each is empty if the router has no such part.
 struct ClusterCommands {
-    std::function<std::string()> members{}, replica{}, failover{};
+    std::function<std::string()> members{};
+    std::function<std::string()> replica{};
+    std::function<std::string()> failover{};
     std::function<CommandResult(const std::string& zone, const std::string& mode)> pin{};
 };
 
@@ -39,7 +42,7 @@
           lifecycle_(lifecycle),
           log_(log),
           cluster_(std::move(cluster)) {}
-    // The answer to a line, as parse_command() takes it.
+    // The answer to a line; see parse_command().
     std::string answer(std::string_view line, bool terminated);
 
 private:
--- a/src/front/admin/command_parser.h
+++ b/src/front/admin/command_parser.h
@@ -1,5 +1,4 @@
-// The control address's commands: one line into a command, results and counters into text. Pure; nothing is
-// decided here.
+// The control address's protocol: parses lines into commands, and formats results and counters.
 #pragma once
 
 #include <string>
@@ -26,7 +25,7 @@
 // `line` without its end. `terminated`: it had one; without, the line was cut or too long.
 std::variant<Command, CommandError> parse_command(std::string_view line, bool terminated);
 
-// The answers: "ACK" or "NAK" and a text for a person behind it, on one line.
+// The answers: "ACK" or "NAK", then a text for the operator, on one line.
 std::string acknowledge(std::string_view text = {});
 std::string reject(std::string_view reason);
 
--- a/src/front/platform/platform.cpp
+++ b/src/front/platform/platform.cpp
@@ -18,7 +18,7 @@
 constexpr std::string_view kHealthTarget = "/alive";
 constexpr std::string_view kCountersTarget = "/counters";
 constexpr std::string_view kObjectPrefix = "/ops/";
-constexpr std::string_view kPartPrefix = "piece-";
+constexpr std::string_view kSegmentPrefix = "piece-";
 
 // Request headers.
 constexpr const char* kRequestId = "Trace-Id";
@@ -52,9 +52,9 @@
 
 // "piece-N", in the one form that servers are sent it in: without leading zeros.
 std::optional<std::uint32_t> parse_segment(std::string_view text) {
-    if (!text.starts_with(kPartPrefix))
+    if (!text.starts_with(kSegmentPrefix))
         return std::nullopt;
-    text.remove_prefix(kPartPrefix.size());
+    text.remove_prefix(kSegmentPrefix.size());
     const auto segment = parse_number<std::uint32_t>(text);
     if (!segment || std::to_string(*segment) != text)
         return std::nullopt;
@@ -62,24 +62,24 @@
 }
 
 // "/ops/CLASS/OBJECT/piece-N". Returns false if the target is of another form.
-bool parse_target(std::string_view target, core::ClientRequest& call) {
+bool parse_target(std::string_view target, core::ClientRequest& client_request) {
     if (!target.starts_with(kObjectPrefix))
         return false;
     target.remove_prefix(kObjectPrefix.size());
     const auto object_at = target.find('/');
     if (object_at == std::string_view::npos || object_at == 0)
         return false;
-    const auto part_at = target.find('/', object_at + 1);
-    if (part_at == std::string_view::npos)
+    const auto segment_at = target.find('/', object_at + 1);
+    if (segment_at == std::string_view::npos)
         return false;
-    call.class_name = target.substr(0, object_at);
-    call.object = target.substr(object_at + 1, part_at - object_at - 1);
-    const auto object = config::parse_hex(call.object);
-    const auto segment = parse_segment(target.substr(part_at + 1));
-    if (!object || call.object.size() != kIdDigits || !segment)
+    client_request.class_name = target.substr(0, object_at);
+    client_request.object = target.substr(object_at + 1, segment_at - object_at - 1);
+    const auto object = config::parse_hex(client_request.object);
+    const auto segment = parse_segment(target.substr(segment_at + 1));
+    if (!object || client_request.object.size() != kIdDigits || !segment)
         return false;
-    call.object_id = routing::ObjectId{*object};
-    call.segment = *segment;
+    client_request.object_id = routing::ObjectId{*object};
+    client_request.segment = *segment;
     return true;
 }
 
@@ -114,27 +114,27 @@
 }
 
 // Returns false if the header is there and no group.
-bool parse_purge_group(const net::HttpRequest& request, core::ClientRequest& call) {
+bool parse_purge_group(const net::HttpRequest& request, core::ClientRequest& client_request) {
     const auto text = view(request[kPurgeGroup]);
-    call.group_known = !text.empty();
-    if (!call.group_known)
+    client_request.group_known = !text.empty();
+    if (!client_request.group_known)
         return true;
     const auto group = parse_number<std::uint64_t>(text);
     if (!group || *group > kMaxPurgeGroup)
         return false;
-    call.group = routing::GroupId{*group};
+    client_request.group = routing::GroupId{*group};
     return true;
 }
 
 // Returns false if the header is there and no size.
-bool parse_expected_size(const net::HttpRequest& request, core::ClientRequest& call) {
+bool parse_expected_size(const net::HttpRequest& request, core::ClientRequest& client_request) {
     const auto text = view(request[kExpectedKb]);
     if (text.empty())
         return true;
     const auto kb = parse_number<double>(text);
     if (!kb || !std::isfinite(*kb) || *kb < 0 || *kb > kMaxExpectedKb)
         return false;
-    call.size_kb = *kb;
+    client_request.size_kb = *kb;
     return true;
 }
 
@@ -155,32 +155,32 @@
 
 }  // namespace
 
-std::variant<core::ClientRequest, RequestError> parse_call(net::HttpRequest request, core::Time arrived) {
-    core::ClientRequest call;
+std::variant<core::ClientRequest, RequestError> parse_request(net::HttpRequest request, core::Time arrived) {
+    core::ClientRequest client_request;
     if (request.method() != http::verb::get && request.method() != http::verb::put)
         return RequestError{"neither GET nor PUT"};
-    if (!parse_target(view(request.target()), call))
+    if (!parse_target(view(request.target()), client_request))
         return RequestError{"no such target"};
-    call.trace_id = view(request[kRequestId]);
-    if (call.trace_id.size() != kIdDigits || !config::parse_hex(call.trace_id))
+    client_request.trace_id = view(request[kRequestId]);
+    if (client_request.trace_id.size() != kIdDigits || !config::parse_hex(client_request.trace_id))
         return RequestError{"Trace-Id: not 16 hex digits"};
     const auto timeout = parse_timeout(request);
     if (!timeout)
         return RequestError{"Max-Wait-Ms: not a time"};
-    call.deadline = arrived + *timeout;
-    if (!parse_purge_group(request, call))
+    client_request.deadline = arrived + *timeout;
+    if (!parse_purge_group(request, client_request))
         return RequestError{"X-Lot: not 0 to 255"};
-    if (!parse_expected_size(request, call))
+    if (!parse_expected_size(request, client_request))
         return RequestError{"Reserve-Kb: not a size"};
     const auto key = parse_idempotency_key(request);
     if (!key)
         return RequestError{"Replay-Key: not one key"};
-    call.idempotency_key = *key;
-    call.client_tag = bare_tag(view(request[http::field::if_none_match]));
-    call.write = request.method() == http::verb::put;
-    if (call.write)
-        call.body = std::make_shared<const std::string>(std::move(request.body()));
-    return call;
+    client_request.idempotency_key = *key;
+    client_request.client_tag = bare_tag(view(request[http::field::if_none_match]));
+    client_request.write = request.method() == http::verb::put;
+    if (client_request.write)
+        client_request.body = std::make_shared<const std::string>(std::move(request.body()));
+    return client_request;
 }
 
 net::HttpResponse response_of(core::Answer answer) {
@@ -233,14 +233,14 @@
         return session->respond(health_response());
     if (is_get && view(request.target()) == kCountersTarget)
         return session->respond(counters_response());
-    auto call = parse_call(std::move(request), session->arrived());
-    if (const auto* error = std::get_if<RequestError>(&call)) {
+    auto parsed = parse_request(std::move(request), session->arrived());
+    if (const auto* error = std::get_if<RequestError>(&parsed)) {
         log_.line("bad-call", "%s", error->reason.c_str());
         return session->respond({http::status::bad_request, kHttp11});
     }
-    std::get<core::ClientRequest>(call).client = session->client();
+    std::get<core::ClientRequest>(parsed).client = session->client();
     const auto id =
-        engine_.submit(std::get<core::ClientRequest>(std::move(call)), std::make_shared<Reply>(session));
+        engine_.submit(std::get<core::ClientRequest>(std::move(parsed)), std::make_shared<Reply>(session));
     if (id)
         session->when_disconnected([&engine = engine_, id = *id] { engine.client_closed(id); });
 }
--- a/src/front/platform/platform.h
+++ b/src/front/platform/platform.h
@@ -1,4 +1,5 @@
-// The platform's protocol (HTTP/1.1): requests into the core's calls, answers into responses. No decisions.
+// The platform's protocol (HTTP/1.1): maps requests to core::ClientRequest and answers to responses. It
+// decides nothing.
 #pragma once
 
 #include <functional>
@@ -17,17 +18,20 @@
 };
 
 // `arrived`: when the request's last byte came; its deadline counts from then.
-std::variant<core::ClientRequest, RequestError> parse_call(net::HttpRequest request, core::Time arrived);
+std::variant<core::ClientRequest, RequestError> parse_request(net::HttpRequest request, core::Time arrived);
+// The response that stands for an answer.
 net::HttpResponse response_of(core::Answer answer);
 
+// Answers the platform's requests: health, counters, and everything else by the engine.
 class Platform {
 public:
     Platform(core::Engine& engine, const Lifecycle& lifecycle, Log& log)
         : engine_(engine), lifecycle_(lifecycle), log_(log) {}
-    // Lines that `GET /counters` shows behind the core's.
-    void also_count(std::function<std::string()> more) {
+    // Lines that `GET /counters` shows after the core's.
+    void set_more_counters(std::function<std::string()> more) {
         more_counters_ = std::move(more);
     }
+    // Handles a request that was read whole, and answers it now or later.
     void handle(const std::shared_ptr<net::HttpSession>& session, net::HttpRequest request);
 
 private:
--- a/src/store/file_error.h
+++ b/src/store/file_error.h
@@ -7,7 +7,7 @@
 
 namespace silverrail::store {
 
-// Unlike std::system_error, never taken for a failed start of the program that is worth another attempt.
+// Unlike std::system_error, it never causes a failed start of the program to be tried again.
 class FileError : public std::runtime_error {
 public:
     // `what`: the path, and the operation where that is not obvious. `error`: an errno.
--- a/src/store/replica_store.cpp
+++ b/src/store/replica_store.cpp
@@ -178,7 +178,7 @@
         fail(db ? sqlite3_errmsg(db) : "no memory");
     if (sqlite3_exec(db, "PRAGMA locking_mode=EXCLUSIVE; PRAGMA cache_size=-512; BEGIN IMMEDIATE; COMMIT;",
                      nullptr, nullptr, nullptr) == SQLITE_BUSY)
-        throw Held(file_ + ": held by another process");
+        throw Locked(file_ + ": held by another process");
 }
 
 void ReplicaStore::verify() {
--- a/src/store/replica_store.h
+++ b/src/store/replica_store.h
@@ -1,10 +1,9 @@
 // The replicated state on disk: written before it is acknowledged, restored by a restart. SQLite, one file
 // with its write-ahead log beside it, held by one process at a time.
 //
-// A kill at any moment leaves the last commit whole (the log's frames are checksummed, a torn one is left
-// out). After a loss of power the last commits may be missing, but what is there is whole:
-// synchronous=NORMAL, as the folder is memory on the platform and a call on the control address must not wait
-// for a disk.
+// A kill at any moment leaves the last commit whole (the log's frames are checksummed, a torn one is
+// ignored). A loss of power may lose the last commits, but leaves a consistent state: synchronous=NORMAL, as
+// the folder is memory on the platform and a command on the control address must not wait for a disk.
 #pragma once
 
 #include <cstdint>
@@ -21,12 +20,12 @@
 
 class ReplicaStore {
 public:
-    // The file is held by another process.
-    struct Held : std::runtime_error {
+    // Another process has locked the file.
+    struct Locked : std::runtime_error {
         using std::runtime_error::runtime_error;
     };
     // Opens the file or makes it; `origin` is written to a new one. Throws std::runtime_error, which names
-    // the file, where it is damaged, somebody else's or of another version; nothing in it is changed then.
+    // the file, if it is damaged, another program's or of another version; it is left unchanged then.
     ReplicaStore(std::string file, const std::string& origin);
     ~ReplicaStore();
     ReplicaStore(const ReplicaStore&) = delete;
@@ -36,10 +35,11 @@
     const std::string& origin() const {
         return origin_;
     }
-    // All that is stored. Throw as the constructor does.
+    // The whole stored state. Throw as the constructor does.
     cluster::Replica::Entries entries();
     cluster::Replica::OriginLogs origins();
-    // One commit; on return it is stored. Throws std::runtime_error, with the file's name, if it is not.
+    // Writes the changes in one commit; on return they are stored. Throws std::runtime_error, with the file's
+    // name, if it is not.
     void write(const cluster::Replica& replica, const cluster::Replica::UnsavedChanges& changes);
 
 private:
--- a/tests/core/unix_time_test.cpp
+++ b/tests/core/unix_time_test.cpp
@@ -40,7 +40,7 @@
                                     draw(1) == 0 ? UnixTime::Source::any : UnixTime::Source::trusted);
         const std::int64_t stamp = true_ms(now) - draw(20'000);
         const Span age = std::chrono::milliseconds{true_ms(now) - stamp};
-        CHECK(unix_time.least_age(now, stamp) <= age);
+        CHECK(unix_time.min_age(now, stamp) <= age);
         CHECK(unix_time.proven_age(now, stamp) <= age);
         CHECK(unix_time.latest_ms(now) >= true_ms(now));
     }
--- a/tests/silverrail/parsers_test.cpp
+++ b/tests/silverrail/parsers_test.cpp
@@ -86,7 +86,7 @@
         r.set("Trace-Id", c.trace);
         r.set("Max-Wait-Ms", c.wait);
         r.set(c.extra, c.value);
-        CHECK(std::holds_alternative<core::ClientRequest>(front::parse_call(std::move(r), core::Time{})) ==
+        CHECK(std::holds_alternative<core::ClientRequest>(front::parse_request(std::move(r), core::Time{})) ==
               c.good);
     }
     net::HttpRequest two_keys{put, kTarget, 11};
@@ -94,7 +94,8 @@
     two_keys.set("Max-Wait-Ms", "1500");
     two_keys.insert("Replay-Key", "one");
     two_keys.insert("Replay-Key", "other");
-    CHECK(std::holds_alternative<front::RequestError>(front::parse_call(std::move(two_keys), core::Time{})));
+    CHECK(
+        std::holds_alternative<front::RequestError>(front::parse_request(std::move(two_keys), core::Time{})));
     struct Tag {
         const char* header;
         const char* bare;
@@ -105,7 +106,7 @@
         r.set("Trace-Id", kTrace);
         r.set("Max-Wait-Ms", "5");
         r.set(net::http::field::if_none_match, t.header);
-        CHECK(std::get<core::ClientRequest>(front::parse_call(std::move(r), core::Time{})).client_tag ==
+        CHECK(std::get<core::ClientRequest>(front::parse_request(std::move(r), core::Time{})).client_tag ==
               t.bare);
     }
 }
--- a/tests/store/replica_store_test.cpp
+++ b/tests/store/replica_store_test.cpp
@@ -87,7 +87,7 @@
         bool held = false;
         try {
             ReplicaStore second{file, "b@1"};
-        } catch (const ReplicaStore::Held&) {
+        } catch (const ReplicaStore::Locked&) {
             held = true;
         }
         CHECK(held);
