--- a/adapter/message_fields.cpp
+++ b/adapter/message_fields.cpp
@@ -66,10 +66,9 @@
 
 ObjectId MessageFields::required_object(std::size_t position) const {
     const std::string_view value = required_text(position, kObjectForm);
-    const char* const end = value.data() + value.size();
     std::uint64_t id = 0;
-    const auto [parsed_to, error] = std::from_chars(value.data(), end, id, kHexadecimal);
-    if (error != std::errc{} || parsed_to != end)
+    const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), id, kHexadecimal);
+    if (error != std::errc{} || end != value.data() + value.size())
         fail(kObjectForm);
     return ObjectId{id};
 }
--- a/adapter/wire_text.cpp
+++ b/adapter/wire_text.cpp
@@ -10,9 +10,8 @@
 template <class Number>
 std::optional<Number> parse_whole(std::string_view text) {
     Number value = 0;
-    const char* const end = text.data() + text.size();
-    const auto [parsed_to, error] = std::from_chars(text.data(), end, value);
-    if (error != std::errc{} || parsed_to != end)
+    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+    if (error != std::errc{} || end != text.data() + text.size())
         return std::nullopt;
     return value;
 }
