--- a/bench/trace_bench.cpp
+++ b/bench/trace_bench.cpp
@@ -9,10 +9,9 @@
 #include <thread>
 
 #include "config/config.h"
-#include "lab/site.h"
+#include "lab/synthetic_trace/synthetic_trace.h"
 #include "trace/recorder.h"
 #include "trace/replay.h"
-#include "trace/synth.h"
 #include "trace/tools/cut.h"
 #include "trace/tools/merge.h"
 #include "trace/tools/summarize.h"
@@ -45,18 +44,19 @@
 };
 Made make(double seconds, int routers) {
     Made m;
-    SynthPlan plan;
-    plan.seconds = seconds;
+    lab::SyntheticTracePlan plan;
+    plan.duration_s = seconds;
     plan.routers = routers;
-    plan.rate = routers == 1 ? 950 : 240;
-    plan.skew_ms = routers == 1 ? 0 : 1000;
-    plan.drift_ppm = routers == 1 ? 0 : 100;
+    plan.requests_per_s = routers == 1 ? 950 : 240;
+    plan.max_skew_ms = routers == 1 ? 0 : 1000;
+    plan.max_drift_ppm = routers == 1 ? 0 : 100;
     plan.seed = 7;
-    for (const auto& t : synth(plan, [&](int, const std::string&, int, std::string&) -> ByteSink& {
-             m.sinks.push_back(std::make_unique<MemorySink>());
-             return *m.sinks.back();
-         }))
-        m.calls += t.calls;
+    const auto open_output = [&m](const lab::RouterProcess&) -> lab::TraceOutput {
+        m.sinks.push_back(std::make_unique<MemorySink>());
+        return {*m.sinks.back(), ""};
+    };
+    for (const auto& trace : lab::generate_synthetic_traces(plan, open_output))
+        m.calls += trace.requests;
     for (const auto& s : m.sinks) {
         const MemorySource source{s->bytes()};
         TraceReader reader{source};
--- a/tests/trace/tools_test.cpp
+++ b/tests/trace/tools_test.cpp
@@ -3,9 +3,9 @@
 #include <cstring>
 #include <memory>
 
-#include "../../src/trace/replay.h"
+#include "lab/synthetic_trace/synthetic_trace.h"
 #include "records.h"
-#include "trace/synth.h"
+#include "trace/replay.h"
 #include "trace/tools/cut.h"
 #include "trace/tools/merge.h"
 #include "trace/tools/show.h"
@@ -22,19 +22,19 @@
 
 struct Traces {
     std::vector<std::unique_ptr<MemorySink>> sinks;
-    std::vector<SynthTruth> truth;
+    std::vector<lab::SyntheticTrace> descriptions;
     const Bytes& operator[](std::size_t i) {
         return sinks[i]->bytes();
     }
 };
-Traces make(const SynthPlan& plan) {
-    Traces t;
-    t.truth = synth(plan, [&](int, const std::string& router, int, std::string& file) -> ByteSink& {
-        file = router;
-        t.sinks.push_back(std::make_unique<MemorySink>());
-        return *t.sinks.back();
-    });
-    return t;
+Traces make(const lab::SyntheticTracePlan& plan) {
+    Traces traces;
+    const auto open_output = [&traces](const lab::RouterProcess& process) -> lab::TraceOutput {
+        traces.sinks.push_back(std::make_unique<MemorySink>());
+        return {*traces.sinks.back(), process.router_name};
+    };
+    traces.descriptions = lab::generate_synthetic_traces(plan, open_output);
+    return traces;
 }
 
 struct Open {
@@ -97,7 +97,8 @@
         });
     })};
     const Replay stopped = replayed(gap);
-    CHECK(stopped.stopped() && stopped.stopped()->starts_with("5 records") && !stopped.first());
+    CHECK(stopped.stopped() && stopped.stopped()->starts_with("5 records") &&
+          !stopped.first());
 }
 
 void a_cut_keeps_all_records_of_its_time_and_stands_alone(const Bytes& trace) {
@@ -286,22 +287,22 @@
 
 // Three routers, clocks up to a second apart and drifting, one of them restarted in between.
 void merged_clocks_agree_and_no_record_is_lost() {
-    SynthPlan plan;
-    plan.seconds = 120;
-    plan.rate = 12;
+    lab::SyntheticTracePlan plan;
+    plan.duration_s = 120;
+    plan.requests_per_s = 12;
     plan.routers = 3;
-    plan.skew_ms = 1000;
-    plan.drift_ppm = 100;
+    plan.max_skew_ms = 1000;
+    plan.max_drift_ppm = 100;
     plan.restart = true;
-    plan.purges = 3;
+    plan.purges_per_s = 3;
     plan.seed = 11;
     Traces traces = make(plan);
-    CHECK(traces.truth.size() == 4);
+    CHECK(traces.descriptions.size() == 4);
     std::vector<std::unique_ptr<Open>> open;
     std::vector<MergeInput> inputs;
     for (std::size_t i = 0; i < 4; ++i) {
         open.push_back(std::make_unique<Open>(traces[i]));
-        inputs.push_back({traces.truth[i].file, &open.back()->reader});
+        inputs.push_back({traces.descriptions[i].file, &open.back()->reader});
     }
     MemorySink sink;
     const MergeResult result = merge(inputs, {}, sink);
@@ -312,13 +313,14 @@
             reference = i;
     CHECK(reference < 4);
     const auto ahead = [&](std::size_t i, double at_s) {
-        return traces.truth[i].ahead_ms + traces.truth[i].drift_ppm * at_s / 1e3;
+        return traces.descriptions[i].clock_error.offset_ms +
+               traces.descriptions[i].clock_error.drift_ppm * at_s / 1e3;
     };
     double spread = 0;
     int borne_out = 0;
     for (std::size_t i = 0; i < 4; ++i) {
         const auto& s = result.routers[i];
-        CHECK(s.router_name == traces.truth[i].router);
+        CHECK(s.router_name == traces.descriptions[i].router_name);
         for (const double at_s : {30.0, 100.0}) {
             const auto at =
                 plan.begin_unix_ns + static_cast<std::int64_t>((at_s * 1e3 + ahead(i, at_s)) * 1e6);
@@ -360,8 +362,8 @@
     show(merged.reader, {},
          [&](const RequestTimeline& s, const Names&) { calls += s.received_at != kNoTime; });
     std::uint64_t truth = 0;
-    for (const auto& t : traces.truth)
-        truth += t.calls;
+    for (const auto& t : traces.descriptions)
+        truth += t.requests;
     CHECK(calls == truth);
     const Replay replay = replayed(merged);
     CHECK(!replay.first() && !replay.stopped());
@@ -371,11 +373,11 @@
     for (const auto& s : given.routers)
         if (s.router_name == "n1")
             CHECK(s.estimate.basis == ClockOffsetEstimate::Basis::given && s.estimate.offset_ns == -250e6);
-    SynthPlan quiet;
-    quiet.seconds = 2;
-    quiet.rate = 20;
+    lab::SyntheticTracePlan quiet;
+    quiet.duration_s = 2;
+    quiet.requests_per_s = 20;
     quiet.routers = 2;
-    quiet.purges = 0;
+    quiet.purges_per_s = 0;
     Traces nothing = make(quiet);
     Open n0{nothing[0]};
     Open n1{nothing[1]};
@@ -437,9 +439,9 @@
 }  // namespace
 
 int main() {
-    SynthPlan plan;
-    plan.seconds = 10;
-    plan.rate = 150;
+    lab::SyntheticTracePlan plan;
+    plan.duration_s = 10;
+    plan.requests_per_s = 150;
     plan.seed = 3;
     Traces traces = make(plan);
     CHECK(traces[0] == make(plan)[0]);  // the same plan, the same bytes
@@ -447,7 +449,7 @@
     a_replay_finds_exactly_the_changed_decisions(traces[0]);
     a_cut_keeps_all_records_of_its_time_and_stands_alone(traces[0]);
     a_stripped_trace_identifies_no_client_and_can_be_replayed(traces[0]);
-    a_summary_counts_every_request_once(traces[0], traces.truth[0].calls);
+    a_summary_counts_every_request_once(traces[0], traces.descriptions[0].requests);
     merged_clocks_agree_and_no_record_is_lost();
     std::puts("tools: cut, merged, stripped, summed up and replayed as it should be");
 }
