--- a/src/lab/synthetic_trace/request_model.cpp
+++ b/src/lab/synthetic_trace/request_model.cpp
@@ -102,7 +102,7 @@
     request.object_id = routing::ObjectId{object};
     request.group = group_of(object);
     if (class_index == kLargeFiles)
-        request.part = static_cast<std::uint32_t>(hash_number(object) % kPartsOfLargeFile);
+        request.segment = static_cast<std::uint32_t>(hash_number(object) % kPartsOfLargeFile);
     request.size_kb = size_kb(class_index, object);
     const Duration spent = random_.below(40ns) * 1000;  // on the way, in whole microseconds
     request.deadline = now + client_timeout(class_index) - spent;
--- a/src/lab/synthetic_trace/server_model.cpp
+++ b/src/lab/synthetic_trace/server_model.cpp
@@ -163,8 +163,8 @@
     routing::LoadReport load;
     load.in_flight = server.in_flight;
     load.utilisation = rounded_to_percent(std::min(1.0, server.in_flight / kFullInFlight));
-    load.hit_share = 0.7;
-    load.link_fullness = std::round(random_.uniform() * 20) / 100 + 0.3;
+    load.hit_ratio = 0.7;
+    load.link_utilisation = std::round(random_.uniform() * 20) / 100 + 0.3;
     return load;
 }
 
@@ -196,7 +196,7 @@
 
 // A copy is there once its object was asked for at that server, and may have been evicted since.
 bool SimulatedAttemptSender::is_cached(const SimulatedServer& server, const core::ClientRequest& request) {
-    const std::uint64_t object_part = static_cast<std::uint64_t>(request.object_id) ^ request.part;
+    const std::uint64_t object_part = static_cast<std::uint64_t>(request.object_id) ^ request.segment;
     const std::uint64_t key = trace::checksum(server.listing.id, object_part);
     if (cached_.size() > kMaxCached)
         cached_.clear();
