--- a/src/app/config_reload.cpp
+++ b/src/app/config_reload.cpp
@@ -58,12 +58,12 @@
     for (const auto& name : config::need_restart(running_, fresh))
         log_.line("reload", "%s has changed: not applied, takes a restart", name.c_str());
     if (fresh.discovery == discovery_address_ || !watch_) {
-        log_.line("reload", "read; the bulletin stays");
+        log_.line("reload", "read; the discovery address is unchanged");
         return;
     }
     watch_->move_to(endpoint_of(fresh.discovery));
     discovery_address_ = fresh.discovery;
-    log_.line("reload", "the bulletin is now at %s", discovery_address_.c_str());
+    log_.line("reload", "discovery is now at %s", discovery_address_.c_str());
 }
 
 }  // namespace silverrail::app
--- a/src/app/failover_part.cpp
+++ b/src/app/failover_part.cpp
@@ -246,18 +246,18 @@
             out_of_region += sent;
     }
     const auto& own = failover_.zones().at(zone_);
-    return figure_lines("failover", {{"quorum", failover_.has_quorum()},
-                                     {"health", static_cast<std::uint64_t>(health_.healthy)},
-                                     {"warm", static_cast<std::uint64_t>(health_.warm)},
-                                     {"epoch", own.decision.epoch},
-                                     {"out", static_cast<std::uint64_t>(own.decision.percent_leaving())},
-                                     {"changes", changes},
-                                     {"flaps", flaps},
-                                     {"written", decisions_written_},
-                                     {"sent_out_of_zone", out_of_zone},
-                                     {"sent_out_of_region", out_of_region},
-                                     {"probes", probes_finished_},
-                                     {"probes_failed", probes_failed_}});
+    return counter_lines("failover", {{"quorum", failover_.has_quorum()},
+                                      {"health", static_cast<std::uint64_t>(health_.healthy)},
+                                      {"warm", static_cast<std::uint64_t>(health_.warm)},
+                                      {"epoch", own.decision.epoch},
+                                      {"out", static_cast<std::uint64_t>(own.decision.percent_leaving())},
+                                      {"changes", changes},
+                                      {"flaps", flaps},
+                                      {"written", decisions_written_},
+                                      {"sent_out_of_zone", out_of_zone},
+                                      {"sent_out_of_region", out_of_region},
+                                      {"probes", probes_finished_},
+                                      {"probes_failed", probes_failed_}});
 }
 
 }  // namespace silverrail::app
--- a/src/app/membership_part.cpp
+++ b/src/app/membership_part.cpp
@@ -139,34 +139,34 @@
     using cluster::MemberState;
     const auto& protocol = membership_.counters();
     const auto& transport = peer_.counters();
-    auto out = figure_lines("peers", {{"alive", membership_.count(MemberState::alive)},
-                                      {"suspect", membership_.count(MemberState::suspect)},
-                                      {"dead", membership_.count(MemberState::dead)},
-                                      {"left", membership_.count(MemberState::left)},
-                                      {"health", membership_.local_health()},
-                                      {"probes", protocol.probes},
-                                      {"acks", protocol.acks},
-                                      {"indirect", protocol.indirect_probes},
-                                      {"nacks", protocol.nacks},
-                                      {"suspicions", protocol.suspicions},
-                                      {"refuted", protocol.refutations},
-                                      {"deaths", protocol.deaths},
-                                      {"stalls", protocol.stalls},
-                                      {"refused_records", protocol.rejected},
-                                      {"pushes", protocol.pushes},
-                                      {"datagrams_in", transport.datagrams_in},
-                                      {"datagrams_out", transport.datagrams_out},
-                                      {"streams_in", transport.streams_in},
-                                      {"streams_out", transport.streams_out},
-                                      {"bytes_in", transport.bytes_in},
-                                      {"bytes_out", transport.bytes_out}});
+    auto out = counter_lines("peers", {{"alive", membership_.count(MemberState::alive)},
+                                       {"suspect", membership_.count(MemberState::suspect)},
+                                       {"dead", membership_.count(MemberState::dead)},
+                                       {"left", membership_.count(MemberState::left)},
+                                       {"health", membership_.local_health()},
+                                       {"probes", protocol.probes},
+                                       {"acks", protocol.acks},
+                                       {"indirect", protocol.indirect_probes},
+                                       {"nacks", protocol.nacks},
+                                       {"suspicions", protocol.suspicions},
+                                       {"refuted", protocol.refutations},
+                                       {"deaths", protocol.deaths},
+                                       {"stalls", protocol.stalls},
+                                       {"refused_records", protocol.rejected},
+                                       {"pushes", protocol.pushes},
+                                       {"datagrams_in", transport.datagrams_in},
+                                       {"datagrams_out", transport.datagrams_out},
+                                       {"streams_in", transport.streams_in},
+                                       {"streams_out", transport.streams_out},
+                                       {"bytes_in", transport.bytes_in},
+                                       {"bytes_out", transport.bytes_out}});
     for (std::size_t i = 0; i < transport.refused.size(); ++i) {
         const auto reason = static_cast<cluster::codec::DecodeError>(i);
         const std::string name = std::string{"refused_"} + cluster::codec::name_of(reason);
-        out += figure_lines("peers", {{name.c_str(), transport.refused[i]}});
+        out += counter_lines("peers", {{name.c_str(), transport.refused[i]}});
     }
-    return out + figure_lines("peers", {{"streams_turned_away", transport.streams_turned_away},
-                                        {"streams_timed_out", transport.streams_timed_out}});
+    return out + counter_lines("peers", {{"streams_turned_away", transport.streams_turned_away},
+                                         {"streams_timed_out", transport.streams_timed_out}});
 }
 
 }  // namespace silverrail::app
--- a/src/app/network_counters.cpp
+++ b/src/app/network_counters.cpp
@@ -7,18 +7,18 @@
 std::string client_counters(const net::HttpServer& server) {
     const auto& counters = server.counters();
     const auto& listener = server.listener_counters();
-    std::string out = figure_lines("clients", {{"violations", counters.violations()},
-                                               {"closed_unanswered", counters.closed_unanswered},
-                                               {"second_answers", counters.second_answers},
-                                               {"left_before_taken", counters.left_before_taken},
-                                               {"full_of_early_bytes", counters.full_of_early_bytes},
-                                               {"accepted", listener.accepted},
-                                               {"accept_aborted", listener.aborted},
-                                               {"accept_pauses", listener.pauses}});
+    std::string out = counter_lines("clients", {{"violations", counters.violations()},
+                                                {"closed_unanswered", counters.closed_unanswered},
+                                                {"second_answers", counters.second_answers},
+                                                {"left_before_taken", counters.left_before_taken},
+                                                {"full_of_early_bytes", counters.full_of_early_bytes},
+                                                {"accepted", listener.accepted},
+                                                {"accept_aborted", listener.aborted},
+                                                {"accept_pauses", listener.pauses}});
     for (std::size_t i = 0; i < net::kCloseReasons; ++i) {
         const auto reason = static_cast<net::CloseReason>(i);
         const std::string name = "closed_" + std::string{net::name_of(reason)};
-        out += figure_lines("clients", {{name.c_str(), counters.closed[i]}});
+        out += counter_lines("clients", {{name.c_str(), counters.closed[i]}});
     }
     return out;
 }
@@ -26,15 +26,15 @@
 std::string event_loop_counters(const net::HttpServer& server) {
     const auto& loop = server.event_loop();
     const auto longest_ms = std::chrono::floor<std::chrono::milliseconds>(loop.longest_pause()).count();
-    return figure_lines(
+    return counter_lines(
         "loop", {{"pauses", loop.pauses()}, {"longest_pause_ms", static_cast<std::uint64_t>(longest_ms)}});
 }
 
 std::string discovery_counters(const net::DiscoveryWatch::Counters& counters) {
-    return figure_lines("bulletin", {{"connects", counters.connects},
-                                     {"unreadable", counters.unreadable},
-                                     {"gaps", counters.gaps},
-                                     {"slow", counters.slow}});
+    return counter_lines("bulletin", {{"connects", counters.connects},
+                                      {"unreadable", counters.unreadable},
+                                      {"gaps", counters.gaps},
+                                      {"slow", counters.slow}});
 }
 
 }  // namespace silverrail::app
--- a/src/app/outlier_consensus_part.cpp
+++ b/src/app/outlier_consensus_part.cpp
@@ -60,12 +60,12 @@
 
 std::string OutlierConsensusPart::counters() {
     const auto& counters = consensus_.counters();
-    return figure_lines("hearsay", {{"out", consensus_.ejected_count()},
-                                    {"said", counters.published},
-                                    {"taken_back", counters.withdrawn},
-                                    {"held_out", counters.ejected},
-                                    {"let_in", counters.restored},
-                                    {"panics", counters.panics}});
+    return counter_lines("hearsay", {{"out", consensus_.ejected_count()},
+                                     {"said", counters.published},
+                                     {"taken_back", counters.withdrawn},
+                                     {"held_out", counters.ejected},
+                                     {"let_in", counters.restored},
+                                     {"panics", counters.panics}});
 }
 
 }  // namespace silverrail::app
--- a/src/app/overrides_part.h
+++ b/src/app/overrides_part.h
@@ -24,7 +24,7 @@
     void start() override;
     void stop() override {}
     std::string counters() override {
-        return figure_lines(
+        return counter_lines(
             "bans", {{"out", engine_.overrides().excluded().size()}, {"unwritten", unwritten_.size()}});
     }
     front::admin::CommandResult take_offline(const core::ServerId& server) override;
--- a/src/app/part.h
+++ b/src/app/part.h
@@ -9,8 +9,8 @@
 namespace silverrail::app {
 
 // Counters as text, "PREFIX.NAME VALUE", one a line.
-inline std::string figure_lines(const std::string& prefix,
-                                std::initializer_list<std::pair<const char*, std::uint64_t>> figures) {
+inline std::string counter_lines(const std::string& prefix,
+                                 std::initializer_list<std::pair<const char*, std::uint64_t>> figures) {
     std::string out;
     for (const auto& [name, value] : figures)
         out += prefix + "." + name + " " + std::to_string(value) + "\n";
--- a/src/app/replica_part.cpp
+++ b/src/app/replica_part.cpp
@@ -192,18 +192,18 @@
         const auto log = replica_.origins().find(origin);
         lag += heard - std::min(heard, log == replica_.origins().end() ? 0 : log->second.version);
     }
-    return figure_lines(counter_prefix_, {{"keys", replica_.entries().size()},
-                                          {"origins", replica_.origins().size()},
-                                          {"applied", counters.applied},
-                                          {"duplicates", counters.duplicates},
-                                          {"ahead", counters.ahead},
-                                          {"refused", counters.rejected},
-                                          {"rounds", counters.exchanges},
-                                          {"updates_sent", counters.updates_sent},
-                                          {"full_copies", counters.snapshots},
-                                          {"forgotten", counters.collected},
-                                          {"failed_writes", failed_writes_},
-                                          {"lag", lag}});
+    return counter_lines(counter_prefix_, {{"keys", replica_.entries().size()},
+                                           {"origins", replica_.origins().size()},
+                                           {"applied", counters.applied},
+                                           {"duplicates", counters.duplicates},
+                                           {"ahead", counters.ahead},
+                                           {"refused", counters.rejected},
+                                           {"rounds", counters.exchanges},
+                                           {"updates_sent", counters.updates_sent},
+                                           {"full_copies", counters.snapshots},
+                                           {"forgotten", counters.collected},
+                                           {"failed_writes", failed_writes_},
+                                           {"lag", lag}});
 }
 
 }  // namespace silverrail::app
--- a/src/core/discovery_updates.cpp
+++ b/src/core/discovery_updates.cpp
@@ -24,7 +24,7 @@
             server.entry.started_at = started_at(server, now, max_age);
     }
     for (const ServerId& id : state_.servers.apply(change, now))
-        state_.sender.forget(id);
+        state_.sender.discard_connections(id);
     notify_routing(change);
 }
 
@@ -76,7 +76,7 @@
     if (!excluded && !readmitted && after.zone == before.zone && after.weight == before.weight)
         return std::nullopt;
     if (excluded)
-        state_.sender.forget(server.entry.id);
+        state_.sender.discard_connections(server.entry.id);
     Server update = server;
     // Guards rule 4 (slow start): it may have been restarted meanwhile, whatever the list says of its start.
     if (readmitted)
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -50,8 +50,10 @@
     virtual ~AttemptSender() = default;
     // `events` outlives the attempt. It may be called before this returns.
     virtual void start(AttemptRequest request, AttemptEvents& events) = 0;
-    virtual void cancel(const AttemptKey& key) = 0;   // no event follows
-    virtual void forget(const ServerId& server) = 0;  // gone or restarted: its open connections are void
+    // Ends the attempt; no event of it follows.
+    virtual void cancel(const AttemptKey& key) = 0;
+    // The server is gone or was restarted: no connection that was opened before is used for a new attempt.
+    virtual void discard_connections(const ServerId& server) = 0;
 };
 
 }  // namespace silverrail::core
--- a/src/net/connection_pool.cpp
+++ b/src/net/connection_pool.cpp
@@ -22,13 +22,14 @@
 // Idle connections closed when the process has run out of descriptors.
 constexpr std::size_t kDescriptorsToFree = 16;
 
-// Not the server's fault: this machine lacks a descriptor, buffer, port or route for the moment.
+// This machine lacks a descriptor, buffer, port or route for the moment; not the server's fault.
+constexpr std::array kLocalErrors{EMFILE, ENFILE,        ENOBUFS,     ENOMEM,   EAGAIN,
+                                  EINTR,  EADDRNOTAVAIL, ENETUNREACH, ENETDOWN, EPERM};
+
 bool is_local_error(const error_code& error) {
     if (error.category() != boost::system::system_category())
         return false;
-    constexpr std::array errors{EMFILE, ENFILE,        ENOBUFS,     ENOMEM,   EAGAIN,
-                                EINTR,  EADDRNOTAVAIL, ENETUNREACH, ENETDOWN, EPERM};
-    return std::find(errors.begin(), errors.end(), error.value()) != errors.end();
+    return std::find(kLocalErrors.begin(), kLocalErrors.end(), error.value()) != kLocalErrors.end();
 }
 
 bool is_malformed_response(const error_code& error) {
@@ -51,7 +52,7 @@
 
 struct ConnectionPool::Server {
     std::list<std::shared_ptr<PooledConnection>> idle;  // longest idle first
-    bool forgotten = false;                             // while connections to it were in use
+    bool discarded = false;                             // while connections to it were in use
 };
 
 struct ConnectionPool::PooledConnection : ServerConnection {
@@ -113,7 +114,7 @@
 void ConnectionPool::connect(const AttemptPointer& attempt) {
     const auto endpoint = parse_address(attempt->order.address);
     if (!endpoint) {
-        log_.line("bad-address", "box %s at %s", attempt->order.target.address.c_str(),
+        log_.line("bad-address", "server %s at %s", attempt->order.target.address.c_str(),
                   attempt->order.address.c_str());
         return finish(attempt, {.attempt_status = AttemptStatus::not_sent});
     }
@@ -168,7 +169,7 @@
     if (is_local_error(error))
         return retry_connect(attempt, error, AttemptStatus::connect_failed);
     if (error != asio::error::connection_refused && error != asio::error::operation_aborted)
-        log_.line("connect-failed", "box %s: %s", attempt->order.target.address.c_str(),
+        log_.line("connect-failed", "server %s: %s", attempt->order.target.address.c_str(),
                   error.message().c_str());
     finish(attempt, {.attempt_status = AttemptStatus::connect_failed});
 }
@@ -217,7 +218,7 @@
 void ConnectionPool::on_exchange_done(const AttemptPointer& attempt, HttpExchange::Result result) {
     if (result.error) {
         if (is_malformed_response(result.error))
-            log_.line("bad-answer", "box %s: %s", attempt->order.target.address.c_str(),
+            log_.line("bad-answer", "server %s: %s", attempt->order.target.address.c_str(),
                       result.error.message().c_str());
         return finish(attempt, {.attempt_status = AttemptStatus::reset});
     }
@@ -263,7 +264,7 @@
     const auto connection = std::exchange(attempt->connection, nullptr);
     const auto server = std::exchange(connection->server, nullptr);
     const bool unexpected_bytes = connection->buffer.size() > 0;
-    if (server->forgotten || server->idle.size() >= limits_.idle_per_server || unexpected_bytes) {
+    if (server->discarded || server->idle.size() >= limits_.idle_per_server || unexpected_bytes) {
         connection->close();
         return;
     }
@@ -318,13 +319,13 @@
     }
 }
 
-void ConnectionPool::forget(const core::ServerId& id) {
+void ConnectionPool::discard_connections(const core::ServerId& id) {
     const auto at = servers_.find(id);
     if (at == servers_.end())
         return;
     const auto server = at->second;
     servers_.erase(at);
-    server->forgotten = true;
+    server->discarded = true;
     for (auto& connection : std::exchange(server->idle, {})) {
         connection->idle = false;
         connection->close();
--- a/src/net/connection_pool.h
+++ b/src/net/connection_pool.h
@@ -32,7 +32,7 @@
 
     void start(core::AttemptRequest order, core::AttemptEvents& events) override;
     void cancel(const core::AttemptKey& key) override;
-    void forget(const core::ServerId& server) override;
+    void discard_connections(const core::ServerId& server) override;
 
     // Changes the limit on open connections; idle ones are closed down to it.
     void limit_connections(std::size_t max);
--- a/src/trace/synth.cpp
+++ b/src/trace/synth.cpp
@@ -153,7 +153,7 @@
     void cancel(const AttemptKey& key) override {
         out_.erase(key);
     }
-    void forget(const core::ServerId&) override {}
+    void discard_connections(const core::ServerId&) override {}
 
 private:
     Ns below(Ns n) {
--- a/tests/core/fixture.h
+++ b/tests/core/fixture.h
@@ -66,7 +66,7 @@
         std::erase_if(in_flight, [&](const AttemptRequest& request) { return request.key == key; });
         ++cancelled;
     }
-    void forget(const ServerId& server) override {
+    void discard_connections(const ServerId& server) override {
         forgotten.push_back(server.address);
     }
     void end(std::size_t i, AttemptResult result) {
--- a/tests/silverrail/discovery_test.cpp
+++ b/tests/silverrail/discovery_test.cpp
@@ -266,5 +266,5 @@
     slow_responses_are_not_synchronized();
     moves_keep_event_numbers();
     hang_ups_are_retried_with_backoff();
-    std::puts("bulletin: what is lost on the way is asked for again");
+    std::puts("discovery: what is lost on the way is asked for again");
 }
--- a/tests/silverrail/dns_test.cpp
+++ b/tests/silverrail/dns_test.cpp
@@ -42,7 +42,7 @@
         CHECK(!"an attempt was sent");
     }
     void cancel(const core::AttemptKey&) override {}
-    void forget(const core::ServerId&) override {}
+    void discard_connections(const core::ServerId&) override {}
 };
 
 ZoneSettings zone() {
--- a/tests/silverrail/rough_test.cpp
+++ b/tests/silverrail/rough_test.cpp
@@ -193,5 +193,5 @@
     idle_connections_are_evicted_first();
     invalid_requests_fail_unsent();
     server_responses_are_bounded();
-    std::puts("rough: bad clients and bad boxes harm nobody else");
+    std::puts("rough: bad clients and bad servers harm nobody else");
 }
