--- a/src/front/platform/platform.cpp
+++ b/src/front/platform/platform.cpp
@@ -1,10 +1,10 @@
 #include "front/platform/platform.h"
 
 #include <algorithm>
-#include <charconv>
 #include <cmath>
 
 #include "config/hex.h"
+#include "config/number.h"
 
 namespace silverrail::front {
 
@@ -12,6 +12,9 @@
 
 namespace {
 
+using config::parse_number;
+using net::to_string_view;
+
 constexpr unsigned kHttp11 = 11;
 
 // Targets.
@@ -37,19 +40,6 @@
 constexpr std::size_t kMaxTagBytes = 128;
 constexpr std::size_t kMaxKeyBytes = 128;
 
-std::string_view view(net::beast::string_view text) {
-    return {text.data(), text.size()};
-}
-
-template <class Number>
-std::optional<Number> parse_number(std::string_view text) {
-    Number value{};
-    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-    if (error != std::errc{} || end != text.data() + text.size())
-        return std::nullopt;
-    return value;
-}
-
 // "piece-N", in the one form that servers are sent it in: without leading zeros.
 std::optional<std::uint32_t> parse_part(std::string_view text) {
     if (!text.starts_with(kPartPrefix))
@@ -99,7 +89,7 @@
     const auto count = request.count(kIdempotencyKey);
     if (count == 0)
         return std::string{};
-    const auto key = view(request[kIdempotencyKey]);
+    const auto key = to_string_view(request[kIdempotencyKey]);
     const bool plain = std::all_of(key.begin(), key.end(), [](char c) { return c > ' ' && c < '\x7f'; });
     if (count > 1 || key.empty() || key.size() > kMaxKeyBytes || !plain)
         return std::nullopt;
@@ -107,7 +97,7 @@
 }
 
 std::optional<std::chrono::milliseconds> parse_timeout(const net::HttpRequest& request) {
-    const auto ms = parse_number<std::int64_t>(view(request[kTimeoutMs]));
+    const auto ms = parse_number<std::int64_t>(to_string_view(request[kTimeoutMs]));
     if (!ms || *ms <= 0 || *ms > kMaxTimeoutMs)
         return std::nullopt;
     return std::chrono::milliseconds{*ms};
@@ -115,7 +105,7 @@
 
 // Returns false if the header is there and no group.
 bool parse_purge_group(const net::HttpRequest& request, core::ClientRequest& call) {
-    const auto text = view(request[kPurgeGroup]);
+    const auto text = to_string_view(request[kPurgeGroup]);
     call.group_known = !text.empty();
     if (!call.group_known)
         return true;
@@ -128,7 +118,7 @@
 
 // Returns false if the header is there and no size.
 bool parse_expected_size(const net::HttpRequest& request, core::ClientRequest& call) {
-    const auto text = view(request[kExpectedKb]);
+    const auto text = to_string_view(request[kExpectedKb]);
     if (text.empty())
         return true;
     const auto kb = parse_number<double>(text);
@@ -159,9 +149,9 @@
     core::ClientRequest call;
     if (request.method() != http::verb::get && request.method() != http::verb::put)
         return RequestError{"neither GET nor PUT"};
-    if (!parse_target(view(request.target()), call))
+    if (!parse_target(to_string_view(request.target()), call))
         return RequestError{"no such target"};
-    call.trace_id = view(request[kRequestId]);
+    call.trace_id = to_string_view(request[kRequestId]);
     if (call.trace_id.size() != kIdDigits || !config::parse_hex(call.trace_id))
         return RequestError{"Trace-Id: not 16 hex digits"};
     const auto timeout = parse_timeout(request);
@@ -176,7 +166,7 @@
     if (!key)
         return RequestError{"Replay-Key: not one key"};
     call.idempotency_key = *key;
-    call.client_tag = bare_tag(view(request[http::field::if_none_match]));
+    call.client_tag = bare_tag(to_string_view(request[http::field::if_none_match]));
     call.write = request.method() == http::verb::put;
     if (call.write)
         call.body = std::make_shared<const std::string>(std::move(request.body()));
@@ -229,9 +219,9 @@
 
 void Platform::handle(const std::shared_ptr<net::HttpSession>& session, net::HttpRequest request) {
     const bool is_get = request.method() == http::verb::get;
-    if (is_get && view(request.target()) == kHealthTarget)
+    if (is_get && to_string_view(request.target()) == kHealthTarget)
         return session->respond(health_response());
-    if (is_get && view(request.target()) == kCountersTarget)
+    if (is_get && to_string_view(request.target()) == kCountersTarget)
         return session->respond(counters_response());
     auto call = parse_call(std::move(request), session->arrived());
     if (const auto* error = std::get_if<RequestError>(&call)) {
--- a/src/net/asio.h
+++ b/src/net/asio.h
@@ -9,6 +9,8 @@
 #include <boost/beast/http.hpp>
 // clang-format on
 
+#include <string_view>
+
 #include "core/types.h"
 
 namespace silverrail::net {
@@ -19,6 +21,11 @@
 using tcp = asio::ip::tcp;
 using boost::system::error_code;
 
+// Beast 1.74 has a string view of its own.
+inline std::string_view to_string_view(beast::string_view text) {
+    return {text.data(), text.size()};
+}
+
 // As the core has it: bytes, no text.
 core::ClientAddress client_address(const asio::ip::address& address);
 
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -2,8 +2,8 @@
 
 #include <algorithm>
 #include <array>
-#include <charconv>
 
+#include "config/number.h"
 #include "net/tcp_stream.h"
 
 namespace silverrail::net {
@@ -32,9 +32,7 @@
 
 // 0 if it is no number.
 std::int64_t parse_event_number(const std::string& text) {
-    std::int64_t number = 0;
-    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
-    return error == std::errc{} && end == text.data() + text.size() ? number : 0;
+    return config::parse_number<std::int64_t>(text).value_or(0);
 }
 
 }  // namespace
--- a/src/net/server_protocol.cpp
+++ b/src/net/server_protocol.cpp
@@ -2,12 +2,14 @@
 
 #include <algorithm>
 #include <array>
-#include <charconv>
+
+#include "config/number.h"
 
 namespace silverrail::net {
 
 namespace {
 
+using config::parse_number;
 using core::AttemptResult;
 using core::AttemptStatus;
 using core::CacheStatus;
@@ -59,20 +61,6 @@
     {"util", &routing::LoadReport::utilisation},   {"load_share", &routing::LoadReport::utilisation},
     {"x0", &routing::LoadReport::hit_share},       {"x1", &routing::LoadReport::link_fullness}};
 
-std::string_view view(beast::string_view text) {
-    return {text.data(), text.size()};
-}
-
-// The whole text as a number.
-template <class Number>
-std::optional<Number> parse_number(std::string_view text) {
-    Number value{};
-    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-    if (error != std::errc{} || end != text.data() + text.size())
-        return std::nullopt;
-    return value;
-}
-
 // 0 if absent or no time.
 std::int64_t parse_unix_ms(std::string_view text) {
     return std::max<std::int64_t>(0, parse_number<std::int64_t>(text).value_or(0));
@@ -188,15 +176,15 @@
 
 AttemptResult attempt_end(ServerResponse response) {
     AttemptResult end;
-    const bool never_ran = view(response[kNeverRan]) == "1";
+    const bool never_ran = to_string_view(response[kNeverRan]) == "1";
     end.attempt_status = attempt_status(response.result_int(), never_ran);
-    end.cache_status = parse_cache_status(view(response[kCacheStatus]));
-    end.load = parse_load_report(view(response[kLoadReport]));
-    end.source_wait = parse_source_wait(view(response[kSourceWaitMs]));
+    end.cache_status = parse_cache_status(to_string_view(response[kCacheStatus]));
+    end.load = parse_load_report(to_string_view(response[kLoadReport]));
+    end.source_wait = parse_source_wait(to_string_view(response[kSourceWaitMs]));
     if (end.attempt_status == AttemptStatus::success) {
         end.not_modified = response.result() == http::status::not_modified;
-        end.tag = view(response[kTag]);
-        end.made_ms = parse_unix_ms(view(response[kMadeAtUnixMs]));
+        end.tag = to_string_view(response[kTag]);
+        end.made_ms = parse_unix_ms(to_string_view(response[kMadeAtUnixMs]));
         end.body = std::move(response.body());
     }
     return end;
