--- a/src/acme/client.cpp
+++ b/src/acme/client.cpp
@@ -1,12 +1,10 @@
 #include "acme/client.h"
 
-#include <openssl/x509v3.h>
-
 #include <algorithm>
-#include <charconv>
 #include <utility>
 
-#include "config/json_text.h"
+#include "acme/base64url.h"
+#include "store/file_error.h"
 
 namespace silverrail::acme {
 
@@ -14,355 +12,245 @@
 
 using namespace std::chrono_literals;
 
-constexpr int kMostBadNonces = 5;
-constexpr int kMostPolls = 60;
-constexpr core::Span kFirstPause = 5s;
-constexpr core::Span kLongestPause = 1h;
-constexpr core::Span kPoll = 1s;
+constexpr core::Span kPollInterval = 1s;
+constexpr int kMaxPolls = 60;
 
-std::string compact(const Json::Value& json) {
-    Json::StreamWriterBuilder writer;
-    writer["indentation"] = "";
-    return Json::writeString(writer, json);
-}
+constexpr core::Span kFirstRetryDelay = 5s;
+constexpr core::Span kMaxRetryDelay = 1h;
+constexpr unsigned kMaxJitterPercent = 20;
 
-std::string text(const Json::Value& json, const char* key) {
-    return json[key].isString() ? json[key].asString() : std::string{};
-}
+// A certificate in use is renewed after two thirds of its time.
+constexpr int kRenewalShareNumerator = 2;
+constexpr int kRenewalShareDenominator = 3;
+constexpr std::int64_t kMinRenewalDelayMs = 1000;
 
-// Retry-After in seconds; its form as a date is taken for a minute.
-core::Span retry_after(const HttpResult& r) {
-    if (r.retry_after.empty())
-        return {};
-    unsigned value = 0;
-    const char* end = r.retry_after.data() + r.retry_after.size();
-    const auto [at, error] = std::from_chars(r.retry_after.data(), end, value);
-    return error == std::errc{} && at == end ? std::chrono::seconds{std::min(value, 86'400u)} : 60s;
+constexpr std::int64_t kMsPerSecond = 1000;
+constexpr const char* kChallengeLabel = "_acme-challenge.";
+
+bool is_expired(const Certificate& certificate, const core::Clock& clock) {
+    return not_after(certificate) * kMsPerSecond <= clock.unix_ms();
 }
 
 }  // namespace
 
-Client::Client(ClientSettings settings, Store store, Http& http, Proofs& proofs, core::Timers& timers,
-               const core::Clock& clock, std::uint64_t seed, std::function<void(const Issued&)> issued,
-               Log& log)
+Client::Client(ClientSettings settings, Dependencies dependencies, IssuedHandler on_issued)
     : settings_(std::move(settings)),
-      store_(std::move(store)),
-      http_(http),
-      proofs_(proofs),
-      timers_(timers),
-      clock_(clock),
-      random_(seed),
-      issued_(std::move(issued)),
-      log_(log) {}
+      with_(std::move(dependencies)),
+      on_issued_(std::move(on_issued)),
+      random_(with_.seed),
+      session_(with_.transport, with_.log, [this](const AcmeError& error) { fail(error); }) {}
 
 Client::~Client() {
     *alive_ = false;
 }
 
-void Client::after(core::Span span, std::function<void()> action) {
-    timers_.at(clock_.now() + span, [alive = alive_, action = std::move(action)] {
+void Client::run_after(core::Span delay, std::function<void()> action) {
+    with_.timers.at(with_.clock.now() + delay, [alive = alive_, action = std::move(action)] {
         if (*alive)
             action();
     });
 }
 
 void Client::start() {
-    const auto chain = store_.load("certificate.pem");
-    const auto key = store_.load("certificate.key");
-    if (chain && key)
-        try {
-            const Certificate kept = first_certificate(*chain);
-            if (belongs(kept, key_from_pem(*key)) && not_after(kept) * 1000 > clock_.unix_ms() &&
-                X509_check_host(kept.get(), settings_.name.c_str(), 0, 0, nullptr) == 1)
-                return install({*chain, *key});
-            log_.line("acme", "the kept certificate is of no use any more");
-        } catch (const CryptoError& e) {
-            log_.line("acme", "kept certificate: %s", e.what());
-        }
-    begin();
+    if (!use_stored_certificate())
+        begin_order();
 }
 
-void Client::begin() {
+// Returns false if there is none, or it cannot be used.
+bool Client::use_stored_certificate() {
+    const auto chain = with_.store.load(kCertificateFile);
+    const auto key = with_.store.load(kCertificateKeyFile);
+    if (!chain || !key)
+        return false;
     try {
-        if (!account_key_) {
-            if (const auto kept = store_.load("account.key")) {
-                account_key_ = key_from_pem(*kept);
-            } else {
-                account_key_ = new_key();
-                store_.save("account.key", key_pem(account_key_));
-            }
+        const Certificate certificate = first_certificate(*chain);
+        const bool usable = matches_key(certificate, key_from_pem(*key)) &&
+                            !is_expired(certificate, with_.clock) &&
+                            matches_host(certificate, settings_.domain);
+        if (usable) {
+            install({*chain, *key});
+            return true;
         }
-    } catch (const std::exception& e) {
-        return fail(e.what());
-    }
-    account_url_.clear();
-    get(settings_.directory, &Client::on_directory);
-}
-
-void Client::get(const std::string& url, Then then) {
-    http_.call({"GET", url, {}}, [this, alive = alive_, then](const HttpResult& r) {
-        if (*alive)
-            (this->*then)(r);
-    });
-}
-
-std::optional<Json::Value> Client::object(const HttpResult& r) {
-    auto json = config::parse_json(r.body);
-    if (!json || !json->isObject())
-        return std::nullopt;
-    return json;
-}
-
-void Client::on_directory(const HttpResult& r) {
-    const auto json = object(r);
-    if (r.status != 200 || !json)
-        return fail("no directory: " + (r.error.empty() ? std::to_string(r.status) : r.error),
-                    retry_after(r));
-    for (const char* name : {"newNonce", "newAccount", "newOrder"}) {
-        urls_[name] = text(*json, name);
-        if (urls_[name].empty())
-            return fail(std::string{"directory without "} + name);
+        with_.log.line("acme", "the stored certificate is of no use any more");
+    } catch (const CryptoError& error) {
+        with_.log.line("acme", "stored certificate: %s", error.what());
     }
-    Json::Value account{Json::objectValue};
-    account["termsOfServiceAgreed"] = true;
-    if (!settings_.contact.empty())
-        account["contact"].append(settings_.contact);
-    post(Step::account, urls_["newAccount"], compact(account), &Client::on_account, true);
+    return false;
 }
 
-std::string Client::jws(const std::string& url, const std::string& payload, bool with_jwk) {
-    Json::Value header{Json::objectValue};
-    header["alg"] = "ES256";
-    header["nonce"] = std::exchange(nonce_, {});  // good for one use
-    header["url"] = url;
-    if (with_jwk)
-        header["jwk"] = *config::parse_json(jwk(account_key_));
-    else
-        header["kid"] = account_url_;
-    const std::string head = base64url(compact(header));
-    const std::string body = base64url(payload);
-    Json::Value out{Json::objectValue};
-    out["protected"] = head;
-    out["payload"] = body;
-    out["signature"] = base64url(sign(account_key_, head + "." + body));
-    return compact(out);
-}
-
-void Client::post(Step step, std::string url, std::string payload, Then then, bool with_jwk) {
-    step_ = step;
-    pending_ = {std::move(url), std::move(payload), then, with_jwk, 0};
-    send_post();
-}
-
-void Client::send_post() {
-    if (nonce_.empty()) {
-        http_.call({"HEAD", urls_["newNonce"], {}}, [this, alive = alive_](const HttpResult& r) {
-            if (*alive)
-                on_nonce(r);
-        });
-        return;
-    }
-    std::string body;
+void Client::begin_order() {
     try {
-        body = jws(pending_.url, pending_.payload, pending_.with_jwk);
-    } catch (const CryptoError& e) {
-        return fail(e.what());
+        load_or_make_account_key();
+    } catch (const std::exception& error) {
+        return fail(AcmeError{error.what()});
     }
-    http_.call({"POST", pending_.url, std::move(body)}, [this, alive = alive_](HttpResult r) {
-        if (*alive)
-            on_post(std::move(r));
-    });
+    session_.open(settings_.directory_url, settings_.contact, account_key_, [this] { request_order(); });
 }
 
-void Client::on_nonce(const HttpResult& r) {
-    if (r.nonce.empty())
-        return fail("no nonce: " + r.error, retry_after(r));
-    nonce_ = r.nonce;
-    send_post();
-}
-
-void Client::on_post(HttpResult r) {
-    if (!r.nonce.empty())
-        nonce_ = r.nonce;
-    if (r.status == 400) {
-        const auto problem = object(r);
-        if (problem && text(*problem, "type") == "urn:ietf:params:acme:error:badNonce") {
-            // RFC 8555, 6.5: the same request again with the nonce that came with the error.
-            if (++pending_.bad_nonces > kMostBadNonces)
-                return fail("badNonce, again and again");
-            log_.line("acme", "badNonce, once more");
-            return send_post();
-        }
-    }
-    if (r.status < 200 || r.status >= 300) {
-        std::string why =
-            "status " + std::to_string(r.status) + " at step " + std::to_string(static_cast<int>(step_));
-        if (!r.error.empty())
-            why += ": " + r.error;
-        if (const auto problem = object(r))
-            why += ": " + text(*problem, "type") + " " + text(*problem, "detail");
-        return fail(why, retry_after(r));
+void Client::load_or_make_account_key() {
+    if (account_key_)
+        return;
+    if (const auto stored = with_.store.load(kAccountKeyFile)) {
+        account_key_ = key_from_pem(*stored);
+        return;
     }
-    (this->*pending_.then)(r);
+    account_key_ = generate_key();
+    with_.store.save(kAccountKeyFile, key_to_pem(account_key_));
 }
 
-void Client::on_account(const HttpResult& r) {
-    if (r.location.empty())
-        return fail("account without a URL");
-    account_url_ = r.location;
-    Json::Value order{Json::objectValue};
-    Json::Value identifier{Json::objectValue};
-    identifier["type"] = "dns";
-    identifier["value"] = settings_.name;
-    order["identifiers"].append(identifier);
-    post(Step::order, urls_["newOrder"], compact(order), &Client::on_order);
+void Client::request_order() {
+    session_.post("order", session_.directory().new_order_url, order_request(settings_.domain),
+                  [this](const HttpResponse& response) { on_order(response); });
 }
 
-void Client::on_order(const HttpResult& r) {
-    const auto json = object(r);
-    if (!json || r.location.empty())
-        return fail("order without a URL");
-    order_url_ = r.location;
-    finalize_url_ = text(*json, "finalize");
-    authorizations_.clear();
-    for (const Json::Value& url : (*json)["authorizations"])
-        if (url.isString() && authorizations_.size() < 16)
-            authorizations_.push_back(url.asString());
-    if (finalize_url_.empty() || authorizations_.empty())
-        return fail("order without its parts");
-    next_authorization();
+void Client::on_order(const HttpResponse& response) {
+    const auto order = parse_order(response.body);
+    if (!order || response.location.empty())
+        throw AcmeError{"order without a URL"};
+    if (order->finalize_url.empty() || order->authorization_urls.empty())
+        throw AcmeError{"order without its parts"};
+    order_url_ = response.location;
+    finalize_url_ = order->finalize_url;
+    authorization_urls_.assign(order->authorization_urls.begin(), order->authorization_urls.end());
+    request_next_authorization();
 }
 
-void Client::next_authorization() {
-    if (authorizations_.empty())
+void Client::request_next_authorization() {
+    if (authorization_urls_.empty())
         return finalize();
-    authorization_url_ = authorizations_.front();
-    authorizations_.pop_front();
+    authorization_url_ = authorization_urls_.front();
+    authorization_urls_.pop_front();
     polls_ = 0;
-    post(Step::authorization, authorization_url_, "", &Client::on_authorization);
+    session_.post("authorization", authorization_url_, "",
+                  [this](const HttpResponse& response) { on_authorization(response); });
 }
 
-void Client::on_authorization(const HttpResult& r) {
-    const auto json = object(r);
-    if (!json)
-        return fail("authorization unreadable");
-    const std::string status = text(*json, "status");
-    if (status == "valid")
-        return next_authorization();
-    if (status != "pending")
-        return fail("authorization is " + status);
-    for (const Json::Value& challenge : (*json)["challenges"]) {
-        if (!challenge.isObject() || text(challenge, "type") != "dns-01")
-            continue;
-        const std::string token = text(challenge, "token");
-        // The token goes into a hash, but one that is no token means something else is wrong.
-        if (token.empty() || !from_base64url(token))
-            return fail("challenge with a bad token");
-        const std::string name = "_acme-challenge." + text((*json)["identifier"], "value");
-        proofs_.show(name, base64url(sha256(token + "." + thumbprint(account_key_))));
-        shown_.push_back(name);
-        return post(Step::challenge, text(challenge, "url"), "{}", &Client::on_challenge);
-    }
-    fail("no dns-01 challenge is offered");
+void Client::on_authorization(const HttpResponse& response) {
+    const auto authorization = parse_authorization(response.body);
+    if (!authorization)
+        throw AcmeError{"authorization unreadable"};
+    if (authorization->status == "valid")
+        return request_next_authorization();
+    if (authorization->status != "pending")
+        throw AcmeError{"authorization is " + authorization->status};
+    if (!authorization->dns_challenge)
+        throw AcmeError{"no dns-01 challenge is offered"};
+    answer_challenge(authorization->domain, *authorization->dns_challenge);
 }
 
-void Client::on_challenge(const HttpResult& r) {
-    poll(Step::validation, authorization_url_, &Client::on_validation, r);
-}
-
-void Client::poll(Step step, const std::string& url, Then then, const HttpResult& r) {
-    if (++polls_ > kMostPolls)
-        return fail("nothing came of it in time");
-    after(std::max(kPoll, retry_after(r)), [this, step, url, then] { post(step, url, "", then); });
+void Client::answer_challenge(const std::string& domain, const DnsChallenge& challenge) {
+    // The token goes into a hash, but one that is no token means something else is wrong.
+    if (challenge.token.empty() || !decode_base64url(challenge.token))
+        throw AcmeError{"challenge with a bad token"};
+    const std::string name = kChallengeLabel + domain;
+    const std::string key_authorization = challenge.token + "." + jwk_thumbprint(account_key_);
+    with_.challenge_records.publish(name, encode_base64url(sha256(key_authorization)));
+    published_names_.push_back(name);
+    session_.post("challenge", challenge.url, "{}", [this](const HttpResponse& response) {
+        poll("validation", authorization_url_, response, &Client::on_authorization_status);
+    });
 }
 
-void Client::on_validation(const HttpResult& r) {
-    const auto json = object(r);
-    const std::string status = json ? text(*json, "status") : "unreadable";
+void Client::on_authorization_status(const HttpResponse& response) {
+    const auto authorization = parse_authorization(response.body);
+    const std::string status = authorization ? authorization->status : "unreadable";
     if (status == "valid")
-        return next_authorization();
+        return request_next_authorization();
     if (status != "pending" && status != "processing")
-        return fail("authorization is " + status);
-    poll(Step::validation, authorization_url_, &Client::on_validation, r);
+        throw AcmeError{"authorization is " + status};
+    poll("validation", authorization_url_, response, &Client::on_authorization_status);
 }
 
 void Client::finalize() {
-    clear_proofs();
+    remove_challenge_records();
     polls_ = 0;
-    try {
-        certificate_key_ = new_key();  // a new one for each certificate
-        Json::Value csr{Json::objectValue};
-        csr["csr"] = base64url(signing_request(certificate_key_, settings_.name));
-        post(Step::finalize, finalize_url_, compact(csr), &Client::on_issue);
-    } catch (const CryptoError& e) {
-        fail(e.what());
-    }
+    certificate_key_ = generate_key();  // a new one for each certificate
+    session_.post("finalize", finalize_url_,
+                  finalize_request(signing_request(certificate_key_, settings_.domain)),
+                  [this](const HttpResponse& response) { on_order_status(response); });
 }
 
-void Client::on_issue(const HttpResult& r) {
-    const auto json = object(r);
-    const std::string status = json ? text(*json, "status") : "unreadable";
+void Client::on_order_status(const HttpResponse& response) {
+    const auto order = parse_order(response.body);
+    const std::string status = order ? order->status : "unreadable";
     if (status == "valid")
-        return post(Step::download, text(*json, "certificate"), "", &Client::on_certificate);
+        return session_.post("download", order->certificate_url, "",
+                             [this](const HttpResponse& chain) { on_certificate(chain); });
     if (status != "processing" && status != "ready" && status != "pending")
-        return fail("order is " + status);
-    poll(Step::issue, order_url_, &Client::on_issue, r);
+        throw AcmeError{"order is " + status};
+    poll("issue", order_url_, response, &Client::on_order_status);
+}
+
+void Client::on_certificate(const HttpResponse& response) {
+    const Certificate certificate = first_certificate(response.body);
+    if (!matches_key(certificate, certificate_key_))
+        throw AcmeError{"a certificate for another key"};
+    if (!matches_host(certificate, settings_.domain))
+        throw AcmeError{"a certificate for another name"};
+    if (is_expired(certificate, with_.clock))
+        throw AcmeError{"a certificate that has expired"};
+    const IssuedCertificate issued{response.body, key_to_pem(certificate_key_)};
+    save(issued);
+    failures_ = 0;
+    install(issued);
+}
+
+void Client::poll(const char* step, const std::string& url, const HttpResponse& last, PollHandler handler) {
+    if (++polls_ > kMaxPolls)
+        throw AcmeError{"nothing came of it in time"};
+    run_after(std::max(kPollInterval, retry_after(last)), [this, step, url, handler] {
+        session_.post(step, url, "",
+                      [this, handler](const HttpResponse& response) { (this->*handler)(response); });
+    });
 }
 
-void Client::on_certificate(const HttpResult& r) {
+// A certificate that could not be stored serves all the same, until the next restart.
+void Client::save(const IssuedCertificate& certificate) {
     try {
-        const Certificate certificate = first_certificate(r.body);
-        if (!belongs(certificate, certificate_key_))
-            return fail("a certificate for another key");
-        if (X509_check_host(certificate.get(), settings_.name.c_str(), 0, 0, nullptr) != 1)
-            return fail("a certificate for another name");
-        if (not_after(certificate) * 1000 <= clock_.unix_ms())
-            return fail("a certificate that has run out");
-        Issued issued{r.body, key_pem(certificate_key_)};
-        try {
-            store_.save("certificate.key", issued.key_pem);
-            store_.save("certificate.pem", issued.chain_pem);
-        } catch (const std::runtime_error& e) {
-            log_.line("acme", "not kept: %s", e.what());  // it serves all the same
-        }
-        failures_ = 0;
-        install(std::move(issued));
-    } catch (const CryptoError& e) {
-        fail(e.what());
+        with_.store.save(kCertificateKeyFile, certificate.key_pem);
+        with_.store.save(kCertificateFile, certificate.chain_pem);
+    } catch (const store::FileError& error) {
+        with_.log.line("acme", "not stored: %s", error.what());
     }
 }
 
-// Puts it to use, and orders the next when two thirds of its time are over.
-void Client::install(Issued issued) {
+// Begins to use it, and schedules its renewal.
+void Client::install(const IssuedCertificate& issued) {
     const Certificate certificate = first_certificate(issued.chain_pem);
-    const auto from = not_before(certificate) * 1000;
-    const auto until = not_after(certificate) * 1000;
-    const auto due = std::max<std::int64_t>(1000, from + (until - from) * 2 / 3 - clock_.unix_ms());
-    log_.line("acme", "certificate in use, the next is ordered in %lld s",
-              static_cast<long long>(due / 1000));
-    issued_(issued);
-    after(std::chrono::milliseconds{due}, [this] { begin(); });
+    const auto from_ms = not_before(certificate) * kMsPerSecond;
+    const auto until_ms = not_after(certificate) * kMsPerSecond;
+    const auto renewal_ms =
+        from_ms + (until_ms - from_ms) * kRenewalShareNumerator / kRenewalShareDenominator;
+    const auto delay_ms = std::max(kMinRenewalDelayMs, renewal_ms - with_.clock.unix_ms());
+    with_.log.line("acme", "certificate in use, the next is ordered in %lld s",
+                   static_cast<long long>(delay_ms / kMsPerSecond));
+    on_issued_(issued);
+    run_after(std::chrono::milliseconds{delay_ms}, [this] { begin_order(); });
+}
+
+// Gives the order up and begins another one later.
+void Client::fail(const AcmeError& error) {
+    remove_challenge_records();
+    const core::Span delay = std::max(next_retry_delay(), error.retry_after());
+    with_.log.line("acme-failed", "%s; again in %lld s", error.what(), static_cast<long long>(delay / 1s));
+    run_after(delay, [this] { begin_order(); });
 }
 
-// Gives this order up; the next try comes after a pause that doubles, with some chance so that many do not
-// come at once.
-void Client::fail(const std::string& why, core::Span at_least) {
-    clear_proofs();
+// Doubles with each failure. Jitter keeps many clients from coming back at once.
+core::Span Client::next_retry_delay() {
     ++failures_;
-    core::Span pause = kFirstPause;
-    for (int i = 1; i < failures_ && pause < kLongestPause; ++i)
-        pause *= 2;
-    pause = std::min(pause, kLongestPause);
-    pause += pause * static_cast<int>(random_() % 21) / 100;
-    pause = std::max(pause, at_least);
-    log_.line("acme-failed", "%s; again in %lld s", why.c_str(), static_cast<long long>(pause / 1s));
-    after(pause, [this] { begin(); });
+    core::Span delay = kFirstRetryDelay;
+    for (int i = 1; i < failures_ && delay < kMaxRetryDelay; ++i)
+        delay *= 2;
+    delay = std::min(delay, kMaxRetryDelay);
+    const auto jitter_percent = static_cast<int>(random_() % (kMaxJitterPercent + 1));
+    return delay + delay * jitter_percent / 100;
 }
 
-void Client::clear_proofs() {
-    for (const std::string& name : shown_)
-        proofs_.clear(name);
-    shown_.clear();
+void Client::remove_challenge_records() {
+    for (const std::string& name : published_names_)
+        with_.challenge_records.remove(name);
+    published_names_.clear();
 }
 
 }  // namespace silverrail::acme
--- a/src/acme/client.h
+++ b/src/acme/client.h
@@ -1,147 +1,98 @@
-// An ACME client (RFC 8555): account, order, DNS-01, finalize, download, renewal. It knows no sockets.
+// An ACME client (RFC 8555): orders a certificate by a DNS-01 challenge and renews it. It knows no sockets.
 #pragma once
 
-#include <json/json.h>
-
 #include <deque>
 #include <functional>
-#include <map>
 #include <random>
+#include <vector>
 
-#include "acme/crypto.h"
+#include "acme/challenge_records.h"
+#include "acme/credential_store.h"
+#include "acme/session.h"
 #include "core/ports.h"
-#include "log/log.h"
 
 namespace silverrail::acme {
 
-struct HttpCall {
-    std::string method{};
-    std::string url{};
-    std::string body{};  // of a POST: a JWS
-};
-struct HttpResult {
-    unsigned status = 0;  // 0: none came
-    std::string body{};
-    std::string location{};
-    std::string nonce{};
-    std::string retry_after{};
-    std::string error{};
-};
-class Http {
-public:
-    virtual ~Http() = default;
-    virtual void call(HttpCall call, std::function<void(HttpResult)> done) = 0;
-};
-
-// Shows and takes away the TXT record of a challenge.
-class Proofs {
-public:
-    virtual ~Proofs() = default;
-    virtual void show(const std::string& name, const std::string& text) = 0;
-    virtual void clear(const std::string& name) = 0;
-};
-
-// Where keys and certificate are kept between starts. An empty folder keeps nothing.
-class Store {
-public:
-    explicit Store(std::string folder) : folder_(std::move(folder)) {}
-    std::optional<std::string> load(const std::string& file) const;
-    // Whole or not at all, and for the owner only (0600) from its first byte on; throws std::runtime_error.
-    void save(const std::string& file, std::string_view bytes) const;
-
-private:
-    std::string folder_;
-};
-
-struct Issued {
-    std::string chain_pem;
+struct IssuedCertificate {
+    std::string chain_pem;  // the certificate first
     std::string key_pem;
 };
 
 struct ClientSettings {
-    std::string directory;
-    std::string contact;
-    std::string name;  // the DNS name of the certificate
+    std::string directory_url;
+    std::string contact;  // such as "mailto:oncall@example.com"; may be empty
+    std::string domain;   // the DNS name of the certificate
 };
 
 class Client {
 public:
-    Client(ClientSettings settings, Store store, Http& http, Proofs& proofs, core::Timers& timers,
-           const core::Clock& clock, std::uint64_t seed, std::function<void(const Issued&)> issued, Log& log);
+    // What the client acts through; the references outlive it.
+    struct Dependencies {
+        CredentialStore store;
+        HttpTransport& transport;
+        ChallengeRecords& challenge_records;
+        core::Timers& timers;
+        const core::Clock& clock;
+        Log& log;
+        std::uint64_t seed;  // of the jitter between attempts
+    };
+    using IssuedHandler = std::function<void(const IssuedCertificate&)>;
+
+    // `on_issued` gets each certificate that is to be used from then on.
+    Client(ClientSettings settings, Dependencies dependencies, IssuedHandler on_issued);
     ~Client();
-    // Uses a kept certificate while it is good; orders one when there is none or it is due.
+    Client(const Client&) = delete;
+    Client& operator=(const Client&) = delete;
+
+    // Uses the stored certificate while it is valid; orders one if there is none or two thirds of its time
+    // are over. An order that fails is repeated with backoff, for ever.
     void start();
 
 private:
-    // The steps of one order, in turn.
-    enum class Step {
-        directory,
-        nonce,
-        account,
-        order,
-        authorization,
-        challenge,
-        validation,
-        finalize,
-        issue,
-        download
-    };
-    using Then = void (Client::*)(const HttpResult&);
-    void begin();
-    void get(const std::string& url, Then then);
-    void post(Step step, std::string url, std::string payload, Then then, bool with_jwk = false);
-    void send_post();
-    void on_post(HttpResult result);
-    void on_directory(const HttpResult& r);
-    void on_nonce(const HttpResult& r);
-    void on_account(const HttpResult& r);
-    void on_order(const HttpResult& r);
-    void next_authorization();
-    void on_authorization(const HttpResult& r);
-    void on_challenge(const HttpResult& r);
-    void on_validation(const HttpResult& r);
+    using PollHandler = void (Client::*)(const HttpResponse&);
+
+    // One order, in this sequence.
+    void begin_order();
+    void load_or_make_account_key();
+    void request_order();
+    void on_order(const HttpResponse& response);
+    void request_next_authorization();
+    void on_authorization(const HttpResponse& response);
+    void answer_challenge(const std::string& domain, const DnsChallenge& challenge);
+    void on_authorization_status(const HttpResponse& response);
     void finalize();
-    void on_issue(const HttpResult& r);
-    void on_certificate(const HttpResult& r);
-    void poll(Step step, const std::string& url, Then then, const HttpResult& r);
-    void fail(const std::string& why, core::Span at_least = {});
-    void install(Issued issued);
-    void after(core::Span span, std::function<void()> action);
-    std::optional<Json::Value> object(const HttpResult& r);
-    void clear_proofs();
-    std::string jws(const std::string& url, const std::string& payload, bool with_jwk);
-
-    ClientSettings settings_;
-    Store store_;
-    Http& http_;
-    Proofs& proofs_;
-    core::Timers& timers_;
-    const core::Clock& clock_;
+    void on_order_status(const HttpResponse& response);
+    void on_certificate(const HttpResponse& response);
+
+    // Asks again for the state at `url` after a pause.
+    void poll(const char* step, const std::string& url, const HttpResponse& last, PollHandler handler);
+    void fail(const AcmeError& error);
+    core::Span next_retry_delay();
+    void remove_challenge_records();
+
+    bool use_stored_certificate();
+    void save(const IssuedCertificate& certificate);
+    void install(const IssuedCertificate& certificate);
+    void run_after(core::Span delay, std::function<void()> action);
+
+    const ClientSettings settings_;
+    Dependencies with_;
+    IssuedHandler on_issued_;
     std::mt19937_64 random_;
-    std::function<void(const Issued&)> issued_;
-    Log& log_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+    int failures_ = 0;  // in succession
+
+    PrivateKey account_key_;
+    Session session_;
 
-    Key account_key_;
-    Key certificate_key_;
-    std::string account_url_;  // absent until known in this run
-    std::map<std::string, std::string> urls_;
-    std::string nonce_;
-    Step step_ = Step::directory;
-    struct Post {
-        std::string url;
-        std::string payload;
-        Then then = nullptr;
-        bool with_jwk = false;
-        int bad_nonces = 0;
-    } pending_;
+    // Of the order in progress.
     std::string order_url_;
     std::string finalize_url_;
-    std::deque<std::string> authorizations_;
+    std::deque<std::string> authorization_urls_;  // still to be fulfilled
     std::string authorization_url_;
-    std::vector<std::string> shown_;
-    int polls_ = 0;
-    int failures_ = 0;
+    std::vector<std::string> published_names_;  // of challenge records
+    PrivateKey certificate_key_;
+    int polls_ = 0;  // of the state that is waited for
 };
 
 }  // namespace silverrail::acme
--- a/src/acme/crypto.h
+++ b/src/acme/crypto.h
@@ -1,4 +1,4 @@
-// Keys, signatures and certificates for the ACME client, by OpenSSL. P-256 throughout (ES256).
+// Keys, signatures and certificates for the ACME client, by OpenSSL. All keys are P-256 (ES256).
 #pragma once
 
 #include <openssl/evp.h>
@@ -6,45 +6,50 @@
 
 #include <cstdint>
 #include <memory>
-#include <optional>
 #include <stdexcept>
 #include <string>
 #include <string_view>
 
 namespace silverrail::acme {
 
+// OpenSSL refused an operation, or a text is no key or certificate. Thrown by every function here.
 struct CryptoError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
 template <auto Free>
-struct Freed {
+struct OpenSslDeleter {
     template <class T>
-    void operator()(T* p) const {
-        Free(p);
+    void operator()(T* object) const {
+        Free(object);
     }
 };
-using Key = std::unique_ptr<EVP_PKEY, Freed<EVP_PKEY_free>>;
-using Certificate = std::unique_ptr<X509, Freed<X509_free>>;
+using PrivateKey = std::unique_ptr<EVP_PKEY, OpenSslDeleter<EVP_PKEY_free>>;
+using Certificate = std::unique_ptr<X509, OpenSslDeleter<X509_free>>;
 
-std::string base64url(std::string_view bytes);
-std::optional<std::string> from_base64url(std::string_view text);
+// 32 bytes.
 std::string sha256(std::string_view bytes);
 
-Key new_key();
-std::string key_pem(const Key& key);
-Key key_from_pem(std::string_view pem);  // throws
-// The public key as a JSON Web Key, members in the order that RFC 7638 wants.
-std::string jwk(const Key& key);
-std::string thumbprint(const Key& key);                    // base64url
-std::string sign(const Key& key, std::string_view bytes);  // r and s, 64 bytes
-
-// A signing request in DER for one DNS name.
-std::string signing_request(const Key& key, const std::string& name);
-// The first certificate of a PEM chain; throws.
+PrivateKey generate_key();
+std::string key_to_pem(const PrivateKey& key);
+PrivateKey key_from_pem(std::string_view pem);
+
+// The public key as a JSON Web Key, members in the order that RFC 7638 asks for.
+std::string public_jwk(const PrivateKey& key);
+// Of the public key (RFC 7638), in base64url.
+std::string jwk_thumbprint(const PrivateKey& key);
+// ECDSA with SHA-256 as JWS has it (RFC 7518, section 3.4): r and s, 64 bytes.
+std::string sign_es256(const PrivateKey& key, std::string_view bytes);
+
+// A certificate signing request (PKCS #10) in DER for one DNS name.
+std::string signing_request(const PrivateKey& key, const std::string& domain);
+
+// The first certificate of a PEM chain.
 Certificate first_certificate(std::string_view pem);
-bool belongs(const Certificate& certificate, const Key& key);
-std::int64_t not_before(const Certificate& certificate);  // Unix seconds
+bool matches_key(const Certificate& certificate, const PrivateKey& key);
+bool matches_host(const Certificate& certificate, const std::string& domain);
+// The bounds of its validity, in seconds of Unix time.
+std::int64_t not_before(const Certificate& certificate);
 std::int64_t not_after(const Certificate& certificate);
 
 }  // namespace silverrail::acme
--- a/src/app/resource_limits.cpp
+++ b/src/app/resource_limits.cpp
@@ -18,7 +18,7 @@
     return {.descriptors = config.sockets,
             .memory_bytes = config.memory_mb * kBytesPerMegabyte,
             .control_address = !config.control.empty(),
-            .part_descriptors = settings.dns.on() ? net::DnsLimits{}.connections + kDnsListeners : 0};
+            .part_descriptors = settings.dns.on() ? net::DnsServerLimits{}.connections + kDnsListeners : 0};
 }
 
 net::ConnectionPoolLimits pool_limits(const config::Config& config, const limits::ProcessQuota& quota) {
--- a/src/front/dns/zone.cpp
+++ b/src/front/dns/zone.cpp
@@ -1,90 +1,95 @@
 #include "front/dns/zone.h"
 
 #include <algorithm>
-#include <charconv>
 
 #include "config/hex.h"
+#include "config/number.h"
 
 namespace silverrail::front::dns {
 
 namespace {
 
-bool ends_with(const Name& name, const Name& end) {
-    return name.size() >= end.size() && std::equal(end.rbegin(), end.rend(), name.rbegin());
-}
+constexpr std::string_view kPartPrefix = "piece-";
+constexpr std::string_view kGroupPrefix = "lot-";
+constexpr std::size_t kObjectDigits = 16;
+constexpr std::uint32_t kMaxGroup = 255;
 
-// The number of `prefix`N; absent: another label. No leading zeros, so that a thing has one name.
-std::optional<std::uint32_t> numbered(std::string_view label, std::string_view prefix) {
+// The number of "PREFIXn". Without leading zeros, so that an object has one name only.
+std::optional<std::uint32_t> parse_numbered(std::string_view label, std::string_view prefix) {
     if (!label.starts_with(prefix))
         return std::nullopt;
     label.remove_prefix(prefix.size());
-    std::uint32_t value = 0;
-    const auto [end, error] = std::from_chars(label.data(), label.data() + label.size(), value);
-    if (error != std::errc{} || end != label.data() + label.size())
-        return std::nullopt;
     if (label.size() > 1 && label.front() == '0')
         return std::nullopt;
-    return value;
+    return config::parse_number<std::uint32_t>(label);
 }
 
-// What stands before the class; the labels run outwards from the class.
-bool parse_object(const Name& name, std::size_t labels, core::ClientRequest& call) {
-    std::size_t at = labels;
-    if (at == 0)
+// Reads the first `count` labels, which stand before the class, from the last to the first. Returns false if
+// they name no object.
+bool parse_object(const Name& name, std::size_t count, core::ClientRequest& request) {
+    if (count == 0)
         return false;
-    const std::string& object = name[--at];
+    std::size_t left = count - 1;
+    const std::string& object = name[left];
     const auto id = config::parse_hex(object);
-    if (!id || object.size() != 16)
+    if (!id || object.size() != kObjectDigits)
         return false;
-    call.object = object;
-    call.object_id = routing::ObjectId{*id};
-    call.group_known = false;
-    if (at > 0)
-        if (const auto lot = numbered(name[at - 1], "lot-"); lot && *lot <= 255) {
-            call.group = routing::GroupId{*lot};
-            call.group_known = true;
-            --at;
-        }
-    if (at > 0)
-        if (const auto part = numbered(name[at - 1], "piece-")) {
-            call.part = *part;
-            --at;
-        }
-    return at == 0;
+    request.object = object;
+    request.object_id = routing::ObjectId{*id};
+    const auto group = left > 0 ? parse_numbered(name[left - 1], kGroupPrefix) : std::nullopt;
+    request.group_known = group && *group <= kMaxGroup;
+    if (request.group_known) {
+        request.group = routing::GroupId{*group};
+        --left;
+    }
+    const auto part = left > 0 ? parse_numbered(name[left - 1], kPartPrefix) : std::nullopt;
+    if (part) {
+        request.part = *part;
+        --left;
+    }
+    return left == 0;
+}
+
+// `labels`: how many stand before the zone's name, the class's last.
+ZoneEntry entry_of_class(const Name& name, std::size_t labels, const RequestClasses& classes) {
+    ZoneEntry entry;
+    entry.request.class_name = name[labels - 1];
+    entry.request.redirected = true;
+    if (classes.non_idempotent(entry.request.class_name))
+        entry.kind = ZoneEntry::Kind::non_idempotent_class;
+    else if (labels == 1)
+        entry.kind = ZoneEntry::Kind::empty_non_terminal;
+    else if (parse_object(name, labels - 1, entry.request))
+        entry.kind = ZoneEntry::Kind::object;
+    return entry;
+}
+
+bool has_names_below(const Name& name, const ZoneSettings& zone, const TextRecords& texts) {
+    if (ends_with(zone.server, name))
+        return true;
+    return std::any_of(texts.begin(), texts.end(),
+                       [&](const auto& record) { return ends_with(record.first, name); });
 }
 
 }  // namespace
 
-Meaning meaning_of(const Name& name, const ZoneSettings& zone, const ClassNames& classes,
-                   const Texts& texts) {
-    using Kind = Meaning::Kind;
-    Meaning m;
-    if (!ends_with(name, zone.zone)) {
-        m.kind = Kind::outside;
-        return m;
-    }
-    const std::size_t below = name.size() - zone.zone.size();
-    if (below == 0) {
-        m.kind = Kind::apex;
-    } else if (name == zone.server) {
-        m.kind = Kind::server;
-    } else if (texts.contains(name)) {
-        m.kind = Kind::text;
-    } else if (const std::string& class_name = name[below - 1]; classes.known(class_name)) {
-        m.call.class_name = class_name;
-        m.call.redirected = true;
-        if (classes.unsafe(class_name))
-            m.kind = Kind::never_repeat;
-        else if (below == 1)
-            m.kind = Kind::inner;
-        else if (parse_object(name, below - 1, m.call))
-            m.kind = Kind::object;
-    } else if (ends_with(zone.server, name) || std::any_of(texts.begin(), texts.end(), [&](const auto& e) {
-                   return ends_with(e.first, name);
-               })) {
-        m.kind = Kind::inner;  // RFC 8020: what has names below it is no NXDOMAIN
-    }
-    return m;
+ZoneEntry find_entry(const Name& name, const ZoneSettings& zone, const RequestClasses& classes,
+                     const TextRecords& texts) {
+    using Kind = ZoneEntry::Kind;
+    if (!ends_with(name, zone.name))
+        return {.kind = Kind::outside_zone};
+    const std::size_t labels = name.size() - zone.name.size();
+    if (labels == 0)
+        return {.kind = Kind::apex};
+    if (name == zone.server)
+        return {.kind = Kind::name_server};
+    if (texts.contains(name))
+        return {.kind = Kind::text};
+    if (classes.exists(name[labels - 1]))
+        return entry_of_class(name, labels, classes);
+    if (has_names_below(name, zone, texts))
+        return {.kind = Kind::empty_non_terminal};
+    return {};
 }
 
 }  // namespace silverrail::front::dns
--- a/src/front/dns/zone.h
+++ b/src/front/dns/zone.h
@@ -1,49 +1,51 @@
-// The names of the zone and what each stands for.
+// The names of the zone, and what each stands for.
 #pragma once
 
 #include <functional>
 #include <map>
 
 #include "core/types.h"
-#include "front/dns/message.h"
+#include "front/dns/name.h"
 
 namespace silverrail::front::dns {
 
 struct ZoneSettings {
-    Name zone;
+    Name name;
     Name server;                 // the zone's name server, inside the zone: NS, SOA and certificate name
-    std::string server_address;  // its own address
-    Name mailbox;                // of the SOA
-    std::uint32_t ttl = 1;       // of an answer that names a server
-    std::uint32_t fixed_ttl = 300;
-    core::Span deadline = std::chrono::milliseconds{1000};
+    std::string server_address;  // of the name server itself
+    Name mailbox;                // of the SOA record
+    std::uint32_t redirect_ttl_s = 1;                       // of an answer that names a server of the list
+    std::uint32_t static_ttl_s = 300;                       // of the zone's own records
+    core::Span deadline = std::chrono::milliseconds{1000};  // of the requests that queries become
 };
 
-// [piece-N.][lot-N.]OBJECT.CLASS.ZONE, the object in 16 hex digits.
-struct Meaning {
+// An object's name is [piece-N.][lot-N.]OBJECT.CLASS.ZONE: its part, its purge group, its id in 16 hex digits
+// and its class.
+struct ZoneEntry {
     enum class Kind {
-        outside,  // not in this zone
+        outside_zone,
         apex,
-        server,        // the zone's name server
-        inner,         // a name that only has others below it
-        object,        // `call` says which
-        never_repeat,  // of a class whose requests must not run twice
-        text,          // TXT records are held there
-        unknown
+        name_server,
+        empty_non_terminal,    // it only has other names below it (RFC 8020)
+        object,                // `request` says which
+        non_idempotent_class,  // or below one; resolvers repeat queries by themselves
+        text,                  // there are TXT records
+        nonexistent
     };
-    Kind kind = Kind::unknown;
-    core::ClientRequest call;
+    Kind kind = Kind::nonexistent;
+    core::ClientRequest request{};
 };
 
-// What the zone asks about classes; the core knows.
-struct ClassNames {
-    std::function<bool(const std::string&)> known;
-    std::function<bool(const std::string&)> unsafe;
+// What the zone has to know about classes of requests.
+struct RequestClasses {
+    std::function<bool(const std::string& name)> exists;
+    std::function<bool(const std::string& name)> non_idempotent;
 };
 
-// TXT records set from elsewhere: the proofs of a certificate order.
-using Texts = std::multimap<Name, std::string>;
+// TXT records that are set at run time.
+using TextRecords = std::multimap<Name, std::string>;
 
-Meaning meaning_of(const Name& name, const ZoneSettings& zone, const ClassNames& classes, const Texts& texts);
+ZoneEntry find_entry(const Name& name, const ZoneSettings& zone, const RequestClasses& classes,
+                     const TextRecords& texts);
 
 }  // namespace silverrail::front::dns
--- a/src/net/dns_server.cpp
+++ b/src/net/dns_server.cpp
@@ -3,152 +3,184 @@
 #include <deque>
 
 #include "net/tcp_stream.h"
-#include "net/tls.h"
 
 namespace silverrail::net {
 
+namespace {
+
+constexpr std::chrono::milliseconds kAcceptRetryDelay{50};
+constexpr int kBacklog = 128;
+constexpr unsigned kBitsPerByte = 8;
+
+std::string length_prefix(std::size_t size) {
+    return {static_cast<char>(size >> kBitsPerByte & 0xff), static_cast<char>(size & 0xff)};
+}
+
+}  // namespace
+
 struct DnsServer::Session {
     virtual ~Session() = default;
     virtual void close() = 0;
 };
 
+// A connection. It is kept alive by its reads and writes, and refers to the server until it is closed.
 template <class Stream>
-struct DnsServer::StreamSession : Session, std::enable_shared_from_this<StreamSession<Stream>> {
-    StreamSession(Stream s, DnsServer& server, std::shared_ptr<asio::ssl::context> context)
-        : context_(std::move(context)), stream_(std::move(s)), server_(server), idle_(server.io_) {}
+class DnsServer::StreamSession : public Session, public std::enable_shared_from_this<StreamSession<Stream>> {
+public:
+    // `tls_context`: null for plain TCP.
+    StreamSession(Stream stream, DnsServer& server, std::shared_ptr<asio::ssl::context> tls_context)
+        : tls_context_(std::move(tls_context)),
+          stream_(std::move(stream)),
+          server_(server),
+          idle_timer_(server.io_) {}
 
     void start() {
-        alive();
-        error_code gone;
-        if (const auto at = stream_.lowest_layer().remote_endpoint(gone); !gone)
-            client_ = client_address(at.address());
-        if constexpr (std::is_same_v<Stream, TcpStream>) {
+        restart_idle_timer();
+        error_code no_address;
+        const auto peer = stream_.lowest_layer().remote_endpoint(no_address);
+        if (!no_address)
+            client_ = client_address(peer.address());
+        if constexpr (std::is_same_v<Stream, TcpStream>)
             read_length();
-        } else {
-            stream_.async_handshake(
-                asio::ssl::stream_base::server, [self = this->shared_from_this()](const error_code& error) {
-                    if (self->closed_)
-                        return;
-                    if (error) {
-                        self->server_.log_.line("tls-handshake", "%s", error.message().c_str());
-                        return self->close();
-                    }
-                    self->read_length();
-                });
-        }
+        else
+            shake_hands();
+    }
+
+    void close() override {
+        if (std::exchange(closed_, true))
+            return;
+        idle_timer_.cancel();
+        error_code ignored;
+        auto& socket = beast::get_lowest_layer(stream_);
+        socket.shutdown(tcp::socket::shutdown_both, ignored);
+        socket.close(ignored);
+        server_.sessions_.erase(this);
+    }
+
+private:
+    void shake_hands() {
+        stream_.async_handshake(asio::ssl::stream_base::server,
+                                [self = this->shared_from_this()](const error_code& error) {
+                                    if (!self->closed_)
+                                        self->on_handshake(error);
+                                });
+    }
+    void on_handshake(const error_code& error) {
+        if (!error)
+            return read_length();
+        server_.log_.line("tls-handshake", "%s", error.message().c_str());
+        close();
     }
 
     void read_length() {
         reading_ = true;
         asio::async_read(stream_, asio::buffer(length_),
                          [self = this->shared_from_this()](const error_code& error, std::size_t) {
-                             if (self->closed_)
-                                 return;
-                             if (error)
-                                 return self->end_of_input();
-                             const std::size_t size =
-                                 static_cast<std::size_t>(self->length_[0]) << 8 | self->length_[1];
-                             if (size == 0 || size > self->server_.limits_.query)
-                                 return self->close();
-                             self->read_query(size);
+                             if (!self->closed_)
+                                 self->on_length(error);
                          });
     }
+    void on_length(const error_code& error) {
+        if (error)
+            return on_end_of_input();
+        const std::size_t size = static_cast<std::size_t>(length_[0]) << kBitsPerByte | length_[1];
+        if (size == 0 || size > server_.limits_.query_bytes)
+            return close();
+        read_query(size);
+    }
     void read_query(std::size_t size) {
         query_.resize(size);
         asio::async_read(stream_, asio::buffer(query_),
                          [self = this->shared_from_this()](const error_code& error, std::size_t) {
-                             if (self->closed_)
-                                 return;
-                             if (error)
-                                 return self->close();
-                             self->reading_ = false;
-                             self->alive();
-                             self->ask();
-                             self->read_on();
+                             if (!self->closed_)
+                                 self->on_query(error);
                          });
     }
-    void ask() {
-        ++open_;
-        server_.handler_(query_, {false, client_}, [weak = this->weak_from_this()](DnsAnswer answer) {
+    void on_query(const error_code& error) {
+        if (error)
+            return close();
+        reading_ = false;
+        restart_idle_timer();
+        handle_query();
+        read_next();
+    }
+    void handle_query() {
+        ++unanswered_;
+        const DnsQuerySource source{.datagram = false, .client = client_};
+        server_.handler_(query_, source, [weak = this->weak_from_this()](DnsReply reply) {
             const auto self = weak.lock();
             if (!self || self->closed_)
                 return;
-            --self->open_;
-            self->unsent_.push_back(std::move(answer));
-            self->write();
+            --self->unanswered_;
+            self->unsent_.push_back(std::move(reply));
+            self->write_next();
         });
     }
-    // Answers go out in the order in which they are ready (RFC 7766); past the bound nothing more is read.
-    void read_on() {
-        if (!closed_ && !reading_ && !ended_ && open_ + unsent_.size() < server_.limits_.pipelined)
+    void read_next() {
+        const bool within_bound = unanswered_ + unsent_.size() < server_.limits_.queries_per_connection;
+        if (!closed_ && !reading_ && !input_ended_ && within_bound)
             read_length();
     }
-    void write() {
+
+    // Responses go out in the order in which they are ready (RFC 7766).
+    void write_next() {
         if (writing_ || unsent_.empty())
             return;
         writing_ = true;
-        const DnsAnswer answer = std::move(unsent_.front());
+        const DnsReply reply = std::move(unsent_.front());
         unsent_.pop_front();
-        const std::string& bytes = server_.due(answer);
-        out_ = {static_cast<char>(bytes.size() >> 8), static_cast<char>(bytes.size() & 0xff)};
-        out_ += bytes;
-        asio::async_write(stream_, asio::buffer(out_),
+        const std::string& bytes = server_.bytes_to_send(reply);
+        output_ = length_prefix(bytes.size()) + bytes;
+        asio::async_write(stream_, asio::buffer(output_),
                           [self = this->shared_from_this()](const error_code& error, std::size_t) {
-                              if (self->closed_)
-                                  return;
-                              if (error)
-                                  return self->close();
-                              self->writing_ = false;
-                              self->alive();
-                              self->write();
-                              self->read_on();
-                              if (self->ended_)
-                                  self->end_of_input();
+                              if (!self->closed_)
+                                  self->on_written(error);
                           });
     }
-    // The other side has said all: what it asked is still answered.
-    void end_of_input() {
-        ended_ = true;
-        if (open_ == 0 && unsent_.empty() && !writing_)
+    void on_written(const error_code& error) {
+        if (error)
+            return close();
+        writing_ = false;
+        restart_idle_timer();
+        write_next();
+        read_next();
+        if (input_ended_)
+            on_end_of_input();
+    }
+
+    // The client sends nothing more; what it asked before is still answered.
+    void on_end_of_input() {
+        input_ended_ = true;
+        if (unanswered_ == 0 && unsent_.empty() && !writing_)
             close();
     }
-    core::ClientAddress client_{};
-    void alive() {
-        idle_.expires_after(server_.limits_.idle);
-        idle_.async_wait([weak = this->weak_from_this()](const error_code& error) {
+    void restart_idle_timer() {
+        idle_timer_.expires_after(server_.limits_.idle_timeout);
+        idle_timer_.async_wait([weak = this->weak_from_this()](const error_code& error) {
             const auto self = weak.lock();
             if (!error && self)
                 self->close();
         });
     }
-    void close() override {
-        if (std::exchange(closed_, true))
-            return;
-        idle_.cancel();
-        error_code ignored;
-        auto& socket = beast::get_lowest_layer(stream_);
-        socket.shutdown(tcp::socket::shutdown_both, ignored);
-        socket.close(ignored);
-        server_.sessions_.erase(this);
-    }
 
-    std::shared_ptr<asio::ssl::context> context_;  // outlives the stream
+    std::shared_ptr<asio::ssl::context> tls_context_;  // outlives the stream
     Stream stream_;
     DnsServer& server_;
-    asio::steady_timer idle_;
+    asio::steady_timer idle_timer_;
+    core::ClientAddress client_{};
     std::array<unsigned char, 2> length_{};
     std::string query_;
-    std::deque<DnsAnswer> unsent_;
-    std::string out_;
-    std::size_t open_ = 0;
+    std::deque<DnsReply> unsent_;
+    std::string output_;
+    std::size_t unanswered_ = 0;
     bool reading_ = false;
     bool writing_ = false;
-    bool ended_ = false;
+    bool input_ended_ = false;
     bool closed_ = false;
 };
 
-DnsServer::DnsServer(asio::io_context& io, DnsLimits limits, DnsHandler handler, const core::Clock& clock,
-                     Log& log)
+DnsServer::DnsServer(asio::io_context& io, DnsServerLimits limits, DnsQueryHandler handler,
+                     const core::Clock& clock, Log& log)
     : io_(io), limits_(limits), handler_(std::move(handler)), clock_(clock), log_(log) {}
 
 DnsServer::~DnsServer() {
@@ -157,23 +189,24 @@
 }
 
 void DnsServer::stop() {
-    if (std::exchange(stopping_, true))
+    if (std::exchange(stopped_, true))
         return;
     error_code ignored;
     if (udp_)
         udp_->close(ignored);
-    if (tcp_)
-        tcp_->close(ignored);
+    if (tcp_acceptor_)
+        tcp_acceptor_->close(ignored);
     if (tls_acceptor_)
         tls_acceptor_->close(ignored);
+    // A copy, as each session removes itself.
     for (auto& [session, weak] : std::map{sessions_})
         if (const auto alive = weak.lock())
             alive->close();
 }
 
-// Guards rule 3 (drains): an answer that waited behind others may be too old to name its server.
-const std::string& DnsServer::due(const DnsAnswer& answer) const {
-    return answer.leave_by && clock_.now() > *answer.leave_by ? answer.instead : answer.bytes;
+const std::string& DnsServer::bytes_to_send(const DnsReply& reply) const {
+    const bool late = reply.send_by && clock_.now() > *reply.send_by;
+    return late ? reply.bytes_if_late : reply.bytes;
 }
 
 void DnsServer::listen_udp(const asio::ip::udp::endpoint& at) {
@@ -183,77 +216,84 @@
 }
 
 void DnsServer::receive() {
-    udp_->async_receive_from(
-        asio::buffer(datagram_), from_, [this](const error_code& error, std::size_t size) {
-            if (stopping_ || error == asio::error::operation_aborted)
-                return;
-            if (!error) {
-                // An answer that can't be sent at once is dropped, as any datagram may
-                // be: the resolver asks again.
-                handler_({datagram_.data(), size}, {true, client_address(from_.address())},
-                         [this, to = from_, alive = alive_](DnsAnswer answer) {
-                             if (!*alive || stopping_)
-                                 return;
-                             error_code ignored;
-                             udp_->send_to(asio::buffer(due(answer)), to, 0, ignored);
-                         });
-            }
-            receive();
-        });
+    udp_->async_receive_from(asio::buffer(datagram_), datagram_sender_,
+                             [this](const error_code& error, std::size_t size) {
+                                 if (stopped_ || error == asio::error::operation_aborted)
+                                     return;
+                                 if (!error)
+                                     on_datagram({datagram_.data(), size});
+                                 receive();
+                             });
 }
 
-std::optional<tcp::acceptor> DnsServer::open(const tcp::endpoint& at) {
+void DnsServer::on_datagram(std::string_view query) {
+    const DnsQuerySource source{.datagram = true, .client = client_address(datagram_sender_.address())};
+    handler_(query, source, [this, to = datagram_sender_, alive = alive_](const DnsReply& reply) {
+        if (!*alive || stopped_)
+            return;
+        // A response that cannot be sent at once is dropped, as any datagram may be: the resolver asks again.
+        error_code ignored;
+        udp_->send_to(asio::buffer(bytes_to_send(reply)), to, 0, ignored);
+    });
+}
+
+tcp::acceptor DnsServer::open_acceptor(const tcp::endpoint& at) {
     tcp::acceptor acceptor{io_};
     acceptor.open(at.protocol());
     acceptor.set_option(tcp::acceptor::reuse_address(true));
     acceptor.bind(at);
-    acceptor.listen(128);
+    acceptor.listen(kBacklog);
     return acceptor;
 }
 
 void DnsServer::listen_tcp(const tcp::endpoint& at) {
-    tcp_ = open(at);
-    accept(*tcp_, false);
+    tcp_acceptor_ = open_acceptor(at);
+    accept(*tcp_acceptor_, false);
 }
 
 void DnsServer::listen_tls(const tcp::endpoint& at) {
-    tls_acceptor_ = open(at);
+    tls_acceptor_ = open_acceptor(at);
     accept(*tls_acceptor_, true);
 }
 
 void DnsServer::accept(tcp::acceptor& acceptor, bool secure) {
     acceptor.async_accept([this, &acceptor, secure](const error_code& error, tcp::socket socket) {
-        if (stopping_ || error == asio::error::operation_aborted)
+        if (stopped_ || error == asio::error::operation_aborted)
             return;
-        if (!error) {
-            admit(std::move(socket), secure);
-            return accept(acceptor, secure);
-        }
-        log_.line("no-descriptors", "dns accept: %s", error.message().c_str());
-        auto wait = std::make_shared<asio::steady_timer>(io_, std::chrono::milliseconds{50});
-        wait->async_wait([this, wait, alive = alive_, &acceptor, secure](const error_code& e) {
-            if (!e && *alive && !stopping_)
-                accept(acceptor, secure);
-        });
+        if (error)
+            return accept_after_error(acceptor, secure, error);
+        start_session(std::move(socket), secure);
+        accept(acceptor, secure);
+    });
+}
+
+void DnsServer::accept_after_error(tcp::acceptor& acceptor, bool secure, const error_code& error) {
+    log_.line("no-descriptors", "dns accept: %s", error.message().c_str());
+    auto timer = std::make_shared<asio::steady_timer>(io_, kAcceptRetryDelay);
+    timer->async_wait([this, timer, alive = alive_, &acceptor, secure](const error_code& wait_error) {
+        if (!wait_error && *alive && !stopped_)
+            accept(acceptor, secure);
     });
 }
 
-void DnsServer::admit(tcp::socket socket, bool secure) {
+void DnsServer::start_session(tcp::socket socket, bool secure) {
     if (sessions_.size() >= limits_.connections) {
         log_.line("too-many-resolvers", "%zu connections", sessions_.size());
         return;
     }
     error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
-    const auto begin = [this](auto session) {
+    const auto start = [this](const auto& session) {
         sessions_.emplace(session.get(), session);
         session->start();
     };
+    using TlsStream = asio::ssl::stream<TcpStream>;
+    TcpStream stream{std::move(socket)};
     if (!secure)
-        begin(std::make_shared<StreamSession<TcpStream>>(TcpStream{std::move(socket)}, *this, nullptr));
-    else if (tls_)
-        begin(std::make_shared<StreamSession<asio::ssl::stream<TcpStream>>>(
-            asio::ssl::stream<TcpStream>{TcpStream{std::move(socket)}, *tls_}, *this, tls_));
+        start(std::make_shared<StreamSession<TcpStream>>(std::move(stream), *this, nullptr));
+    else if (tls_context_)
+        start(std::make_shared<StreamSession<TlsStream>>(TlsStream{std::move(stream), *tls_context_}, *this,
+                                                         tls_context_));
 }
 
 }  // namespace silverrail::net
--- a/src/net/dns_server.h
+++ b/src/net/dns_server.h
@@ -1,4 +1,5 @@
-// DNS over UDP, TCP (RFC 7766) and TLS (RFC 7858): datagrams and streams of length-prefixed messages.
+// DNS over UDP, TCP (RFC 7766) and TLS (RFC 7858): datagrams, and streams of messages with their length in
+// front. What the messages say is not known here.
 #pragma once
 
 #include <array>
@@ -11,53 +12,60 @@
 
 #include "core/ports.h"
 #include "log/log.h"
-#include "net/asio.h"
-
-namespace boost::asio::ssl {
-class context;
-}
+#include "net/tls.h"
 
 namespace silverrail::net {
 
-struct DnsAnswer {
-    std::string bytes;
-    std::optional<core::Time> leave_by;  // not to be sent later than that: then `instead`
-    std::string instead;
+struct DnsReply {
+    std::string bytes{};
+    // If it cannot be sent by then, `bytes_if_late` is sent in its place.
+    std::optional<core::Time> send_by{};
+    std::string bytes_if_late{};
 };
-using DnsReply = std::function<void(DnsAnswer)>;
-// Where a query came from and how.
-struct DnsFrom {
-    bool datagram = false;
+// Called at most once, on the event loop's thread, at any time.
+using DnsReplyHandler = std::function<void(DnsReply)>;
+
+struct DnsQuerySource {
+    bool datagram = false;  // else a stream, which takes messages of any length
     core::ClientAddress client;
 };
-using DnsHandler = std::function<void(std::string_view query, const DnsFrom& from, DnsReply reply)>;
+// `query` is valid during the call only.
+using DnsQueryHandler =
+    std::function<void(std::string_view query, const DnsQuerySource& source, DnsReplyHandler reply)>;
 
-struct DnsLimits {
+struct DnsServerLimits {
     std::size_t connections = 48;
-    std::size_t pipelined = 32;            // queries of one connection that are open or unsent
-    std::size_t query = 4096;              // bytes
-    std::chrono::milliseconds idle{5000};  // also for a query that has come in half
+    std::size_t queries_per_connection = 32;  // unanswered, or answered and not written
+    std::size_t query_bytes = 4096;           // of a stream's query
+    // Without a query or a written response; a query that came in part does not count.
+    std::chrono::milliseconds idle_timeout{5000};
 };
 
 class DnsServer {
 public:
-    DnsServer(asio::io_context& io, DnsLimits limits, DnsHandler handler, const core::Clock& clock, Log& log);
+    DnsServer(asio::io_context& io, DnsServerLimits limits, DnsQueryHandler handler, const core::Clock& clock,
+              Log& log);
     ~DnsServer();
-    // Each throws boost::system::system_error where it can't listen.
+    DnsServer(const DnsServer&) = delete;
+    DnsServer& operator=(const DnsServer&) = delete;
+
+    // Each throws boost::system::system_error if it cannot listen.
     void listen_udp(const asio::ip::udp::endpoint& at);
     void listen_tcp(const tcp::endpoint& at);
     void listen_tls(const tcp::endpoint& at);
-    // For connections from now on; without one, TLS connections are closed at once.
+    // For TLS connections from now on; without a certificate they are closed at once.
     void use_certificate(std::shared_ptr<asio::ssl::context> context) {
-        tls_ = std::move(context);
+        tls_context_ = std::move(context);
     }
+    // Closes the listeners and all connections.
     void stop();
 
+    // Valid while the server listens there.
     asio::ip::udp::endpoint udp_local() const {
         return udp_->local_endpoint();
     }
     tcp::endpoint tcp_local() const {
-        return tcp_->local_endpoint();
+        return tcp_acceptor_->local_endpoint();
     }
     tcp::endpoint tls_local() const {
         return tls_acceptor_->local_endpoint();
@@ -69,27 +77,30 @@
 private:
     struct Session;
     template <class Stream>
-    struct StreamSession;
+    class StreamSession;
+
     void receive();
+    void on_datagram(std::string_view query);
     void accept(tcp::acceptor& acceptor, bool secure);
-    void admit(tcp::socket socket, bool secure);
-    std::optional<tcp::acceptor> open(const tcp::endpoint& at);
-    const std::string& due(const DnsAnswer& answer) const;
+    void accept_after_error(tcp::acceptor& acceptor, bool secure, const error_code& error);
+    void start_session(tcp::socket socket, bool secure);
+    tcp::acceptor open_acceptor(const tcp::endpoint& at);
+    const std::string& bytes_to_send(const DnsReply& reply) const;
 
     asio::io_context& io_;
-    DnsLimits limits_;
-    DnsHandler handler_;
+    DnsServerLimits limits_;
+    DnsQueryHandler handler_;
     const core::Clock& clock_;
     Log& log_;
-    std::shared_ptr<asio::ssl::context> tls_;
+    std::shared_ptr<asio::ssl::context> tls_context_;
     std::optional<asio::ip::udp::socket> udp_;
-    std::optional<tcp::acceptor> tcp_;
+    std::optional<tcp::acceptor> tcp_acceptor_;
     std::optional<tcp::acceptor> tls_acceptor_;
-    asio::ip::udp::endpoint from_;
+    asio::ip::udp::endpoint datagram_sender_;
     std::array<char, 4096> datagram_{};
     std::map<Session*, std::weak_ptr<Session>> sessions_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-    bool stopping_ = false;
+    bool stopped_ = false;
 };
 
 }  // namespace silverrail::net
--- a/src/net/https_client.cpp
+++ b/src/net/https_client.cpp
@@ -7,127 +7,175 @@
 namespace silverrail::net {
 
 namespace {
-constexpr std::chrono::seconds kWhole{20};
-constexpr std::uint64_t kLongestBody = 256UL * 1024;
+
+constexpr std::chrono::seconds kExchangeTimeout{20};
+constexpr std::uint64_t kMaxBodyBytes = 256UL * 1024;
+constexpr unsigned kHttp11 = 11;
+constexpr std::string_view kScheme = "https://";
+constexpr const char* kDefaultPort = "443";
+
+// Blanks, control characters, or a user's name before the host.
+bool has_forbidden_character(std::string_view text) {
+    return std::any_of(text.begin(), text.end(),
+                       [](unsigned char c) { return c <= ' ' || c == '\x7f' || c == '@'; });
+}
+
+http::request<http::string_body> http_request(const acme::HttpRequest& request, const HttpsUrl& url) {
+    http::request<http::string_body> out{http::string_to_verb(request.method), url.target, kHttp11};
+    out.set(http::field::host, url.port == kDefaultPort ? url.host : url.host + ":" + url.port);
+    out.set(http::field::user_agent, "silverrail");
+    out.set(http::field::connection, "close");
+    if (out.method() == http::verb::post)
+        out.set(http::field::content_type, "application/jose+json");
+    out.body() = request.body;
+    out.prepare_payload();
+    return out;
+}
+
+acme::HttpResponse acme_response(http::response<http::string_body>& response) {
+    const auto header = [&](const char* name) {
+        return std::string{to_string_view(response[name])};
+    };
+    return {.status = response.result_int(),
+            .body = std::move(response.body()),
+            .location = header("Location"),
+            .nonce = header("Replay-Nonce"),
+            .retry_after = header("Retry-After")};
+}
+
 }  // namespace
 
-std::optional<Url> parse_https(std::string_view url) {
-    constexpr std::string_view kScheme = "https://";
-    if (!url.starts_with(kScheme))
+std::optional<HttpsUrl> parse_https_url(std::string_view text) {
+    if (!text.starts_with(kScheme))
         return std::nullopt;
-    url.remove_prefix(kScheme.size());
-    const auto slash = std::min(url.find('/'), url.size());
-    std::string_view host = url.substr(0, slash);
-    Url out;
-    out.target = slash < url.size() ? std::string{url.substr(slash)} : "/";
-    out.port = "443";
+    text.remove_prefix(kScheme.size());
+    const auto target_at = std::min(text.find('/'), text.size());
+    std::string_view host = text.substr(0, target_at);
+    HttpsUrl url;
+    url.target = target_at < text.size() ? std::string{text.substr(target_at)} : "/";
+    url.port = kDefaultPort;
+    // The colons of an IPv6 address stand inside brackets.
     if (const auto colon = host.rfind(':'); colon != std::string_view::npos && host.back() != ']') {
-        out.port = host.substr(colon + 1);
+        url.port = host.substr(colon + 1);
         host = host.substr(0, colon);
     }
-    out.host = host;
-    const auto odd = [](std::string_view s) {
-        return std::any_of(s.begin(), s.end(),
-                           [](unsigned char c) { return c <= ' ' || c == 127 || c == '@'; });
-    };
-    if (out.host.empty() || out.port.empty() || odd(out.host) || odd(out.port) || odd(out.target))
+    url.host = host;
+    if (url.host.empty() || url.port.empty())
         return std::nullopt;
-    return out;
+    for (const std::string& part : {url.host, url.port, url.target})
+        if (has_forbidden_character(part))
+            return std::nullopt;
+    return url;
 }
 
-struct HttpsClient::Exchange : std::enable_shared_from_this<HttpsClient::Exchange> {
-    Exchange(asio::io_context& io, asio::ssl::context& tls, std::function<void(acme::HttpResult)> then)
-        : resolver(io), stream(io, tls), limit(io), done(std::move(then)) {
-        parser.body_limit(kLongestBody);
+// One request and its response. The handlers of its operations keep it alive; the timer's does not.
+class HttpsClient::Exchange : public std::enable_shared_from_this<HttpsClient::Exchange> {
+public:
+    Exchange(asio::io_context& io, asio::ssl::context& tls, std::function<void(acme::HttpResponse)> done)
+        : resolver_(io), stream_(io, tls), timeout_(io), done_(std::move(done)) {
+        parser_.body_limit(kMaxBodyBytes);
+    }
+
+    void start(const acme::HttpRequest& request, const HttpsUrl& url) {
+        request_ = http_request(request, url);
+        const bool without_body = request_.method() == http::verb::head;
+        parser_.skip(without_body);
+        stream_.set_verify_callback(asio::ssl::host_name_verification(url.host));
+        if (SSL_set_tlsext_host_name(stream_.native_handle(), url.host.c_str()) != 1)
+            return finish(asio::error::invalid_argument);
+        start_timeout();
+        resolve(url);
     }
+
+private:
+    void start_timeout() {
+        timeout_.expires_after(kExchangeTimeout);
+        timeout_.async_wait([weak = weak_from_this()](const error_code& error) {
+            const auto self = weak.lock();
+            if (!error && self)
+                self->finish(asio::error::timed_out);
+        });
+    }
+    void resolve(const HttpsUrl& url) {
+        resolver_.async_resolve(url.host, url.port,
+                                [self = shared_from_this()](const error_code& error, const auto& addresses) {
+                                    if (error)
+                                        return self->finish(error);
+                                    const bool timed_out = !self->done_;
+                                    if (!timed_out)
+                                        self->connect(addresses);
+                                });
+    }
+    void connect(const tcp::resolver::results_type& addresses) {
+        asio::async_connect(stream_.next_layer(), addresses,
+                            [self = shared_from_this()](const error_code& error, const auto&) {
+                                if (error)
+                                    return self->finish(error);
+                                self->shake_hands();
+                            });
+    }
+    void shake_hands() {
+        stream_.async_handshake(asio::ssl::stream_base::client,
+                                [self = shared_from_this()](const error_code& error) {
+                                    if (error)
+                                        return self->finish(error);
+                                    self->write();
+                                });
+    }
+    void write() {
+        http::async_write(stream_, request_,
+                          [self = shared_from_this()](const error_code& error, std::size_t) {
+                              if (error)
+                                  return self->finish(error);
+                              self->read();
+                          });
+    }
+    void read() {
+        http::async_read(
+            stream_, buffer_, parser_,
+            [self = shared_from_this()](const error_code& error, std::size_t) { self->finish(error); });
+    }
+    // Ends whatever is under way; the first call reports the outcome.
     void finish(const error_code& error) {
-        if (!done)
+        if (!done_)
             return;
-        acme::HttpResult r;
-        if (error) {
-            r.error = error.message();
-        } else {
-            auto& answer = parser.get();
-            const auto field = [&](const char* name) {
-                const auto v = answer[name];
-                return std::string{v.data(), v.size()};
-            };
-            r.status = answer.result_int();
-            r.location = field("Location");
-            r.nonce = field("Replay-Nonce");
-            r.retry_after = field("Retry-After");
-            r.body = std::move(answer.body());
-        }
+        acme::HttpResponse response;
+        if (error)
+            response.error = error.message();
+        else
+            response = acme_response(parser_.get());
         error_code ignored;
-        limit.cancel();
-        resolver.cancel();
-        stream.next_layer().close(ignored);
-        std::exchange(done, nullptr)(std::move(r));
+        timeout_.cancel();
+        resolver_.cancel();
+        stream_.next_layer().close(ignored);
+        std::exchange(done_, nullptr)(std::move(response));
     }
-    tcp::resolver resolver;
-    asio::ssl::stream<TcpStream> stream;
-    asio::steady_timer limit;  // for the whole exchange
-    beast::flat_buffer buffer;
-    http::request<http::string_body> request;
-    http::response_parser<http::string_body> parser;
-    std::function<void(acme::HttpResult)> done;
+
+    tcp::resolver resolver_;
+    asio::ssl::stream<TcpStream> stream_;
+    asio::steady_timer timeout_;
+    beast::flat_buffer buffer_;
+    http::request<http::string_body> request_;
+    http::response_parser<http::string_body> parser_;
+    std::function<void(acme::HttpResponse)> done_;
 };
 
-HttpsClient::HttpsClient(asio::io_context& io, const std::string& trust)
+HttpsClient::HttpsClient(asio::io_context& io, const std::string& trusted_file)
     : io_(io), tls_(asio::ssl::context::tls_client) {
-    if (trust.empty())
+    if (trusted_file.empty())
         tls_.set_default_verify_paths();
     else
-        tls_.load_verify_file(trust);
+        tls_.load_verify_file(trusted_file);
     tls_.set_verify_mode(asio::ssl::verify_peer);
 }
 
-void HttpsClient::call(acme::HttpCall call, std::function<void(acme::HttpResult)> done) {
-    const auto url = parse_https(call.url);
+void HttpsClient::send(acme::HttpRequest request, std::function<void(acme::HttpResponse)> done) {
+    const auto url = parse_https_url(request.url);
     if (!url) {
         asio::post(io_, [done = std::move(done)] { done({.error = "not an https URL"}); });
         return;
     }
-    const auto x = std::make_shared<Exchange>(io_, tls_, std::move(done));
-    x->request = {http::string_to_verb(call.method), url->target, 11};
-    x->request.set(http::field::host, url->host + (url->port == "443" ? "" : ":" + url->port));
-    x->request.set(http::field::user_agent, "silverrail");
-    x->request.set(http::field::connection, "close");
-    if (call.method == "POST")
-        x->request.set(http::field::content_type, "application/jose+json");
-    x->request.body() = std::move(call.body);
-    x->request.prepare_payload();
-    if (call.method == "HEAD")
-        x->parser.skip(true);
-    x->stream.set_verify_callback(asio::ssl::host_name_verification(url->host));
-    if (SSL_set_tlsext_host_name(x->stream.native_handle(), url->host.c_str()) != 1)
-        return x->finish(asio::error::invalid_argument);
-    x->limit.expires_after(kWhole);
-    x->limit.async_wait([weak = std::weak_ptr{x}](const error_code& error) {
-        const auto exchange = weak.lock();
-        if (!error && exchange)
-            exchange->finish(asio::error::timed_out);
-    });
-    x->resolver.async_resolve(url->host, url->port, [x](const error_code& error, const auto& found) {
-        if (error)
-            return x->finish(error);
-        if (!x->done)
-            return;
-        asio::async_connect(x->stream.next_layer(), found, [x](const error_code& e, const auto&) {
-            if (e)
-                return x->finish(e);
-            x->stream.async_handshake(asio::ssl::stream_base::client, [x](const error_code& shaken) {
-                if (shaken)
-                    return x->finish(shaken);
-                http::async_write(x->stream, x->request, [x](const error_code& written, std::size_t) {
-                    if (written)
-                        return x->finish(written);
-                    http::async_read(x->stream, x->buffer, x->parser,
-                                     [x](const error_code& read, std::size_t) { x->finish(read); });
-                });
-            });
-        });
-    });
+    std::make_shared<Exchange>(io_, tls_, std::move(done))->start(request, *url);
 }
 
 }  // namespace silverrail::net
--- a/src/net/https_client.h
+++ b/src/net/https_client.h
@@ -1,26 +1,32 @@
-// One HTTPS request at a time to wherever a URL points, for the ACME client: verified, bounded, timed.
+// HTTPS requests of the ACME client, on Asio: the server is verified, size and time are bounded.
 #pragma once
 
-#include "acme/client.h"
+#include <optional>
+
+#include "acme/http_transport.h"
 #include "net/tls.h"
 
 namespace silverrail::net {
 
-struct Url {
+struct HttpsUrl {
     std::string host;
     std::string port;
     std::string target;
 };
-std::optional<Url> parse_https(std::string_view url);
+// Absent if it is no https URL with a host, or holds a blank, a control character or an '@'.
+std::optional<HttpsUrl> parse_https_url(std::string_view url);
 
-class HttpsClient : public acme::Http {
+// Each request has a connection of its own. The answer may take 20 s and its body have 256 KB; beyond that it
+// is an error.
+class HttpsClient : public acme::HttpTransport {
 public:
-    // `trust`: file of the certificates to trust; empty: the system's. Throws where it can't be read.
-    HttpsClient(asio::io_context& io, const std::string& trust);
-    void call(acme::HttpCall call, std::function<void(acme::HttpResult)> done) override;
+    // `trusted_file`: the certificates to trust, in PEM; empty: the system's. Throws
+    // boost::system::system_error if it cannot be read.
+    HttpsClient(asio::io_context& io, const std::string& trusted_file);
+    void send(acme::HttpRequest request, std::function<void(acme::HttpResponse)> done) override;
 
 private:
-    struct Exchange;
+    class Exchange;
     asio::io_context& io_;
     asio::ssl::context tls_;
 };
--- a/src/net/tls.cpp
+++ b/src/net/tls.cpp
@@ -2,13 +2,13 @@
 
 namespace silverrail::net {
 
-std::shared_ptr<asio::ssl::context> tls_context(const acme::Issued& issued) {
-    auto context = std::make_shared<asio::ssl::context>(asio::ssl::context::tls_server);
-    context->set_options(asio::ssl::context::default_workarounds | asio::ssl::context::no_sslv2 |
-                         asio::ssl::context::no_sslv3 | asio::ssl::context::no_tlsv1 |
-                         asio::ssl::context::no_tlsv1_1);
-    context->use_certificate_chain(asio::buffer(issued.chain_pem));
-    context->use_private_key(asio::buffer(issued.key_pem), asio::ssl::context::pem);
+std::shared_ptr<asio::ssl::context> server_tls_context(const acme::IssuedCertificate& certificate) {
+    using Context = asio::ssl::context;
+    auto context = std::make_shared<Context>(Context::tls_server);
+    context->set_options(Context::default_workarounds | Context::no_sslv2 | Context::no_sslv3 |
+                         Context::no_tlsv1 | Context::no_tlsv1_1);
+    context->use_certificate_chain(asio::buffer(certificate.chain_pem));
+    context->use_private_key(asio::buffer(certificate.key_pem), Context::pem);
     return context;
 }
 
--- a/src/net/tls.h
+++ b/src/net/tls.h
@@ -1,8 +1,8 @@
-// TLS as this program uses it, and the TLS side of DNS over TLS (RFC 7858).
+// TLS as this program uses it, and the server's side of DNS over TLS (RFC 7858).
 #pragma once
 
 #include "net/asio.h"
-// Behind asio.h, which says why.
+// After net/asio.h, which says why.
 #include <boost/asio/ssl.hpp>
 #include <boost/beast/ssl.hpp>
 
@@ -10,7 +10,8 @@
 
 namespace silverrail::net {
 
-// Throws boost::system::system_error where key and chain do not fit.
-std::shared_ptr<asio::ssl::context> tls_context(const acme::Issued& issued);
+// A server's context, TLS 1.2 or later. Throws boost::system::system_error if the chain or the key cannot be
+// read, or they do not belong together.
+std::shared_ptr<asio::ssl::context> server_tls_context(const acme::IssuedCertificate& certificate);
 
 }  // namespace silverrail::net
--- a/tests/silverrail/parsers_test.cpp
+++ b/tests/silverrail/parsers_test.cpp
@@ -2,6 +2,8 @@
 #include <map>
 
 #include "check.h"
+#include "config/number.h"
+#include "front/dns/response.h"
 #include "front/dns/zone.h"
 #include "front/platform/platform.h"
 #include "net/backoff.h"
@@ -169,7 +171,7 @@
     std::string q = "\x12\x34"s;
     for (const std::uint16_t v : {flags, std::uint16_t{1}, std::uint16_t{0}, std::uint16_t{0}, additional})
         q += {static_cast<char>(v >> 8), static_cast<char>(v)};
-    q += front::dns::wire_name(*front::dns::parse_name(name));
+    q += front::dns::encode_name(*front::dns::parse_name(name));
     for (const std::uint16_t v : {type, std::uint16_t{1}})
         q += {static_cast<char>(v >> 8), static_cast<char>(v)};
     return q + more;
@@ -199,12 +201,12 @@
     };
     for (const Case& c : cases) {
         const auto parsed = parse_query(c.bytes);
-        const auto* bad = std::get_if<Unreadable>(&parsed);
+        const auto* bad = std::get_if<QueryError>(&parsed);
         CHECK((bad == nullptr) == (c.rcode == -1));
         if (bad && c.rcode >= 0)
-            CHECK(bad->answer && static_cast<int>(bad->rcode) == c.rcode);
+            CHECK(bad->respond && static_cast<int>(bad->rcode) == c.rcode);
         if (c.rcode == -2)
-            CHECK(!bad->answer && encode(*bad).empty());
+            CHECK(!bad->respond && encode_error(*bad).empty());
     }
     std::string long_name;
     for (int i = 0; i < 4; ++i)
@@ -216,23 +218,23 @@
     const auto q = std::get<Query>(parse_query(query("a.example", 16)));
     Response r;
     for (int i = 0; i < 4; ++i)
-        r.answers.push_back({false, Type::txt, 0, text_data(std::string(200, 'x'))});
-    const std::string cut = encode(q, r, *parse_name("example"), udp_limit(q));
+        r.answers.push_back({false, RecordType::txt, 0, text_data(std::string(200, 'x'))});
+    const std::string cut = encode_response(q, r, *parse_name("example"), max_udp_response(q));
     CHECK(cut.size() <= 512 && (cut[2] & 2) && cut[7] == 0);
-    CHECK(!(encode(q, r, *parse_name("example"), 65535)[2] & 2));
+    CHECK(!(encode_response(q, r, *parse_name("example"), 65535)[2] & 2));
 }
 
-void dns_names_have_meanings() {
+void dns_names_find_their_entries() {
     using namespace front::dns;
-    using Kind = Meaning::Kind;
+    using Kind = ZoneEntry::Kind;
     ZoneSettings zone;
-    zone.zone = *parse_name("route.example");
+    zone.name = *parse_name("route.example");
     zone.server = *parse_name("ns1.hosts.route.example");
-    const ClassNames classes{[](const std::string& n) { return n == "pages" || n == "lodge"; },
-                             [](const std::string& n) {
-                                 return n == "lodge";
-                             }};
-    Texts texts;
+    const RequestClasses classes{[](const std::string& n) { return n == "pages" || n == "lodge"; },
+                                 [](const std::string& n) {
+                                     return n == "lodge";
+                                 }};
+    TextRecords texts;
     texts.emplace(*parse_name("_acme-challenge.ns1.hosts.route.example"), "proof");
     struct Case {
         const char* name;
@@ -240,26 +242,37 @@
     };
     const Case cases[] = {
         {"route.example", Kind::apex},
-        {"example", Kind::outside},
-        {"xroute.example", Kind::outside},
-        {"NS1.hosts.Route.example", Kind::server},
-        {"hosts.route.example", Kind::inner},
+        {"example", Kind::outside_zone},
+        {"xroute.example", Kind::outside_zone},
+        {"NS1.hosts.Route.example", Kind::name_server},
+        {"hosts.route.example", Kind::empty_non_terminal},
         {"_acme-challenge.ns1.hosts.route.example", Kind::text},
-        {"pages.route.example", Kind::inner},
+        {"pages.route.example", Kind::empty_non_terminal},
         {"7f3a9c21e0b4d655.pages.route.example", Kind::object},
         {"lot-17.7f3a9c21e0b4d655.PAGES.route.example", Kind::object},
         {"piece-3.lot-17.7f3a9c21e0b4d655.pages.route.example", Kind::object},
         {"piece-3.7f3a9c21e0b4d655.pages.route.example", Kind::object},
-        {"lot-256.7f3a9c21e0b4d655.pages.route.example", Kind::unknown},
-        {"lot-017.7f3a9c21e0b4d655.pages.route.example", Kind::unknown},
-        {"x.piece-3.lot-17.7f3a9c21e0b4d655.pages.route.example", Kind::unknown},
-        {"7f3a.pages.route.example", Kind::unknown},
-        {"7f3a9c21e0b4d655.other.route.example", Kind::unknown},
-        {"7f3a9c21e0b4d655.lodge.route.example", Kind::never_repeat},
-        {"lodge.route.example", Kind::never_repeat},
+        {"lot-256.7f3a9c21e0b4d655.pages.route.example", Kind::nonexistent},
+        {"lot-017.7f3a9c21e0b4d655.pages.route.example", Kind::nonexistent},
+        {"x.piece-3.lot-17.7f3a9c21e0b4d655.pages.route.example", Kind::nonexistent},
+        {"7f3a.pages.route.example", Kind::nonexistent},
+        {"7f3a9c21e0b4d655.other.route.example", Kind::nonexistent},
+        {"7f3a9c21e0b4d655.lodge.route.example", Kind::non_idempotent_class},
+        {"lodge.route.example", Kind::non_idempotent_class},
     };
     for (const Case& c : cases)
-        CHECK(meaning_of(*parse_name(c.name), zone, classes, texts).kind == c.kind);
+        CHECK(find_entry(*parse_name(c.name), zone, classes, texts).kind == c.kind);
+}
+
+void numbers_are_the_whole_text() {
+    using config::parse_number;
+    for (const char* bad : {"", " 1", "1 ", "+1", "-1", "1.5", "0x1", "4294967296", "one"})
+        CHECK(!parse_number<std::uint32_t>(bad));
+    CHECK(parse_number<std::uint32_t>("4294967295") == 4294967295U);
+    CHECK(parse_number<std::uint32_t>("007") == 7U);
+    CHECK(parse_number<std::int64_t>("-12") == -12);
+    CHECK(parse_number<double>("1.5e3") == 1500.0);
+    CHECK(!parse_number<double>("1.5;") && !parse_number<double>("+1.5"));
 }
 
 // Growing, bounded, out of step with other seeds and the same for the same one.
@@ -292,12 +305,13 @@
 }  // namespace
 
 int main() {
+    numbers_are_the_whole_text();
     backoff_grows_and_differs_between_routers();
     sse_events_are_parsed_however_the_bytes_are_cut();
     platform_requests_are_parsed_or_refused();
     server_responses_become_attempt_ends();
     cache_status_words_are_translated_both_ways();
     dns_queries_are_parsed_or_refused();
-    dns_names_have_meanings();
+    dns_names_find_their_entries();
     std::puts("parsers: all cases hold");
 }
