--- a/src/net/peer_transport.cpp
+++ b/src/net/peer_transport.cpp
@@ -122,7 +122,7 @@
                             });
 }
 
-void PeerTransport::send(std::vector<Outgoing> messages) {
+void PeerTransport::send(const std::vector<Outgoing>& messages) {
     for (const auto& message : messages) {
         if (stopped_)
             return;
@@ -263,7 +263,7 @@
     if (incoming)
         return reply(stream, std::move(replies));
     close(stream);
-    send(std::move(replies));
+    send(replies);
 }
 
 // The first stream reply goes back on the stream that asked; the others are sent like any message.
@@ -276,7 +276,7 @@
         else
             others.push_back(std::move(message));
     }
-    send(std::move(others));
+    send(others);
     if (!answer)
         return close(stream);
     stream->out = frame(answer->message);
--- a/src/net/peer_transport.h
+++ b/src/net/peer_transport.h
@@ -59,7 +59,7 @@
     ~PeerTransport();
     void start();
     void stop();
-    void send(std::vector<Outgoing> messages);
+    void send(const std::vector<Outgoing>& messages);
     udp::endpoint local() const {
         return udp_.local_endpoint();
     }
