--- a/src/lab/synthetic_trace/server_model.cpp
+++ b/src/lab/synthetic_trace/server_model.cpp
@@ -94,7 +94,7 @@
     in_flight_.erase(key);
 }
 
-void SimulatedAttemptSender::forget(const core::ServerId&) {}
+void SimulatedAttemptSender::discard_connections(const core::ServerId&) {}
 
 void SimulatedAttemptSender::connect(const core::AttemptRequest& request, core::AttemptEvents& events,
                                      SimulatedServer& server) {
--- a/src/lab/synthetic_trace/server_model.h
+++ b/src/lab/synthetic_trace/server_model.h
@@ -43,7 +43,7 @@
         : scheduler_(scheduler), clock_(clock), servers_(servers), random_(seed) {}
     void start(core::AttemptRequest request, core::AttemptEvents& events) override;
     void cancel(const core::AttemptKey& key) override;
-    void forget(const core::ServerId& server) override;
+    void discard_connections(const core::ServerId& server) override;
 
 private:
     struct Response {
