--- a/tests/fleet/common.h
+++ b/tests/fleet/common.h
@@ -1,71 +1,111 @@
-// What the tests with a fleet of real processes have in common.
+// What the tests with a fleet of real processes have in common. A test's program has several scenarios; one
+// run plays the one that its first argument names, so that ctest can run them side by side.
 #pragma once
 
+#include <algorithm>
+#include <chrono>
 #include <cstdio>
 #include <cstring>
 #include <string>
 #include <vector>
 
 #include "../silverrail/check.h"
-#include "lab/farm.h"
-#include "lab/fleet.h"
+#include "lab/router_fleet.h"
+#include "lab/server_pool.h"
 
 using namespace silverrail;
 using namespace std::chrono_literals;
-using lab::Fleet;
+using lab::RouterFleet;
+using lab::StandInServerPool;
 
-// Probes every 250 ms; a suspicion waits 3 s at least (12 * 250 ms) and 6 s at most: a stall of 3 s is not
-// a death, a crash is one within 5 s.
-inline lab::Fleet::Options options(std::size_t members) {
-    return {members, SILVERRAIL_PROGRAM,
-            R"(,"probe_ms":250,"probe_timeout_ms":100,"push_pull_ms":1000,"dead_keep_ms":30000,)"
-            R"("suspicion_mult":12,"suspicion_max_mult":2,"replica_ms":250)",
-            7};
+using TestClock = std::chrono::steady_clock;
+
+// Probes every 250 ms; a suspicion lasts 3 s at least (12 * 250 ms) and 6 s at most: a stall of 3 s is not a
+// death, a crash is one within 5 s.
+inline lab::FleetOptions fleet_options(std::size_t members) {
+    lab::FleetOptions options;
+    options.members = members;
+    options.program = SILVERRAIL_PROGRAM;
+    options.seed = 7;
+    options.peers["probe_ms"] = 250;
+    options.peers["probe_timeout_ms"] = 100;
+    options.peers["push_pull_ms"] = 1000;
+    options.peers["dead_keep_ms"] = 30000;
+    options.peers["suspicion_mult"] = 12;
+    options.peers["suspicion_max_mult"] = 2;
+    options.peers["replica_ms"] = 250;
+    return options;
+}
+
+// Members `from` to below `to`.
+inline void start_all(RouterFleet& fleet, std::size_t from, std::size_t to) {
+    for (std::size_t member = from; member < to; ++member)
+        fleet.start(member);
 }
 
-inline void start_all(Fleet& fleet, std::size_t from, std::size_t to) {
-    for (std::size_t i = from; i < to; ++i)
-        fleet.start(i);
+// Nothing passes between the members below `border` and the others.
+inline void partition_at(RouterFleet& fleet, std::size_t border) {
+    for (std::size_t a = 0; a < border; ++a)
+        for (std::size_t b = border; b < fleet.members(); ++b)
+            fleet.proxy().set_faults_both_ways(a, b, {.cut = true});
 }
 
-inline std::size_t lines(const std::string& log, const std::string& what) {
-    std::size_t n = 0;
-    for (auto at = log.find(what); at != std::string::npos; at = log.find(what, at + 1))
-        ++n;
-    return n;
+inline std::size_t occurrences(const std::string& text, const std::string& what) {
+    std::size_t count = 0;
+    for (auto at = text.find(what); at != std::string::npos; at = text.find(what, at + 1))
+        ++count;
+    return count;
 }
 
-inline bool ack(const std::string& answer) {
-    return answer.rfind("ACK", 0) == 0;
+// Whether a command on the control address was carried out, by its answer.
+inline bool accepted(const std::string& answer) {
+    return answer.starts_with("ACK");
+}
+inline bool refused(const std::string& answer) {
+    return answer.starts_with("NAK");
 }
 
-inline long long since(std::chrono::steady_clock::time_point began) {
-    return std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::steady_clock::now() - began)
-        .count();
+inline long long ms_since(TestClock::time_point began) {
+    return std::chrono::duration_cast<std::chrono::milliseconds>(TestClock::now() - began).count();
 }
 
-// One view on all; on failure what each saw is printed, as the cause can't be seen from outside.
-inline bool agreed(Fleet& fleet, std::chrono::milliseconds most) {
-    if (fleet.wait_until([&] { return fleet.agree(); }, most))
+// All members see each other alive within `timeout`; if not, what each of them sees and has logged is
+// printed.
+inline bool all_agree(RouterFleet& fleet, std::chrono::milliseconds timeout) {
+    if (fleet.wait_until([&] { return fleet.agree(); }, timeout))
         return true;
-    for (std::size_t i = 0; i < fleet.members(); ++i)
-        if (fleet.running(i))
-            std::fprintf(stderr, "%s sees\n%s%s", Fleet::name(i).c_str(), fleet.call(i, "MEMBERS").c_str(),
-                         fleet.log(i).c_str());
+    for (std::size_t member = 0; member < fleet.members(); ++member)
+        if (fleet.running(member))
+            std::fprintf(stderr, "%s sees\n%s%s", lab::member_name(member).c_str(),
+                         fleet.control(member, "MEMBERS").c_str(), fleet.log(member).c_str());
     return false;
 }
 
+// Every running member but those below `first` has `value` in the counter.
+inline bool all_count(RouterFleet& fleet, const std::string& counter, std::uint64_t value,
+                      std::size_t first = 0) {
+    for (std::size_t member = first; member < fleet.members(); ++member) {
+        if (!fleet.running(member))
+            continue;
+        const auto counters = fleet.counters(member);
+        const auto found = counters.find(counter);
+        if (found == counters.end() || found->second != value)
+            return false;
+    }
+    return true;
+}
+
 struct Scenario {
     const char* name;
     void (*run)();
 };
 
-// Plays the one that the first argument names.
+// Plays the scenario that the first argument names. Returns the exit code.
 inline int play(int argc, char** argv, const std::vector<Scenario>& scenarios) {
-    for (const auto& s : scenarios)
-        if (argc > 1 && std::strcmp(argv[1], s.name) == 0) {
-            s.run();
-            std::printf("fleet %s: as it should be\n", s.name);
+    for (const Scenario& scenario : scenarios)
+        if (argc > 1 && std::strcmp(argv[1], scenario.name) == 0) {
+            scenario.run();
+            std::printf("fleet %s: as it should be\n", scenario.name);
             return 0;
         }
     std::fprintf(stderr, "which scenario?\n");
--- a/tests/fleet/failover_test.cpp
+++ b/tests/fleet/failover_test.cpp
@@ -1,415 +1,458 @@
-// Failover in common, by real processes: nine routers in three zones of two regions before stand-in servers,
-// with faults between them. Every request has to be answered once, and no write may run twice.
+// Failover by real processes: nine routers in three zones of two regions before stand-in servers, with faults
+// between them. Every request has to be answered once, and no write may be executed twice.
 #include "cluster/failover/failover.h"
 
-#include <signal.h>
-
 #include <algorithm>
 #include <cmath>
+#include <csignal>
+#include <functional>
 #include <map>
 #include <sstream>
+#include <utility>
 
 #include "common.h"
 
 namespace {
 
-constexpr std::size_t kRouters = 9, kServersEach = 4;
-constexpr std::size_t kStore = 3 * kServersEach;  // its number in the farm
-const std::vector<std::size_t> kOfZ1{0, 1, 2, 3};
-constexpr auto kHold = 2000ms;
-
-// m0 to m2 in z1, m3 to m5 in z2, both of r1; m6 to m8 in z3 of r2. `rules`: servers just started bear
-// little.
-Fleet::Options placed(const lab::Farm& farm, bool rules = false) {
-    auto o = options(kRouters);
-    o.peers_extra +=
-        R"(,"failover":{"hold_ms":2000,"slot_ms":250,"zones":[{"name":"z1","region":"r1","routers":3},)"
-        R"({"name":"z2","region":"r1","routers":3},{"name":"z3","region":"r2","routers":3}]})";
-    for (std::size_t i = 0; i < kRouters; ++i)
-        o.places.push_back({"z" + std::to_string(1 + i / 3), i < 6 ? "r1" : "r2"});
-    const int weight = rules ? 2 : 10;
-    o.servers = [&farm, weight](std::size_t i) {
-        std::vector<Fleet::Options::ServerRecord> out;
-        for (std::size_t k = 0; k < kStore; ++k)
-            out.push_back({Fleet::server(k), farm.address(k, i),
-                           std::string{"z"}.append(std::to_string(1 + k / kServersEach)), "small-box",
-                           "active", weight});
-        out.push_back({"store", farm.address(kStore, i), "north", "origin", "active", 10});
-        return out;
+constexpr std::size_t kRouters = 9;
+constexpr std::size_t kRoutersPerZone = 3;
+constexpr std::size_t kServersPerZone = 4;
+constexpr std::size_t kStore = 3 * kServersPerZone;  // its index in the pool
+const std::vector<std::size_t> kServersOfZ1{0, 1, 2, 3};
+constexpr auto kHoldDown = 2000ms;
+
+std::string zone_name(std::size_t index) {
+    return std::string{"z"}.append(std::to_string(1 + index));
+}
+
+Json::Value failover_settings() {
+    Json::Value settings;
+    settings["hold_ms"] = Json::Int64{kHoldDown.count()};
+    settings["slot_ms"] = 250;
+    for (std::size_t zone = 0; zone < 3; ++zone) {
+        Json::Value json;
+        json["name"] = zone_name(zone);
+        json["region"] = zone < 2 ? "r1" : "r2";
+        json["routers"] = Json::UInt64{kRoutersPerZone};
+        settings["zones"].append(json);
+    }
+    return settings;
+}
+
+std::vector<lab::FleetServer> server_list(const StandInServerPool& servers, std::size_t router, int weight) {
+    std::vector<lab::FleetServer> list;
+    for (std::size_t server = 0; server < kStore; ++server)
+        list.push_back({lab::server_id(server), servers.address(server, router),
+                        zone_name(server / kServersPerZone), "small-box", "active", weight});
+    list.push_back({"store", servers.address(kStore, router), "north", "origin", "active", 10});
+    return list;
+}
+
+// m0 to m2 in z1, m3 to m5 in z2, both of r1; m6 to m8 in z3 of r2. `slow_start`: servers that have just
+// started may get few requests only.
+lab::FleetOptions options_with(const StandInServerPool& servers, bool slow_start = false) {
+    auto options = fleet_options(kRouters);
+    options.peers["failover"] = failover_settings();
+    for (std::size_t router = 0; router < kRouters; ++router)
+        options.locations.push_back({zone_name(router / kRoutersPerZone), router < 6 ? "r1" : "r2"});
+    const int weight = slow_start ? 2 : 10;
+    options.servers = [&servers, weight](std::size_t router) {
+        return server_list(servers, router, weight);
     };
-    if (rules) {
-        o.rules = R"({"cold-from":0.26,"cold":14000000000,"tip-multiple":2,"fall":3000000000})";
-        o.family = R"(,"one-flow-kb-per-s":100)";
+    if (slow_start) {
+        options.slow_start["cold-from"] = 0.26;
+        options.slow_start["cold"] = Json::Int64{14'000'000'000};
+        options.slow_start["tip-multiple"] = 2;
+        options.slow_start["fall"] = Json::Int64{3'000'000'000};
+        options.cache_settings["one-flow-kb-per-s"] = 100;
     }
-    return o;
+    return options;
 }
 
-struct Zone {
-    std::string health, to, pin;
+// A zone as a router's answer to FAILOVER gives it.
+struct ZoneView {
+    std::string health;
+    std::string target;
+    std::string pin;
     std::uint64_t epoch = 0;
-    int out = -1;
-    bool operator==(const Zone&) const = default;
+    int moved_percent = -1;  // -1: no answer
 };
-// FAILOVER of member i, zone z1; out -1 if it does not answer.
-Zone z1_of(Fleet& fleet, std::size_t i) {
-    std::istringstream lines{fleet.call(i, "FAILOVER")};
+
+ZoneView z1_seen_by(RouterFleet& fleet, std::size_t router) {
+    std::istringstream lines{fleet.control(router, "FAILOVER")};
     std::string line, name, region, routers;
-    Zone z;
+    ZoneView view;
     while (std::getline(lines, line)) {
         std::istringstream words{line};
         if (words >> name >> region >> routers && name == "z1") {
-            words >> z.health >> z.epoch >> z.out >> z.to >> z.pin;
-            return z;
+            words >> view.health >> view.epoch >> view.moved_percent >> view.target >> view.pin;
+            return view;
         }
     }
-    return z;
+    return view;
 }
 
-// The load: each call asks each running router for a few objects, and now and then for a write.
+// Clients of some of the routers.
 struct Load {
-    Fleet& fleet;
+    RouterFleet& fleet;
     std::vector<std::size_t> routers;
-    std::size_t each = 2;
-    std::map<int, std::size_t> answers{};  // by status
+    std::size_t requests_each = 2;
+    std::map<int, std::size_t> reads{};  // by status
     std::map<int, std::size_t> writes{};
     std::uint64_t object = 0;
 
-    void ask() {
-        for (const auto i : routers) {
-            if (!fleet.running(i))
+    // Some reads at each router that runs, and a write at some of them.
+    void send() {
+        for (const auto router : routers) {
+            if (!fleet.running(router))
                 continue;
-            for (std::size_t k = 0; k < each; ++k)
-                ++answers[fleet.ask(i, "pages", ++object)];
+            for (std::size_t i = 0; i < requests_each; ++i)
+                ++reads[fleet.request(router, "pages", ++object)];
             if (++object % 5 == 0)
-                ++writes[fleet.ask(i, "lodge", object)];
+                ++writes[fleet.request(router, "lodge", object)];
         }
     }
     // Answered once, whatever the answer: no answer and two answers are both faults.
-    void check(const lab::Farm& farm) const {
-        for (const auto* all : {&answers, &writes})
+    void check(const StandInServerPool& servers) const {
+        for (const auto* all : {&reads, &writes})
             for (const auto& [status, count] : *all)
                 if (status <= 0) {
                     std::fprintf(stderr, "%zu requests with %s\n", count,
                                  status < 0 ? "two answers" : "none");
                     CHECK(false);
                 }
-        const auto runs = farm.runs();
-        CHECK(!runs.empty() && writes.contains(200) && runs.size() >= writes.at(200));
-        for (const auto& [id, times] : runs)
+        const auto executions = servers.write_executions();
+        CHECK(!executions.empty() && writes.contains(200) && executions.size() >= writes.at(200));
+        for (const auto& [id, times] : executions)
             CHECK(times == 1);
     }
-    std::size_t served() const {
-        const auto at = answers.find(200);
-        return at == answers.end() ? 0 : at->second;
+    std::size_t served_reads() const {
+        const auto served = reads.find(200);
+        return served == reads.end() ? 0 : served->second;
     }
-    std::size_t asked() const {
-        std::size_t n = 0;
-        for (const auto& [status, count] : answers)
-            n += count;
-        return n;
+    std::size_t all_reads() const {
+        std::size_t count = 0;
+        for (const auto& [status, number] : reads)
+            count += number;
+        return count;
     }
 };
 
-bool all_have(Fleet& fleet, int out, const std::vector<std::size_t>& except = {}) {
-    for (std::size_t i = 0; i < kRouters; ++i)
-        if (fleet.running(i) && std::find(except.begin(), except.end(), i) == except.end() &&
-            z1_of(fleet, i).out != out)
+// Sends load until `condition` holds; false if it does not within `timeout`.
+bool load_until(RouterFleet& fleet, Load& load, const std::function<bool()>& condition,
+                std::chrono::milliseconds timeout) {
+    return fleet.wait_until(
+        [&] {
+            load.send();
+            return condition();
+        },
+        timeout);
+}
+
+void load_for(RouterFleet& fleet, Load& load, std::chrono::milliseconds span) {
+    const auto began = TestClock::now();
+    load_until(fleet, load, [&] { return ms_since(began) > span.count(); }, span + 1s);
+}
+
+// Every running router but those in `left_out` has so much of z1's traffic moved.
+bool all_moved(RouterFleet& fleet, int percent, const std::vector<std::size_t>& left_out = {}) {
+    for (std::size_t router = 0; router < kRouters; ++router)
+        if (fleet.running(router) && std::find(left_out.begin(), left_out.end(), router) == left_out.end() &&
+            z1_seen_by(fleet, router).moved_percent != percent)
             return false;
     return true;
 }
 
-void begin(Fleet& fleet, Load& load) {
+void set_z1_up(StandInServerPool& servers, bool up) {
+    for (const auto server : kServersOfZ1)
+        servers.set_server_up(server, up);
+}
+
+void set_m0_links_up(StandInServerPool& servers, bool up) {
+    for (const auto server : kServersOfZ1)
+        servers.set_link_up(server, 0, up);
+}
+
+// Until the health of z1 is known to all.
+void start(RouterFleet& fleet, Load& load) {
     start_all(fleet, 0, kRouters);
-    CHECK(agreed(fleet, 5s));
-    // Each zone's health is known to all before anything happens.
-    CHECK(fleet.wait_until(
+    CHECK(all_agree(fleet, 5s));
+    CHECK(load_until(
+        fleet, load,
         [&] {
-            load.ask();
-            for (std::size_t i = 0; i < kRouters; ++i)
-                if (z1_of(fleet, i).health != "100/100")
+            for (std::size_t router = 0; router < kRouters; ++router)
+                if (z1_seen_by(fleet, router).health != "100/100")
                     return false;
             return true;
         },
         5s));
-    CHECK(load.served() == load.asked() && all_have(fleet, 0));
+    CHECK(load.served_reads() == load.all_reads() && all_moved(fleet, 0));
 }
 
-// A zone's servers lost: one decision, in force on all routers of the region within 2 s, and nothing goes
-// there any more. Servers back: in steps, and none that is cold gets more than it bears.
-void zone_lost() {
-    lab::Farm farm{kStore + 1, kRouters};
-    Fleet fleet{placed(farm, true)};
-    Load load{fleet, {0, 1, 2, 3}, 4};
-    begin(fleet, load);
-    const auto calm = farm.asked();
-    CHECK(std::none_of(calm.begin(), calm.end(), [](const lab::Farm::Asked& a) {
-        return a.server != kStore && a.server / kServersEach != a.router / 3;  // all near
-    }));
-    for (const auto k : kOfZ1)
-        farm.set_server(k, false);
-    const auto lost = std::chrono::steady_clock::now();
-    CHECK(fleet.wait_until(
-        [&] {
-            load.ask();
-            return all_have(fleet, 100);
-        },
-        2s));
-    std::printf("zone lost: decided and known to all nine after %lld ms\n", since(lost));
-    CHECK(z1_of(fleet, 0).to == "z2=100" && z1_of(fleet, 5).epoch == 1);
-    // The servers would answer again, but nobody asks them before the next decision.
-    const auto refused =
-        fleet.counters(0)["ending_no_connection"] + fleet.counters(1)["ending_no_connection"];
-    const auto before = load.served(), before_asked = load.asked();
+std::uint64_t failed_connects(RouterFleet& fleet) {
+    return fleet.counters(0)["ending_no_connection"] + fleet.counters(1)["ending_no_connection"];
+}
+
+// After the decision nobody sends to the lost zone, and everything is served in the region.
+void check_moved_away(RouterFleet& fleet, Load& load) {
+    CHECK(z1_seen_by(fleet, 0).target == "z2=100" && z1_seen_by(fleet, 5).epoch == 1);
+    const auto connects_before = failed_connects(fleet);
+    const auto served_before = load.served_reads();
+    const auto all_before = load.all_reads();
     for (int i = 0; i < 10; ++i)
-        load.ask();
-    CHECK(load.served() - before == load.asked() - before_asked);
-    CHECK(fleet.counters(0)["ending_no_connection"] + fleet.counters(1)["ending_no_connection"] == refused);
+        load.send();
+    CHECK(load.served_reads() - served_before == load.all_reads() - all_before);
+    CHECK(failed_connects(fleet) == connects_before);
     CHECK(fleet.counters(0)["failover.sent_out_of_zone"] > 0);
     CHECK(fleet.counters(0)["failover.sent_out_of_region"] == 0);
-    for (const auto k : kOfZ1)
-        farm.set_server(k, true);
-    const auto up = std::chrono::steady_clock::now();
-    std::vector<std::pair<int, std::chrono::steady_clock::time_point>> steps{{100, lost}};  // as m0 has them
-    CHECK(fleet.wait_until(
+}
+
+// A change of the share of z1's traffic that is moved.
+struct Step {
+    int moved_percent;
+    TestClock::time_point seen_at;
+};
+
+// The steps as m0 has them, from 100 percent to 0.
+std::vector<Step> follow_recovery(RouterFleet& fleet, Load& load, TestClock::time_point lost) {
+    std::vector<Step> steps{{100, lost}};
+    CHECK(load_until(
+        fleet, load,
         [&] {
-            load.ask();
-            const int out = z1_of(fleet, 0).out;
-            if (out != steps.back().first)
-                steps.emplace_back(out, std::chrono::steady_clock::now());
-            return out == 0 && all_have(fleet, 0);
+            const int moved = z1_seen_by(fleet, 0).moved_percent;
+            if (moved != steps.back().moved_percent)
+                steps.push_back({moved, TestClock::now()});
+            return moved == 0 && all_moved(fleet, 0);
         },
         25s));
-    // A quarter first, then as its servers warm, never out again; each at least a hold-down after the one
-    // before.
-    CHECK(steps.size() >= 4 && steps[1].first == 75);
-    for (std::size_t i = 2; i < steps.size(); ++i)
-        CHECK(steps[i].first < steps[i - 1].first && steps[i].first >= steps[i - 1].first - 25 &&
-              steps[i].second - steps[i - 1].second > kHold - 300ms);
-    // m0 saw the step at most one look after it came.
-    std::size_t early = 0;
-    const auto all = farm.asked();
-    for (const auto& a : all)
-        if (a.server < kServersEach && a.at > lost + 2s && a.at < steps[1].second - 500ms)
-            ++early;
-    CHECK(early == 0);
-    // What a server just started bears in 3 s: N requests of 0.25 s, twice its weight times how warm it is by
-    // the end; over it by chance only. It counts as started with the first step back.
+    return steps;
+}
+
+// A quarter first, then as its servers warm, never out again; each at least a hold-down after the one before.
+void check_steps(const std::vector<Step>& steps) {
+    CHECK(steps.size() >= 4 && steps[1].moved_percent == 75);
+    for (std::size_t i = 2; i < steps.size(); ++i) {
+        const Step& before = steps[i - 1];
+        CHECK(steps[i].moved_percent < before.moved_percent &&
+              steps[i].moved_percent >= before.moved_percent - 25 &&
+              steps[i].seen_at - before.seen_at > kHoldDown - 300ms);
+    }
+}
+
+// What a server that has just started may get in 3 s: N requests of 0.25 s, twice its weight times how warm
+// it is by the end; more by chance only. It counts as started with its first request. Returns the most that
+// any got.
+std::size_t check_slow_start(const std::vector<lab::ReceivedRequest>& received, TestClock::time_point up) {
     std::size_t most = 0;
-    for (const auto k : kOfZ1) {
-        std::vector<std::chrono::steady_clock::time_point> at;
-        for (const auto& a : all)
-            if (a.server == k && a.at > up)
-                at.push_back(a.at);
-        for (std::size_t i = 0, j = 0; j < at.size(); ++j) {
-            while (at[j] - at[i] > 3s)
-                ++i;
-            const double warm = std::min(1.0, std::chrono::duration<double>(at[j] - at.front()).count() / 14);
-            const double n = 2 * 2 * (0.26 + 0.74 * warm) * 3 / 0.25;
-            most = std::max(most, j - i + 1);
-            CHECK(static_cast<double>(j - i + 1) <= n + 3 * std::sqrt(n) + 3);
+    for (const auto server : kServersOfZ1) {
+        std::vector<TestClock::time_point> times;
+        for (const auto& request : received)
+            if (request.server == server && request.received_at > up)
+                times.push_back(request.received_at);
+        for (std::size_t first = 0, last = 0; last < times.size(); ++last) {
+            while (times[last] - times[first] > 3s)
+                ++first;
+            const double running_s = std::chrono::duration<double>(times[last] - times.front()).count();
+            const double warm = std::min(1.0, running_s / 14);
+            const double allowed = 2 * 2 * (0.26 + 0.74 * warm) * 3 / 0.25;
+            most = std::max(most, last - first + 1);
+            CHECK(static_cast<double>(last - first + 1) <= allowed + 3 * std::sqrt(allowed) + 3);
         }
     }
+    return most;
+}
+
+// A zone's servers lost: one decision, in force on all routers of the region within 2 s, and nothing goes
+// there any more. Servers back: in steps, and none that is cold gets more than it bears.
+void zone_lost() {
+    StandInServerPool servers{kStore + 1, kRouters};
+    RouterFleet fleet{options_with(servers, true)};
+    Load load{fleet, {0, 1, 2, 3}, 4};
+    start(fleet, load);
+    const auto calm = servers.received();
+    CHECK(std::none_of(calm.begin(), calm.end(), [](const lab::ReceivedRequest& request) {
+        return request.server != kStore &&
+               request.server / kServersPerZone != request.router / kRoutersPerZone;
+    }));
+    set_z1_up(servers, false);
+    const auto lost = TestClock::now();
+    CHECK(load_until(fleet, load, [&] { return all_moved(fleet, 100); }, 2s));
+    std::printf("zone lost: decided and known to all nine after %lld ms\n", ms_since(lost));
+    check_moved_away(fleet, load);
+    set_z1_up(servers, true);
+    const auto up = TestClock::now();
+    const auto steps = follow_recovery(fleet, load, lost);
+    check_steps(steps);
+    // m0 saw the step at most one look after it came.
+    const auto received = servers.received();
+    const auto early = std::count_if(received.begin(), received.end(), [&](const auto& request) {
+        return request.server < kServersPerZone && request.received_at > lost + 2s &&
+               request.received_at < steps[1].seen_at - 500ms;
+    });
+    CHECK(early == 0);
+    const std::size_t most = check_slow_start(received, up);
     std::printf(
-        "zone lost: back in %zu steps over %lld ms, at most %zu requests to a box in 3 s; %zu of %zu "
+        "zone lost: back in %zu steps over %lld ms, at most %zu requests to a server in 3 s; %zu of %zu "
         "served\n",
-        steps.size() - 1, since(up), most, load.served(), load.asked());
-    load.check(farm);
+        steps.size() - 1, ms_since(up), most, load.served_reads(), load.all_reads());
+    load.check(servers);
 }
 
 // One router's link to all of its zone's servers is down: nobody moves.
 void flaky_link() {
-    lab::Farm farm{kStore + 1, kRouters};
-    Fleet fleet{placed(farm)};
+    StandInServerPool servers{kStore + 1, kRouters};
+    RouterFleet fleet{options_with(servers)};
     Load load{fleet, {0, 1, 2, 4}};
-    begin(fleet, load);
-    const auto began = std::chrono::steady_clock::now();
+    start(fleet, load);
+    const auto began = TestClock::now();
     bool up = false;
     fleet.wait_until(
         [&] {
-            for (const auto k : kOfZ1)
-                farm.set_link(k, 0, up);
-            up = !up && since(began) % 5 == 0;  // down most of the time
-            load.ask();
-            return since(began) > 6000;
+            set_m0_links_up(servers, up);
+            up = !up && ms_since(began) % 5 == 0;  // down most of the time
+            load.send();
+            return ms_since(began) > 6000;
         },
         8s);
     CHECK(fleet.counters(0)["ending_no_connection"] > 5);  // it did see it
-    for (std::size_t i = 0; i < kRouters; ++i)
-        CHECK(z1_of(fleet, i).epoch == 0 && z1_of(fleet, i).out == 0);
+    for (std::size_t router = 0; router < kRouters; ++router)
+        CHECK(z1_seen_by(fleet, router).epoch == 0 && z1_seen_by(fleet, router).moved_percent == 0);
     CHECK(fleet.counters(1)["failover.sent_out_of_zone"] == 0);
-    load.check(farm);
+    load.check(servers);
 }
 
 // One router cut off from all others: it serves near, and does not fail its zone over, even if it loses sight
 // of its servers as well.
 void cut_off() {
-    lab::Farm farm{kStore + 1, kRouters};
-    Fleet fleet{placed(farm)};
+    StandInServerPool servers{kStore + 1, kRouters};
+    RouterFleet fleet{options_with(servers)};
     Load load{fleet, {0, 1, 4}};
-    begin(fleet, load);
-    for (std::size_t b = 1; b < kRouters; ++b)
-        fleet.relay().set_both(0, b, {.cut = true});
-    const auto cut = std::chrono::steady_clock::now();
+    start(fleet, load);
+    partition_at(fleet, 1);
+    const auto cut = TestClock::now();
     // Nobody confirms its suspicions, so each lasts the 6 s of the settings, and its probes, every 250 ms,
     // come up to nine times as seldom as they fail: the one that ends the majority may begin some 6 s after
     // the cut.
-    CHECK(fleet.wait_until(
-        [&] {
-            load.ask();
-            return fleet.counters(0)["failover.quorum"] == 0;
-        },
-        13s));
-    std::printf("cut off: it knows that it is alone after %lld ms\n", since(cut));
-    CHECK(load.served() == load.asked());
-    for (const auto k : kOfZ1)
-        farm.set_link(k, 0, false);
-    const auto blind = std::chrono::steady_clock::now();
-    fleet.wait_until(
-        [&] {
-            load.ask();
-            return since(blind) > 4000;
-        },
-        5s);
+    CHECK(load_until(fleet, load, [&] { return fleet.counters(0)["failover.quorum"] == 0; }, 13s));
+    std::printf("cut off: it knows that it is alone after %lld ms\n", ms_since(cut));
+    CHECK(load.served_reads() == load.all_reads());
+    set_m0_links_up(servers, false);
+    load_for(fleet, load, 4000ms);
     CHECK(fleet.counters(0)["failover.health"] == 0);
-    for (std::size_t i = 0; i < kRouters; ++i)
-        CHECK(z1_of(fleet, i).epoch == 0);
-    for (const auto k : kOfZ1)
-        farm.set_link(k, 0, true);
-    fleet.relay().clear();
-    CHECK(fleet.wait_until(
-        [&] {
-            load.ask();
-            return fleet.agree() && fleet.counters(0)["failover.quorum"] == 1;
-        },
-        8s));
-    for (std::size_t i = 0; i < kRouters; ++i)
-        CHECK(z1_of(fleet, i).epoch == 0);
+    for (std::size_t router = 0; router < kRouters; ++router)
+        CHECK(z1_seen_by(fleet, router).epoch == 0);
+    set_m0_links_up(servers, true);
+    fleet.proxy().clear_faults();
+    CHECK(load_until(
+        fleet, load, [&] { return fleet.agree() && fleet.counters(0)["failover.quorum"] == 1; }, 8s));
+    for (std::size_t router = 0; router < kRouters; ++router)
+        CHECK(z1_seen_by(fleet, router).epoch == 0);
     CHECK(fleet.counters(0)["failover.sent_out_of_zone"] == 0);
-    load.check(farm);
+    load.check(servers);
+}
+
+// The router whose turn it is to write the first decision on z1.
+std::size_t first_decider() {
+    cluster::FailoverSettings settings;
+    settings.zones = {{"z1", "r1", 3}, {"z2", "r1", 3}, {"z3", "r2", 3}};
+    std::map<std::string, std::string> alive;
+    for (std::size_t router = 0; router < kRouters; ++router)
+        alive[lab::member_name(router)] = zone_name(router / kRoutersPerZone);
+    const auto name = cluster::Failover{"m0", "z1", settings}.writers("z1", 1, alive).front();
+    return static_cast<std::size_t>(std::stoul(name.substr(1)));
 }
 
 // The router whose turn it is to write the decision falls out right when it is due.
-void decider(int how) {
-    lab::Farm farm{kStore + 1, kRouters};
-    Fleet fleet{placed(farm)};
+void decider_lost(int signal) {
+    StandInServerPool servers{kStore + 1, kRouters};
+    RouterFleet fleet{options_with(servers)};
     Load load{fleet, {0, 1, 2, 3, 4, 5}};
-    begin(fleet, load);
-    cluster::FailoverSettings s;
-    s.zones = {{"z1", "r1", 3}, {"z2", "r1", 3}, {"z3", "r2", 3}};
-    std::map<std::string, std::string> alive;
-    for (std::size_t i = 0; i < kRouters; ++i)
-        alive[Fleet::name(i)] = std::string{"z"}.append(std::to_string(1 + i / 3));
-    const auto first = cluster::Failover{"m0", "z1", s}.writers("z1", 1, alive).front();
-    const auto who = static_cast<std::size_t>(std::stoul(first.substr(1)));
-    load.routers.erase(std::remove(load.routers.begin(), load.routers.end(), who), load.routers.end());
-    for (const auto k : kOfZ1)
-        farm.set_server(k, false);
-    const auto lost = std::chrono::steady_clock::now();
-    load.ask();
-    if (how == SIGKILL)
-        fleet.kill(who);
+    start(fleet, load);
+    const auto decider = first_decider();
+    std::erase(load.routers, decider);
+    set_z1_up(servers, false);
+    const auto lost = TestClock::now();
+    load.send();
+    if (signal == SIGKILL)
+        fleet.kill(decider);
     else
-        fleet.signal(who, how);
-    const std::vector<std::size_t> except{who};
-    CHECK(fleet.wait_until(
-        [&] {
-            load.ask();
-            return all_have(fleet, 100, except);
-        },
-        3s));
-    std::printf("decider %s lost: decided without it after %lld ms\n", first.c_str(), since(lost));
-    const auto epoch = [&] {
-        return z1_of(fleet, who == 1 ? 2 : 1).epoch;
-    };
-    CHECK(epoch() == 1);
-    if (how == SIGSTOP) {
-        fleet.wait_until([] { return false; }, 1s);
-        fleet.signal(who, SIGCONT);
-        CHECK(fleet.wait_until([&] { return all_have(fleet, 100); }, 3s));
+        fleet.signal(decider, signal);
+    CHECK(load_until(fleet, load, [&] { return all_moved(fleet, 100, {decider}); }, 3s));
+    std::printf("decider m%zu lost: decided without it after %lld ms\n", decider, ms_since(lost));
+    CHECK(z1_seen_by(fleet, decider == 1 ? 2 : 1).epoch == 1);
+    if (signal == SIGSTOP) {
+        fleet.wait_for(1s);
+        fleet.signal(decider, SIGCONT);
+        CHECK(fleet.wait_until([&] { return all_moved(fleet, 100); }, 3s));
     }
     // Once: nothing further is decided, by nobody who woke or came late.
-    const auto settled = std::chrono::steady_clock::now();
-    fleet.wait_until(
-        [&] {
-            load.ask();
-            return since(settled) > 3000;
-        },
-        4s);
-    for (std::size_t i = 0; i < kRouters; ++i)
-        if (fleet.running(i))
-            CHECK(z1_of(fleet, i).epoch == 1 && z1_of(fleet, i).to == "z2=100");
-    load.check(farm);
+    load_for(fleet, load, 3000ms);
+    for (std::size_t router = 0; router < kRouters; ++router)
+        if (fleet.running(router))
+            CHECK(z1_seen_by(fleet, router).epoch == 1 && z1_seen_by(fleet, router).target == "z2=100");
+    load.check(servers);
 }
+
 void decider_killed() {
-    decider(SIGKILL);
+    decider_lost(SIGKILL);
 }
+
 void decider_stopped() {
-    decider(SIGSTOP);
+    decider_lost(SIGSTOP);
 }
 
 // Servers that come and go faster than the hold-down: one change in each at the most.
 void flapping() {
-    lab::Farm farm{kStore + 1, kRouters};
-    Fleet fleet{placed(farm)};
+    StandInServerPool servers{kStore + 1, kRouters};
+    RouterFleet fleet{options_with(servers)};
     Load load{fleet, {0, 1, 2}};
-    begin(fleet, load);
-    const auto began = std::chrono::steady_clock::now();
+    start(fleet, load);
+    const auto began = TestClock::now();
     fleet.wait_until(
         [&] {
-            for (const auto k : kOfZ1)
-                farm.set_server(k, since(began) / 700 % 2 == 1);
-            load.ask();
-            return since(began) > 12'000;
+            set_z1_up(servers, ms_since(began) / 700 % 2 == 1);
+            load.send();
+            return ms_since(began) > 12'000;
         },
         14s);
-    const auto span = since(began);
+    const auto span_ms = ms_since(began);
     std::uint64_t most = 0;
-    for (std::size_t i = 0; i < kRouters; ++i) {
-        const auto changes = fleet.counters(i)["failover.changes"];
+    for (std::size_t router = 0; router < kRouters; ++router) {
+        const auto changes = fleet.counters(router)["failover.changes"];
         most = std::max(most, changes);
-        CHECK(changes <= static_cast<std::uint64_t>(span) / 2000 + 1);
+        CHECK(changes <= static_cast<std::uint64_t>(span_ms / kHoldDown.count()) + 1);
     }
     CHECK(most >= 1);
-    std::printf("flapping: %llu changes in %lld ms\n", static_cast<unsigned long long>(most), span);
-    load.check(farm);
+    std::printf("flapping: %llu changes in %lld ms\n", static_cast<unsigned long long>(most), span_ms);
+    load.check(servers);
 }
 
-// By hand, on any router: out, and back in steps; over a restart of a router.
+// An operator moves the zone on any router, and back in steps; it holds over a restart of a router.
 void pinned() {
-    lab::Farm farm{kStore + 1, kRouters};
-    Fleet fleet{placed(farm)};
+    StandInServerPool servers{kStore + 1, kRouters};
+    RouterFleet fleet{options_with(servers)};
     Load load{fleet, {0, 1, 2, 3}};
-    begin(fleet, load);
-    CHECK(fleet.call(8, "PIN z9 OUT").rfind("NAK", 0) == 0);
-    CHECK(ack(fleet.call(8, "PIN z1 OUT")));
-    CHECK(fleet.wait_until(
-        [&] {
-            load.ask();
-            return all_have(fleet, 100);
-        },
-        3s));
-    for (std::size_t i = 0; i < kRouters; ++i)
-        CHECK(z1_of(fleet, i).pin == "out");
-    const auto out = std::chrono::steady_clock::now();
+    start(fleet, load);
+    CHECK(refused(fleet.control(8, "PIN z9 OUT")));
+    CHECK(accepted(fleet.control(8, "PIN z1 OUT")));
+    CHECK(load_until(fleet, load, [&] { return all_moved(fleet, 100); }, 3s));
+    for (std::size_t router = 0; router < kRouters; ++router)
+        CHECK(z1_seen_by(fleet, router).pin == "out");
+    const auto moved = TestClock::now();
     for (int i = 0; i < 10; ++i)
-        load.ask();
-    CHECK(farm.asked_since(kOfZ1, out) == 0 && load.served() == load.asked());
+        load.send();
+    CHECK(servers.received_since(kServersOfZ1, moved) == 0 && load.served_reads() == load.all_reads());
     fleet.kill(1);
     fleet.start(1);
-    CHECK(fleet.wait_until([&] { return fleet.agree() && all_have(fleet, 100); }, 5s));
-    const auto restarted = std::chrono::steady_clock::now();
+    CHECK(fleet.wait_until([&] { return fleet.agree() && all_moved(fleet, 100); }, 5s));
+    const auto restarted = TestClock::now();
     for (int i = 0; i < 10; ++i)
-        load.ask();
-    CHECK(farm.asked_since(kOfZ1, restarted) == 0);
-    CHECK(ack(fleet.call(1, "PIN z1 OFF")));
-    CHECK(fleet.wait_until(
-        [&] {
-            load.ask();
-            return all_have(fleet, 0);
-        },
-        15s));
-    CHECK(z1_of(fleet, 4).epoch == 5);
-    load.check(farm);
+        load.send();
+    CHECK(servers.received_since(kServersOfZ1, restarted) == 0);
+    CHECK(accepted(fleet.control(1, "PIN z1 OFF")));
+    CHECK(load_until(fleet, load, [&] { return all_moved(fleet, 0); }, 15s));
+    CHECK(z1_seen_by(fleet, 4).epoch == 5);
+    load.check(servers);
 }
 
 }  // namespace
