--- a/src/lab/faults/control.h
+++ b/src/lab/faults/control.h
@@ -1,5 +1,5 @@
-// The block of memory by which a test or the soak tells the fault library inside a router's process which
-// system calls fail. It lies in a small file that both map; every field is atomic, nothing is locked.
+// The fault control block: a small file by which a test or the soak orders which system calls of a router's
+// process fail. Both sides map it. Every field is atomic, and there are no locks.
 #pragma once
 
 #include <array>
@@ -12,7 +12,7 @@
 namespace silverrail::lab {
 
 // One way in which one group of system calls fails.
-enum class Fault : std::uint8_t {
+enum class CallFault : std::uint8_t {
     accept_aborted,       // accept: ECONNABORTED
     accept_no_files,      // accept: ENFILE
     socket_no_files,      // socket: ENFILE
@@ -32,31 +32,33 @@
     file_rename,          // rename: EIO
     count_
 };
-constexpr std::size_t kFaults = static_cast<std::size_t>(Fault::count_);
+constexpr std::size_t kCallFaults = static_cast<std::size_t>(CallFault::count_);
 
-constexpr std::array<std::string_view, kFaults> kFaultNames{
+constexpr std::array<std::string_view, kCallFaults> kCallFaultNames{
     "accept_aborted",      "accept_no_files",  "socket_no_files",  "socket_no_buffers", "connect_no_address",
     "connect_unreachable", "wait_interrupted", "read_interrupted", "read_short",        "read_timed_out",
     "read_unreachable",    "write_short",      "file_open",        "file_read",         "file_full",
     "file_sync",           "file_rename"};
 
-// Chances are told in this many parts.
+// A chance is given in parts of this.
 constexpr std::uint32_t kFaultParts = 10'000;
 
 struct FaultControl {
-    std::atomic<std::int64_t> wall_clock_ms{0};                // added to the wall clock, in ms
-    std::array<std::atomic<std::uint32_t>, kFaults> chance{};  // of each call, in parts of kFaultParts
-    std::array<std::atomic<std::uint32_t>, kFaults> next{};    // so many of the next calls fail for certain
-    std::array<std::atomic<std::uint64_t>, kFaults> delivered{};  // calls that failed so far
+    std::atomic<std::int64_t> wall_clock_ms{0};                    // added to the wall clock, in ms
+    std::array<std::atomic<std::uint32_t>, kCallFaults> chance{};  // of each call, in parts of kFaultParts
+    std::array<std::atomic<std::uint32_t>, kCallFaults> next{};  // so many of the next calls fail for certain
+    std::array<std::atomic<std::uint64_t>, kCallFaults> delivered{};  // calls that failed so far
 };
 
-// The file's name is told to the process by this variable; the seed of its dice by the other.
+// Environment variables of the process: the file's path, and the seed of its random numbers.
 constexpr const char* kFaultFileVariable = "SILVERRAIL_FAULTS";
 constexpr const char* kFaultSeedVariable = "SILVERRAIL_FAULTS_SEED";
 
-// A fault control file, made and mapped by the side that orders faults. Throws std::system_error if it can't.
+// The file as the side has it that orders faults: made and mapped for the life of this object. The file
+// itself stays.
 class FaultFile {
 public:
+    // Without faults at first. Throws std::system_error if it can't make the file.
     explicit FaultFile(std::string path);
     ~FaultFile();
     FaultFile(const FaultFile&) = delete;
@@ -65,24 +67,28 @@
     const std::string& path() const {
         return path_;
     }
-    void set_chance(Fault fault, std::uint32_t parts) {
+    // Of each call from here on; 0: none fails.
+    void set_chance(CallFault fault, std::uint32_t parts) {
         control_->chance[index(fault)] = parts;
     }
-    void fail_next(Fault fault, std::uint32_t calls) {
+    // The next `calls` calls fail for certain.
+    void fail_next(CallFault fault, std::uint32_t calls) {
         control_->next[index(fault)] = calls;
     }
-    void step_wall_clock(std::int64_t to_ms) {
-        control_->wall_clock_ms = to_ms;
+    // The wall clock is off by this; 0: it is right.
+    void step_wall_clock(std::int64_t by_ms) {
+        control_->wall_clock_ms = by_ms;
     }
-    std::uint64_t delivered(Fault fault) const {
+    // How many calls have failed in this way.
+    std::uint64_t delivered(CallFault fault) const {
         return control_->delivered[index(fault)];
     }
     void clear_chances();
-    // In the process that is about to run the program: it loads `library` and reads this file.
+    // For a process that is about to execute the router's program: it will load `library` and map this file.
     void set_environment(const std::string& library, std::uint64_t seed) const;
 
 private:
-    static std::size_t index(Fault fault) {
+    static std::size_t index(CallFault fault) {
         return static_cast<std::size_t>(fault);
     }
     std::string path_;
--- a/src/lab/faults/preload.cpp
+++ b/src/lab/faults/preload.cpp
@@ -1,11 +1,11 @@
-// The fault library: a router's process is started with it (LD_PRELOAD), and some of its system calls then
-// fail in the ways that their manual pages describe, by the word of a FaultControl block. It wraps the calls
-// that the router makes, and nothing else; without the block it passes every call on.
+// The fault library. A router's process is started with it (LD_PRELOAD), and some of its system calls then
+// fail in the ways that their manual pages describe, as its fault control block orders. Only calls that the
+// router makes are wrapped. Every call that does not fail goes on to the next definition (the C library's, or
+// a sanitizer's).
 
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <sys/epoll.h>
-#include <sys/mman.h>
 #include <sys/socket.h>
 #include <sys/stat.h>
 #include <sys/time.h>
@@ -15,350 +15,317 @@
 #include <algorithm>
 #include <cerrno>
 #include <cstdarg>
-#include <cstdlib>
+#include <cstdio>
 #include <ctime>
 
-#include "lab/faults/control.h"
+#include "lab/faults/fault_source.h"
 
 namespace {
 
-using silverrail::lab::Fault;
-using silverrail::lab::FaultControl;
+using silverrail::lab::CallFault;
+using silverrail::lab::draw_fault;
+using silverrail::lab::faults_are_ordered;
+using silverrail::lab::step_wall_clock;
 
-// The next definition of a wrapped call, looked up once.
 template <class Function>
 Function* next_definition(const char* name) {
     return reinterpret_cast<Function*>(::dlsym(RTLD_NEXT, name));
 }
 
+// The next definition of a wrapped call, looked up once.
 #define NEXT(name)                                                           \
     (*[] {                                                                   \
         static auto* const found = next_definition<decltype(::name)>(#name); \
         return found;                                                        \
     }())
 
-FaultControl* map_control() {
-    const char* path = std::getenv(silverrail::lab::kFaultFileVariable);
-    if (!path)
-        return nullptr;
-    const int fd = NEXT(open)(path, O_RDWR | O_CLOEXEC);
-    if (fd < 0)
-        return nullptr;
-    void* at = ::mmap(nullptr, sizeof(FaultControl), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
-    ::close(fd);
-    return at == MAP_FAILED ? nullptr : static_cast<FaultControl*>(at);
-}
-
-FaultControl* control() {
-    static FaultControl* const mapped = map_control();
-    return mapped;
-}
-
-std::uint64_t first_state() {
-    const char* seed = std::getenv(silverrail::lab::kFaultSeedVariable);
-    return (seed ? std::strtoull(seed, nullptr, 10) : 1) * 0x9e3779b97f4a7c15U + 1;
-}
-
-// Xorshift64*, one for each thread.
-std::uint32_t draw() {
-    thread_local std::uint64_t state = first_state();
-    state ^= state >> 12;
-    state ^= state << 25;
-    state ^= state >> 27;
-    return static_cast<std::uint32_t>((state * 0x2545f4914f6cdd1dU) >> 33) % silverrail::lab::kFaultParts;
+template <class Result>
+Result fail_with(int error) {
+    errno = error;
+    return static_cast<Result>(-1);
 }
 
-bool take_one(std::atomic<std::uint32_t>& left) {
-    std::uint32_t seen = left.load();
-    while (seen > 0)
-        if (left.compare_exchange_weak(seen, seen - 1))
-            return true;
-    return false;
+bool is_stream_socket(int descriptor) {
+    int type = 0;
+    socklen_t size = sizeof type;
+    return ::getsockopt(descriptor, SOL_SOCKET, SO_TYPE, &type, &size) == 0 && type == SOCK_STREAM;
 }
 
-// Does this call fail so? Counted if it does.
-bool fails(Fault fault) {
-    FaultControl* const c = control();
-    if (!c)
-        return false;
-    const auto at = static_cast<std::size_t>(fault);
-    const std::uint32_t chance = c->chance[at].load(std::memory_order_relaxed);
-    if (!take_one(c->next[at]) && (chance == 0 || draw() >= chance))
-        return false;
-    ++c->delivered[at];
-    return true;
+bool is_regular_file(int descriptor) {
+    struct stat status{};
+    return ::fstat(descriptor, &status) == 0 && S_ISREG(status.st_mode);
 }
 
-bool is_stream_socket(int fd) {
-    int type = 0;
-    socklen_t size = sizeof type;
-    return ::getsockopt(fd, SOL_SOCKET, SO_TYPE, &type, &size) == 0 && type == SOCK_STREAM;
-}
+// The functions that return an error number: 0 means that the call goes on.
 
-bool is_regular_file(int fd) {
-    struct stat s{};
-    return ::fstat(fd, &s) == 0 && S_ISREG(s.st_mode);
+int accept_error() {
+    if (draw_fault(CallFault::accept_aborted))
+        return ECONNABORTED;
+    return draw_fault(CallFault::accept_no_files) ? ENFILE : 0;
 }
 
-// An error number that a read from a stream socket fails with; 0: it goes on.
-int read_error(int fd) {
-    if (!control() || !is_stream_socket(fd))
+int stream_read_error(int descriptor) {
+    if (!faults_are_ordered() || !is_stream_socket(descriptor))
         return 0;
-    if (fails(Fault::read_interrupted))
+    if (draw_fault(CallFault::read_interrupted))
         return EINTR;
-    if (fails(Fault::read_timed_out))
+    if (draw_fault(CallFault::read_timed_out))
         return ETIMEDOUT;
-    if (fails(Fault::read_unreachable))
-        return EHOSTUNREACH;
-    return 0;
+    return draw_fault(CallFault::read_unreachable) ? EHOSTUNREACH : 0;
 }
 
-// The same for opening a file.
 int open_error(int flags) {
-    if (fails(Fault::file_open))
+    if (draw_fault(CallFault::file_open))
         return EMFILE;
-    return (flags & O_CREAT) != 0 && fails(Fault::file_full) ? ENOSPC : 0;
+    return (flags & O_CREAT) != 0 && draw_fault(CallFault::file_full) ? ENOSPC : 0;
 }
 
-bool reads_short(int fd) {
-    return control() && is_stream_socket(fd) && fails(Fault::read_short);
+bool file_read_fails(int descriptor) {
+    return faults_are_ordered() && is_regular_file(descriptor) && draw_fault(CallFault::file_read);
 }
-bool writes_short(int fd) {
-    return control() && is_stream_socket(fd) && fails(Fault::write_short);
+
+bool file_is_full(int descriptor) {
+    return faults_are_ordered() && is_regular_file(descriptor) && draw_fault(CallFault::file_full);
 }
-std::size_t part_of(std::size_t whole) {
-    return std::max<std::size_t>(1, whole / 3);
+
+bool reads_short(int descriptor) {
+    return faults_are_ordered() && is_stream_socket(descriptor) && draw_fault(CallFault::read_short);
 }
 
-template <class Result>
-Result failed(int error) {
-    errno = error;
-    return static_cast<Result>(-1);
+bool writes_short(int descriptor) {
+    return faults_are_ordered() && is_stream_socket(descriptor) && draw_fault(CallFault::write_short);
 }
 
-// The first `most` bytes of a message's buffers, for a transfer that the system takes only in part.
-struct CutBuffers {
-    static constexpr std::size_t kMost = 64;
-    CutBuffers(const iovec* from, std::size_t count, std::size_t most) {
-        for (std::size_t i = 0; i < std::min(count, kMost) && most > 0; ++i) {
-            parts[used] = {from[i].iov_base, std::min(from[i].iov_len, most)};
-            most -= parts[used++].iov_len;
-        }
-    }
-    iovec parts[kMost]{};
-    std::size_t used = 0;
-};
+// What a short read or write of `size` bytes transfers.
+constexpr std::size_t kShortRead = 1;
+std::size_t short_write(std::size_t size) {
+    return std::max<std::size_t>(1, size / 3);
+}
 
-std::size_t size_of(const iovec* parts, std::size_t count) {
+std::size_t total_size(const iovec* buffers, std::size_t count) {
     std::size_t sum = 0;
     for (std::size_t i = 0; i < count; ++i)
-        sum += parts[i].iov_len;
+        sum += buffers[i].iov_len;
     return sum;
 }
 
-void step(timespec& at) {
-    const FaultControl* const c = control();
-    if (!c)
-        return;
-    const std::int64_t ms = c->wall_clock_ms.load(std::memory_order_relaxed);
-    std::int64_t ns = at.tv_nsec + ms % 1000 * 1'000'000;
-    at.tv_sec += ms / 1000;
-    if (ns < 0)
-        ns += 1'000'000'000, --at.tv_sec;
-    if (ns >= 1'000'000'000)
-        ns -= 1'000'000'000, ++at.tv_sec;
-    at.tv_nsec = ns;
-}
+// The first `size` bytes of a call's buffers; of at most 64 buffers.
+struct TruncatedBuffers {
+    static constexpr std::size_t kMaxBuffers = 64;
+
+    TruncatedBuffers(const iovec* whole, std::size_t whole_count, std::size_t size) {
+        for (std::size_t i = 0; i < std::min(whole_count, kMaxBuffers) && size > 0; ++i) {
+            buffers[count] = {whole[i].iov_base, std::min(whole[i].iov_len, size)};
+            size -= buffers[count].iov_len;
+            ++count;
+        }
+    }
+
+    // `message` with these buffers in place of its own.
+    msghdr in(const msghdr& message) {
+        msghdr truncated = message;
+        truncated.msg_iov = buffers;
+        truncated.msg_iovlen = count;
+        return truncated;
+    }
+
+    iovec buffers[kMaxBuffers]{};
+    std::size_t count = 0;
+};
 
 }  // namespace
 
 extern "C" {
 
-int accept(int fd, sockaddr* address, socklen_t* size) {
-    if (fails(Fault::accept_aborted))
-        return failed<int>(ECONNABORTED);
-    if (fails(Fault::accept_no_files))
-        return failed<int>(ENFILE);
-    return NEXT(accept)(fd, address, size);
+// Connections.
+
+int accept(int listener, sockaddr* address, socklen_t* size) {
+    if (const int error = accept_error())
+        return fail_with<int>(error);
+    return NEXT(accept)(listener, address, size);
 }
 
-int accept4(int fd, sockaddr* address, socklen_t* size, int flags) {
-    if (fails(Fault::accept_aborted))
-        return failed<int>(ECONNABORTED);
-    if (fails(Fault::accept_no_files))
-        return failed<int>(ENFILE);
-    return NEXT(accept4)(fd, address, size, flags);
+int accept4(int listener, sockaddr* address, socklen_t* size, int flags) {
+    if (const int error = accept_error())
+        return fail_with<int>(error);
+    return NEXT(accept4)(listener, address, size, flags);
 }
 
 int socket(int domain, int type, int protocol) noexcept {
-    if (domain == AF_INET && fails(Fault::socket_no_files))
-        return failed<int>(ENFILE);
-    if (domain == AF_INET && fails(Fault::socket_no_buffers))
-        return failed<int>(ENOBUFS);
+    if (domain == AF_INET && draw_fault(CallFault::socket_no_files))
+        return fail_with<int>(ENFILE);
+    if (domain == AF_INET && draw_fault(CallFault::socket_no_buffers))
+        return fail_with<int>(ENOBUFS);
     return NEXT(socket)(domain, type, protocol);
 }
 
-int connect(int fd, const sockaddr* address, socklen_t size) {
-    if (fails(Fault::connect_no_address))
-        return failed<int>(EADDRNOTAVAIL);
-    if (fails(Fault::connect_unreachable))
-        return failed<int>(ENETUNREACH);
-    return NEXT(connect)(fd, address, size);
+int connect(int descriptor, const sockaddr* address, socklen_t size) {
+    if (draw_fault(CallFault::connect_no_address))
+        return fail_with<int>(EADDRNOTAVAIL);
+    if (draw_fault(CallFault::connect_unreachable))
+        return fail_with<int>(ENETUNREACH);
+    return NEXT(connect)(descriptor, address, size);
 }
 
-int epoll_wait(int fd, epoll_event* events, int most, int timeout_ms) {
-    if (fails(Fault::wait_interrupted))
-        return failed<int>(EINTR);
-    return NEXT(epoll_wait)(fd, events, most, timeout_ms);
+int epoll_wait(int descriptor, epoll_event* events, int max_events, int timeout_ms) {
+    if (draw_fault(CallFault::wait_interrupted))
+        return fail_with<int>(EINTR);
+    return NEXT(epoll_wait)(descriptor, events, max_events, timeout_ms);
 }
 
-ssize_t recv(int fd, void* into, size_t size, int flags) {
-    if (const int error = read_error(fd))
-        return failed<ssize_t>(error);
-    if (size > 1 && reads_short(fd))
-        size = 1;
-    return NEXT(recv)(fd, into, size, flags);
+// Reads and writes.
+
+ssize_t recv(int descriptor, void* buffer, size_t size, int flags) {
+    if (const int error = stream_read_error(descriptor))
+        return fail_with<ssize_t>(error);
+    if (size > kShortRead && reads_short(descriptor))
+        size = kShortRead;
+    return NEXT(recv)(descriptor, buffer, size, flags);
 }
 
-ssize_t recvmsg(int fd, msghdr* message, int flags) {
-    if (const int error = read_error(fd))
-        return failed<ssize_t>(error);
-    if (!reads_short(fd))
-        return NEXT(recvmsg)(fd, message, flags);
-    CutBuffers cut{message->msg_iov, message->msg_iovlen, 1};
-    msghdr part = *message;
-    part.msg_iov = cut.parts;
-    part.msg_iovlen = cut.used;
-    return NEXT(recvmsg)(fd, &part, flags);
+ssize_t recvmsg(int descriptor, msghdr* message, int flags) {
+    if (const int error = stream_read_error(descriptor))
+        return fail_with<ssize_t>(error);
+    if (!reads_short(descriptor))
+        return NEXT(recvmsg)(descriptor, message, flags);
+    TruncatedBuffers first{message->msg_iov, message->msg_iovlen, kShortRead};
+    msghdr truncated = first.in(*message);
+    return NEXT(recvmsg)(descriptor, &truncated, flags);
 }
 
-ssize_t read(int fd, void* into, size_t size) {
-    if (const int error = read_error(fd))
-        return failed<ssize_t>(error);
-    if (control() && is_regular_file(fd) && fails(Fault::file_read))
-        return failed<ssize_t>(EIO);
-    if (size > 1 && reads_short(fd))
-        size = 1;
-    return NEXT(read)(fd, into, size);
+ssize_t read(int descriptor, void* buffer, size_t size) {
+    if (const int error = stream_read_error(descriptor))
+        return fail_with<ssize_t>(error);
+    if (file_read_fails(descriptor))
+        return fail_with<ssize_t>(EIO);
+    if (size > kShortRead && reads_short(descriptor))
+        size = kShortRead;
+    return NEXT(read)(descriptor, buffer, size);
 }
 
-ssize_t readv(int fd, const iovec* parts, int count) {
-    if (const int error = read_error(fd))
-        return failed<ssize_t>(error);
-    if (!reads_short(fd))
-        return NEXT(readv)(fd, parts, count);
-    CutBuffers cut{parts, static_cast<std::size_t>(count), 1};
-    return NEXT(readv)(fd, cut.parts, static_cast<int>(cut.used));
+ssize_t readv(int descriptor, const iovec* buffers, int count) {
+    if (const int error = stream_read_error(descriptor))
+        return fail_with<ssize_t>(error);
+    if (!reads_short(descriptor))
+        return NEXT(readv)(descriptor, buffers, count);
+    TruncatedBuffers first{buffers, static_cast<std::size_t>(count), kShortRead};
+    return NEXT(readv)(descriptor, first.buffers, static_cast<int>(first.count));
 }
 
-ssize_t send(int fd, const void* from, size_t size, int flags) {
-    if (size > 1 && writes_short(fd))
-        size = part_of(size);
-    return NEXT(send)(fd, from, size, flags);
+ssize_t send(int descriptor, const void* buffer, size_t size, int flags) {
+    if (size > 1 && writes_short(descriptor))
+        size = short_write(size);
+    return NEXT(send)(descriptor, buffer, size, flags);
 }
 
-ssize_t sendmsg(int fd, const msghdr* message, int flags) {
-    const std::size_t whole = size_of(message->msg_iov, message->msg_iovlen);
-    if (whole < 2 || !writes_short(fd))
-        return NEXT(sendmsg)(fd, message, flags);
-    CutBuffers cut{message->msg_iov, message->msg_iovlen, part_of(whole)};
-    msghdr part = *message;
-    part.msg_iov = cut.parts;
-    part.msg_iovlen = cut.used;
-    return NEXT(sendmsg)(fd, &part, flags);
+ssize_t sendmsg(int descriptor, const msghdr* message, int flags) {
+    const std::size_t size = total_size(message->msg_iov, message->msg_iovlen);
+    if (size < 2 || !writes_short(descriptor))
+        return NEXT(sendmsg)(descriptor, message, flags);
+    TruncatedBuffers first{message->msg_iov, message->msg_iovlen, short_write(size)};
+    const msghdr truncated = first.in(*message);
+    return NEXT(sendmsg)(descriptor, &truncated, flags);
 }
 
-ssize_t write(int fd, const void* from, size_t size) {
-    if (control() && is_regular_file(fd) && fails(Fault::file_full))
-        return failed<ssize_t>(ENOSPC);
-    if (size > 1 && writes_short(fd))
-        size = part_of(size);
-    return NEXT(write)(fd, from, size);
+ssize_t write(int descriptor, const void* buffer, size_t size) {
+    if (file_is_full(descriptor))
+        return fail_with<ssize_t>(ENOSPC);
+    if (size > 1 && writes_short(descriptor))
+        size = short_write(size);
+    return NEXT(write)(descriptor, buffer, size);
 }
 
-ssize_t pwrite(int fd, const void* from, size_t size, off_t at) {
-    if (control() && is_regular_file(fd) && fails(Fault::file_full))
-        return failed<ssize_t>(ENOSPC);
-    return NEXT(pwrite)(fd, from, size, at);
+ssize_t pwrite(int descriptor, const void* buffer, size_t size, off_t offset) {
+    if (file_is_full(descriptor))
+        return fail_with<ssize_t>(ENOSPC);
+    return NEXT(pwrite)(descriptor, buffer, size, offset);
 }
 
-ssize_t pwrite64(int fd, const void* from, size_t size, off64_t at) {
-    if (control() && is_regular_file(fd) && fails(Fault::file_full))
-        return failed<ssize_t>(ENOSPC);
-    return NEXT(pwrite64)(fd, from, size, at);
+ssize_t pwrite64(int descriptor, const void* buffer, size_t size, off64_t offset) {
+    if (file_is_full(descriptor))
+        return fail_with<ssize_t>(ENOSPC);
+    return NEXT(pwrite64)(descriptor, buffer, size, offset);
 }
 
+// Files.
+
 int open(const char* path, int flags, ...) {
-    va_list more;
-    va_start(more, flags);
-    const int mode = (flags & O_CREAT) != 0 ? va_arg(more, int) : 0;
-    va_end(more);
-    const int error = open_error(flags);
-    return error ? failed<int>(error) : NEXT(open)(path, flags, mode);
+    va_list arguments;
+    va_start(arguments, flags);
+    const int mode = (flags & O_CREAT) != 0 ? va_arg(arguments, int) : 0;
+    va_end(arguments);
+    if (const int error = open_error(flags))
+        return fail_with<int>(error);
+    return NEXT(open)(path, flags, mode);
 }
 
 int open64(const char* path, int flags, ...) {
-    va_list more;
-    va_start(more, flags);
-    const int mode = (flags & O_CREAT) != 0 ? va_arg(more, int) : 0;
-    va_end(more);
-    const int error = open_error(flags);
-    return error ? failed<int>(error) : NEXT(open64)(path, flags, mode);
+    va_list arguments;
+    va_start(arguments, flags);
+    const int mode = (flags & O_CREAT) != 0 ? va_arg(arguments, int) : 0;
+    va_end(arguments);
+    if (const int error = open_error(flags))
+        return fail_with<int>(error);
+    return NEXT(open64)(path, flags, mode);
 }
 
 FILE* fopen(const char* path, const char* mode) {
-    if (fails(Fault::file_open))
-        return errno = EMFILE, nullptr;
-    return NEXT(fopen)(path, mode);
+    if (!draw_fault(CallFault::file_open))
+        return NEXT(fopen)(path, mode);
+    errno = EMFILE;
+    return nullptr;
 }
 
 FILE* fopen64(const char* path, const char* mode) {
-    if (fails(Fault::file_open))
-        return errno = EMFILE, nullptr;
-    return NEXT(fopen64)(path, mode);
+    if (!draw_fault(CallFault::file_open))
+        return NEXT(fopen64)(path, mode);
+    errno = EMFILE;
+    return nullptr;
 }
 
-int fsync(int fd) {
-    if (fails(Fault::file_sync))
-        return failed<int>(EIO);
-    return NEXT(fsync)(fd);
+int fsync(int descriptor) {
+    if (draw_fault(CallFault::file_sync))
+        return fail_with<int>(EIO);
+    return NEXT(fsync)(descriptor);
 }
 
-int fdatasync(int fd) {
-    if (fails(Fault::file_sync))
-        return failed<int>(EIO);
-    return NEXT(fdatasync)(fd);
+int fdatasync(int descriptor) {
+    if (draw_fault(CallFault::file_sync))
+        return fail_with<int>(EIO);
+    return NEXT(fdatasync)(descriptor);
 }
 
 int rename(const char* from, const char* to) noexcept {
-    if (fails(Fault::file_rename))
-        return failed<int>(EIO);
+    if (draw_fault(CallFault::file_rename))
+        return fail_with<int>(EIO);
     return NEXT(rename)(from, to);
 }
 
-int clock_gettime(clockid_t which, timespec* at) noexcept {
-    const int result = NEXT(clock_gettime)(which, at);
-    if (result == 0 && (which == CLOCK_REALTIME || which == CLOCK_REALTIME_COARSE))
-        step(*at);
+// The wall clock.
+
+int clock_gettime(clockid_t clock, timespec* time) noexcept {
+    const int result = NEXT(clock_gettime)(clock, time);
+    if (result == 0 && (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE))
+        step_wall_clock(*time);
     return result;
 }
 
-int gettimeofday(timeval* at, void* zone) noexcept {
-    const int result = NEXT(gettimeofday)(at, zone);
+int gettimeofday(timeval* time, void* zone) noexcept {
+    const int result = NEXT(gettimeofday)(time, zone);
     if (result != 0)
         return result;
-    timespec now{at->tv_sec, at->tv_usec * 1000};
-    step(now);
-    *at = {now.tv_sec, now.tv_nsec / 1000};
+    timespec stepped{time->tv_sec, time->tv_usec * 1000};
+    step_wall_clock(stepped);
+    *time = {stepped.tv_sec, stepped.tv_nsec / 1000};
     return result;
 }
 
-time_t time(time_t* at) noexcept {
-    timespec now{NEXT(time)(nullptr), 0};
-    step(now);
-    if (at)
-        *at = now.tv_sec;
-    return now.tv_sec;
+time_t time(time_t* seconds) noexcept {
+    timespec stepped{NEXT(time)(nullptr), 0};
+    step_wall_clock(stepped);
+    if (seconds)
+        *seconds = stepped.tv_sec;
+    return stepped.tv_sec;
 }
 
 }  // extern "C"
--- a/src/lab/soak/plan.cpp
+++ b/src/lab/soak/plan.cpp
@@ -49,7 +49,7 @@
             t.length = Milliseconds{dice.between(50, 600)};
             break;
         case TroubleKind::call_failures:
-            t.detail %= static_cast<std::uint32_t>(Fault::file_open);  // those of sockets
+            t.detail %= static_cast<std::uint32_t>(CallFault::file_open);  // those of sockets
             t.level = dice.between(30, 600);
             break;
         case TroubleKind::clock_step: {
@@ -86,7 +86,7 @@
                       " ms, target " + std::to_string(target) + ", detail " + std::to_string(detail) +
                       ", level " + std::to_string(level);
     if (kind == TroubleKind::call_failures)
-        out += " (" + std::string{kFaultNames[detail]} + ")";
+        out += " (" + std::string{kCallFaultNames[detail]} + ")";
     return out;
 }
 
--- a/src/lab/soak/soak.cpp
+++ b/src/lab/soak/soak.cpp
@@ -283,8 +283,8 @@
     }
 
     Task<> fail_calls(Trouble t) {
-        const auto fault = static_cast<Fault>(t.detail);
-        const bool breaks = fault == Fault::read_timed_out || fault == Fault::read_unreachable;
+        const auto fault = static_cast<CallFault>(t.detail);
+        const bool breaks = fault == CallFault::read_timed_out || fault == CallFault::read_unreachable;
         if (breaks)
             standing(t.target).breaks = true;
         routers_.faults(t.target).set_chance(fault, t.level);
--- a/tests/silverrail/faults_test.cpp
+++ b/tests/silverrail/faults_test.cpp
@@ -8,7 +8,7 @@
 
 using namespace silverrail;
 using namespace silverrail::test;
-using lab::Fault;
+using lab::CallFault;
 
 namespace {
 
@@ -69,24 +69,24 @@
     World world;
     world.server.response = Server::hit(std::string(120'000, 'x'));
     for (int calls = 1; calls <= 6; ++calls) {
-        world.faults.fail_next(Fault::write_short, static_cast<std::uint32_t>(calls));
+        world.faults.fail_next(CallFault::write_short, static_cast<std::uint32_t>(calls));
         CHECK(world.status_within(ask("pages", kObject, 1500), 2000ms) == 200);
-        world.faults.fail_next(Fault::write_short, static_cast<std::uint32_t>(calls));
+        world.faults.fail_next(CallFault::write_short, static_cast<std::uint32_t>(calls));
         Request write = ask("lodge", kObject, 1500);
         write.body() = std::string(40'000, 'w');
         CHECK(world.status_within(std::move(write), 2000ms) == 200);
     }
-    CHECK(world.faults.delivered(Fault::write_short) > 20);
+    CHECK(world.faults.delivered(CallFault::write_short) > 20);
 }
 
 // A connection that was given up before it was taken: those behind it in the queue are still taken at once.
 void aborted_accept() {
     World world;
     for (int calls = 1; calls <= 3; ++calls) {
-        world.faults.fail_next(Fault::accept_aborted, static_cast<std::uint32_t>(calls));
+        world.faults.fail_next(CallFault::accept_aborted, static_cast<std::uint32_t>(calls));
         CHECK(world.status_within(ask("pages", kObject, 1000), 1500ms) == 200);
     }
-    CHECK(world.faults.delivered(Fault::accept_aborted) == 6);
+    CHECK(world.faults.delivered(CallFault::accept_aborted) == 6);
 }
 
 // The file of the configuration can't be opened or read for a moment: the new discovery is followed all the
@@ -95,8 +95,8 @@
     World world;
     DiscoveryServer moved{world.io};
     world.program.configure(moved.address(), "1");
-    world.faults.fail_next(Fault::file_open, 3);
-    world.faults.fail_next(Fault::file_read, 2);
+    world.faults.fail_next(CallFault::file_open, 3);
+    world.faults.fail_next(CallFault::file_read, 2);
     world.program.hang_up();
     // What discovery has to tell counts as told 4 s after the signal.
     const auto bound = std::chrono::steady_clock::now() + 4s;
@@ -113,7 +113,8 @@
     lab::FaultFile faults{
         (std::filesystem::temp_directory_path() / ("silverrail-faults-" + std::to_string(::getpid())))
             .string()};
-    for (const Fault fault : {Fault::socket_no_files, Fault::socket_no_buffers, Fault::file_open}) {
+    for (const CallFault fault :
+         {CallFault::socket_no_files, CallFault::socket_no_buffers, CallFault::file_open}) {
         faults.fail_next(fault, 3);
         RouterProcess program{discovery.address(), server.address(), "", &faults};
         run_until(io, [&] { return program.listens() || program.logged("fatal"); });
@@ -169,8 +170,8 @@
 // Trouble of this machine's own in opening a connection: nothing was sent, and no server has a part in it.
 void local_connect_errors() {
     World world;
-    for (const Fault fault : {Fault::socket_no_files, Fault::socket_no_buffers, Fault::connect_no_address,
-                              Fault::connect_unreachable})
+    for (const CallFault fault : {CallFault::socket_no_files, CallFault::socket_no_buffers,
+                                  CallFault::connect_no_address, CallFault::connect_unreachable})
         for (const char* kind : {"pages", "lodge"}) {
             world.server.reset_all();
             world.faults.fail_next(fault, 2);
@@ -288,7 +289,7 @@
         return false;
     };
     CHECK(call(world.io, at, "OFFLINE s-a").starts_with("ACK") && kept("s-a"));
-    for (const Fault fault : {Fault::file_full, Fault::file_sync, Fault::file_rename}) {
+    for (const CallFault fault : {CallFault::file_full, CallFault::file_sync, CallFault::file_rename}) {
         world.faults.set_chance(fault, lab::kFaultParts);
         CHECK(call(world.io, at, "OFFLINE s-a").starts_with("ACK"));
         CHECK(call(world.io, at, "OFFLINE s-p").starts_with("NAK") && !kept("s-p") && kept("s-a"));
@@ -298,7 +299,7 @@
     }
     // A process that can't read them at its start for a moment knows them soon.
     CHECK(::kill(world.program.pid(), SIGKILL) == 0 && ::waitpid(world.program.pid(), nullptr, 0) > 0);
-    world.faults.fail_next(Fault::file_read, 4);
+    world.faults.fail_next(CallFault::file_read, 4);
     const pid_t second = world.program.start(text_of(at));
     run_until(world.io, [&] { return world.program.listens(); });
     run_until(world.io, [&] { return call(world.io, at, "DUMP").find("hosts_down=1") != std::string::npos; });
