--- a/src/lab/soak/plan.h
+++ b/src/lab/soak/plan.h
@@ -1,5 +1,5 @@
-// The schedule of troubles that one run of the soak plays, drawn from a seed alone. It can be printed, and
-// cut down to some of its troubles, each named by its place in the whole schedule.
+// The schedule of faults that one run of the soak plays. It is drawn from a seed alone, can be printed, and
+// can be cut down to some of its faults, each named by its position in the whole schedule.
 #pragma once
 
 #include <chrono>
@@ -13,8 +13,8 @@
 
 using Milliseconds = std::chrono::milliseconds;
 
-enum class TroubleKind : std::uint8_t {
-    // Of one router; `target` is its place.
+enum class FaultKind : std::uint8_t {
+    // Of one router; `target` is its index.
     router_restart,  // SIGTERM, then a new process; a second SIGTERM and a SIGHUP may follow (`detail`)
     router_kill,     // SIGKILL, then a new process
     router_stop,     // SIGSTOP for `length`
@@ -44,17 +44,20 @@
     clients_unreadable,
     count_
 };
-constexpr std::size_t kTroubleKinds = static_cast<std::size_t>(TroubleKind::count_);
-std::string_view name_of(TroubleKind kind);
+constexpr std::size_t kFaultKinds = static_cast<std::size_t>(FaultKind::count_);
+// As the command line and the printed schedule name it.
+std::string_view name_of(FaultKind kind);
 
-struct Trouble {
-    TroubleKind kind{};
-    Milliseconds at{};
+struct PlannedFault {
+    FaultKind kind{};
+    Milliseconds at{};  // from the beginning of the schedule
     Milliseconds length{};
-    std::size_t target = 0;
-    std::uint32_t detail = 0;
-    std::uint32_t level = 0;
-    std::size_t place = 0;  // in the whole schedule
+    std::size_t target = 0;    // index of the router or server
+    std::uint32_t detail = 0;  // drawn for each fault; its kind says what it means
+    std::uint32_t level = 0;   // how strong; its kind says in what unit
+    std::size_t position = 0;  // in the whole schedule
+
+    // One line that says all of it.
     std::string text() const;
 };
 
@@ -63,12 +66,13 @@
     std::size_t routers = 10;
     std::size_t servers = 8;
     Milliseconds length{20'000};
-    std::set<TroubleKind> without{};  // kinds that are not played
-    std::set<std::size_t> only{};     // places to play; empty: all
-    std::size_t troubles_per_second = 3;
+    std::set<FaultKind> without{};  // kinds that are left out
+    std::set<std::size_t> only{};   // positions that are kept; empty: all
+    std::size_t faults_per_second = 3;
 };
 
-// In the order of their beginnings. Nothing begins in the first 1.5 s or the last 4 s.
-std::vector<Trouble> draw_plan(const PlanOptions& options);
+// The faults in the order of their beginnings. None begins in the first 1.5 s or the last 4 s; a run without
+// room between these has none.
+std::vector<PlannedFault> draw_plan(const PlanOptions& options);
 
 }  // namespace silverrail::lab::soak
--- a/src/lab/soak/servers.cpp
+++ b/src/lab/soak/servers.cpp
@@ -1,29 +1,24 @@
 #include "lab/soak/servers.h"
 
-#include <charconv>
+#include "lab/stand_in_support.h"
 
 namespace silverrail::lab::soak {
 
 namespace {
 
 constexpr const char* kAddress = "127.0.0.2";
-
-std::int64_t number(beast::string_view text) {
-    std::int64_t value = 0;
-    std::from_chars(text.data(), text.data() + text.size(), value);
-    return value;
-}
+constexpr const char* kPathPrefix = "/obj/";
 
 using Response = http::response<http::string_body>;
 
-Response never_ran(http::status status) {
-    Response response{status, 11};
+Response not_begun(http::status status) {
+    Response response{status, kHttpVersion};
     response.set("Not-Begun", "1");
     return response;
 }
 
-Response good(const std::string& path, std::int64_t made_ms, const char* cache_status) {
-    Response response{http::status::ok, 11};
+Response success(const std::string& path, std::int64_t made_ms, const char* cache_status) {
+    Response response{http::status::ok, kHttpVersion};
     response.body() = body_of(path, made_ms);
     response.set("Tag", "t" + std::to_string(made_ms));
     response.set("Made-At", std::to_string(made_ms));
@@ -31,96 +26,117 @@
     return response;
 }
 
+// Ways to spoil an answer to a read; a write has the first two alone.
+enum class Spoiled { unreadable, broken_off, second_answer, interim_answer };
+
+std::string spoiled_answer(Spoiled how, const std::string& path) {
+    const std::string body = body_of(path, unix_ms());
+    const std::string head =
+        "HTTP/1.1 200 OK\r\nTag: x\r\nMade-At: " + std::to_string(unix_ms()) + "\r\nDetail: hit\r\n";
+    const std::string whole = head + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
+    switch (how) {
+        case Spoiled::unreadable:
+            return "\x01\x02 neither this nor that\r\n\r\n";
+        case Spoiled::broken_off:
+            return head + "Content-Length: 99999\r\n\r\n" + body;
+        case Spoiled::second_answer:
+            return whole + head + "Content-Length: 3\r\n\r\nold";
+        case Spoiled::interim_answer:
+            break;
+    }
+    return "HTTP/1.1 100 Continue\r\n\r\n" + whole;
+}
+
 }  // namespace
 
-// One request on one connection, and its answer.
+// One request on one connection.
 struct Servers::Exchange {
     tcp::socket& socket;
     beast::flat_buffer buffer{};
     http::request<http::string_body> request{};
     std::string id{};
     std::string path{};  // CLASS/OBJECT/PART
-    bool write = false;
+    bool is_write = false;
 };
 
 Servers::Servers(asio::io_context& io, Oracle& oracle, std::size_t servers, std::size_t routers,
                  std::uint64_t seed)
     : io_(io), oracle_(oracle), random_(seed) {
-    for (std::size_t i = 0; i < servers; ++i) {
+    for (std::size_t server = 0; server < servers; ++server) {
         servers_.push_back(std::make_unique<Server>());
-        for (std::size_t r = 0; r < routers; ++r) {
-            auto door = std::make_unique<Door>(io);
-            door->at = {asio::ip::make_address(kAddress), 0};
-            servers_[i]->doors.push_back(std::move(door));
-            open(i, r);
+        for (std::size_t router = 0; router < routers; ++router) {
+            auto listener = std::make_unique<Listener>(io);
+            listener->endpoint = {asio::ip::make_address(kAddress), 0};
+            servers_[server]->listeners.push_back(std::move(listener));
+            open(server, router);
         }
     }
 }
 
-void Servers::open(std::size_t server, std::size_t router) {
-    Door& door = *servers_[server]->doors[router];
-    listen(door.acceptor, door.at);
-    door.at = door.acceptor.local_endpoint();
-    spawn(io_, accept(server, router, ++door.openings));
-}
-
 Servers::~Servers() {
     error_code ignored;
-    for (auto& server : servers_)
-        for (auto& door : server->doors)
-            door->acceptor.close(ignored);
+    for (const auto& server : servers_)
+        for (const auto& listener : server->listeners)
+            listener->acceptor.close(ignored);
+}
+
+void Servers::open(std::size_t server, std::size_t router) {
+    Listener& listener = *servers_[server]->listeners[router];
+    listen(listener.acceptor, listener.endpoint);
+    listener.endpoint = listener.acceptor.local_endpoint();
+    spawn(io_, accept(server, router, ++listener.opening));
 }
 
 const char* Servers::kind(std::size_t server) const {
     if (is_cache_server(server))
         return "cache";
-    return server + 1 == servers_.size() ? "store" : "hub";
+    return is_store(server) ? "store" : "hub";
 }
 
 std::string Servers::address(std::size_t server, std::size_t router) const {
-    return text_of(servers_.at(server)->doors.at(router)->at);
+    return text_of(servers_.at(server)->listeners.at(router)->endpoint);
 }
 
-std::optional<std::size_t> Servers::place(const std::string& id) const {
-    for (std::size_t i = 0; i < servers_.size(); ++i)
-        if (this->id(i) == id)
-            return i;
+std::optional<std::size_t> Servers::index_of(const std::string& id) const {
+    for (std::size_t server = 0; server < servers_.size(); ++server)
+        if (this->id(server) == id)
+            return server;
     return std::nullopt;
 }
 
 void Servers::set_up(std::size_t server, bool up) {
-    Server& s = *servers_.at(server);
-    if (s.up == up)
+    Server& own = *servers_.at(server);
+    if (own.up == up)
         return;
-    s.up = up;
+    own.up = up;
     error_code ignored;
-    for (std::size_t router = 0; router < s.doors.size(); ++router) {
+    for (std::size_t router = 0; router < own.listeners.size(); ++router) {
         if (up)
             open(server, router);
         else
-            s.doors[router]->acceptor.close(ignored);
+            own.listeners[router]->acceptor.close(ignored);
     }
     if (up)
         return;
-    s.copies.clear();
-    for (tcp::socket* socket : std::set{s.open})
+    own.copies.clear();
+    for (tcp::socket* socket : std::set{own.connections})
         reset(*socket);
 }
 
 Task<> Servers::accept(std::size_t server, std::size_t router, std::uint64_t opening) {
-    Door& door = *servers_[server]->doors[router];
-    while (door.openings == opening && door.acceptor.is_open()) {
+    Listener& listener = *servers_[server]->listeners[router];
+    while (listener.opening == opening && listener.acceptor.is_open()) {
         error_code error;
         tcp::socket socket{io_};
-        co_await door.acceptor.async_accept(socket, into(error));
-        if (!error && door.openings == opening)
+        co_await listener.acceptor.async_accept(socket, into(error));
+        if (!error && listener.opening == opening)
             spawn(io_, serve(server, router, std::move(socket)));
     }
 }
 
 Task<> Servers::serve(std::size_t server, std::size_t router, tcp::socket socket) {
-    Server& s = *servers_[server];
-    s.open.insert(&socket);
+    Server& own = *servers_[server];
+    own.connections.insert(&socket);
     Exchange exchange{socket};
     Next next = Next::go_on;
     while (next == Next::go_on && socket.is_open()) {
@@ -132,34 +148,38 @@
             co_await http::async_read(socket, exchange.buffer, exchange.request, into(error));
         if (error)
             break;
-        const auto& request = exchange.request;
-        const auto target = request.target();
-        exchange.id = std::string{request["Call-Id"]};
-        exchange.path = std::string{target.substr(std::min<std::size_t>(5, target.size()))};  // behind /obj/
-        exchange.write = request.method() == http::verb::put;
-        oracle_.attempt(router, server, exchange.id, first_byte, Millis{number(request["Call-Ms"])});
-        if (const auto source = place(std::string{request["Miss-To"]}))
-            oracle_.named_source(router, *source, exchange.id, first_byte);
+        on_request(server, router, exchange, first_byte);
         next = co_await answer(server, exchange);
     }
-    s.open.erase(&socket);
+    own.connections.erase(&socket);
     if (next == Next::reset)
         reset(socket);
 }
 
-// A keyed request's repeat is dropped as long as its key is remembered; the answer is the same.
-void Servers::run(Exchange& exchange) {
+void Servers::on_request(std::size_t server, std::size_t router, Exchange& exchange, Moment first_byte) {
+    const auto& request = exchange.request;
+    const std::string target{request.target()};
+    exchange.id = std::string{request["Call-Id"]};
+    exchange.path = target.substr(std::min(std::char_traits<char>::length(kPathPrefix), target.size()));
+    exchange.is_write = request.method() == http::verb::put;
+    oracle_.attempt(router, server, exchange.id, first_byte, Millis{header_number(request["Call-Ms"])});
+    if (const auto source = index_of(std::string{request["Miss-To"]}))
+        oracle_.named_source(router, *source, exchange.id, first_byte);
+}
+
+// A keyed request is executed once for as long as its key is remembered; the answer is the same.
+void Servers::execute(Exchange& exchange) {
     const std::string key{exchange.request["Call-Once"]};
     if (!key.empty()) {
-        const auto [seen, fresh] = keys_.try_emplace(key, Clock::now());
-        if (!fresh && Clock::now() < seen->second + terms::kWindow)
+        const auto [seen, is_new] = executed_keys_.try_emplace(key, Clock::now());
+        if (!is_new && Clock::now() < seen->second + terms::kWindow)
             return;
     }
     oracle_.ran(exchange.id);
 }
 
 Task<Servers::Next> Servers::answer(std::size_t server, Exchange& exchange) {
-    const Misbehaviour how = servers_[server]->how;
+    const Misbehaviour how = servers_[server]->misbehaviour;
     if (how.hang + how.reset + how.error + how.spoil > draw(99))
         co_return co_await misbehave(server, exchange);
     if (how.slow > 0ms)
@@ -173,48 +193,37 @@
 }
 
 Task<Servers::Next> Servers::misbehave(std::size_t server, Exchange& exchange) {
-    const Misbehaviour how = servers_[server]->how;
+    const Misbehaviour how = servers_[server]->misbehaviour;
     int drawn = draw(std::max(0, how.hang + how.reset + how.error + how.spoil - 1));
-    const bool runs = exchange.write && draw(1) == 1 && !is_cache_server(server);
-    if (runs)
-        run(exchange);
-    if (drawn < how.hang) {
-        error_code error;
-        char byte = 0;
-        co_await exchange.socket.async_read_some(asio::buffer(&byte, 1), into(error));
-        co_return Next::close;
-    }
+    const bool executes = exchange.is_write && draw(1) == 1 && !is_cache_server(server);
+    if (executes)
+        execute(exchange);
+    if (drawn < how.hang)
+        co_return co_await hang(exchange);
     drawn -= how.hang;
     if (drawn < how.reset)
         co_return Next::reset;
     drawn -= how.reset;
-    if (drawn < how.error) {
-        // Not within the co_await: GCC 12 destroys such a temporary twice.
-        Response response = never_ran(http::status::service_unavailable);
-        if (runs || draw(1) == 1)
-            response = Response{http::status::internal_server_error, 11};
-        co_return co_await write(exchange, std::move(response));
-    }
-    const std::string body = body_of(exchange.path, unix_ms());
-    const std::string length = std::to_string(body.size());
-    const std::string head =
-        "HTTP/1.1 200 OK\r\nTag: x\r\nMade-At: " + std::to_string(unix_ms()) + "\r\nDetail: hit\r\n";
-    std::string bytes;
-    switch (exchange.write ? draw(1) : draw(3)) {
-        case 0:
-            bytes = "\x01\x02 neither this nor that\r\n\r\n";
-            break;
-        case 1:
-            bytes = head + "Content-Length: 99999\r\n\r\n" + body;
-            break;  // and then the end
-        case 2:
-            bytes = head + "Content-Length: " + length + "\r\n\r\n" + body + head +
-                    "Content-Length: 3\r\n\r\nold";
-            break;
-        default:
-            bytes = "HTTP/1.1 100 Continue\r\n\r\n" + head + "Content-Length: " + length + "\r\n\r\n" + body;
-            break;
-    }
+    if (drawn >= how.error)
+        co_return co_await spoil(exchange);
+    // Not within the co_await: GCC 12 destroys such a temporary twice.
+    Response response = not_begun(http::status::service_unavailable);
+    if (executes || draw(1) == 1)
+        response = Response{http::status::internal_server_error, kHttpVersion};
+    co_return co_await write(exchange, std::move(response));
+}
+
+// Until the router ends the connection, or sends more on it.
+Task<Servers::Next> Servers::hang(Exchange& exchange) {
+    error_code error;
+    char byte = 0;
+    co_await exchange.socket.async_read_some(asio::buffer(&byte, 1), into(error));
+    co_return Next::close;
+}
+
+Task<Servers::Next> Servers::spoil(Exchange& exchange) {
+    const auto how = static_cast<Spoiled>(exchange.is_write ? draw(1) : draw(3));
+    const std::string bytes = spoiled_answer(how, exchange.path);
     error_code error;
     co_await asio::async_write(exchange.socket, asio::buffer(bytes), into(error));
     co_return Next::close;
@@ -228,36 +237,41 @@
 }
 
 Task<Response> Servers::carry_out(std::size_t server, Exchange& exchange) {
-    Server& s = *servers_[server];
     const auto& request = exchange.request;
-    const bool is_store = server + 1 == servers_.size();
-    const auto source = place(std::string{request["Miss-To"]});
-    const bool has_source = is_store || (source && *source != server && servers_[*source]->up);
-    if (exchange.write) {
-        if (!has_source)
-            co_return never_ran(http::status::not_found);
-        co_await pause(Millis{5 + draw(20)});
-        run(exchange);
-        co_return good(exchange.path, unix_ms(), "via_origin");
-    }
-    const std::int64_t told = number(request["No-Older-Than"]);
-    const std::int64_t oldest = told > 0 ? told : terms::kMaxAge.count();
-    const auto copy = s.copies.find(exchange.path);
-    if (copy != s.copies.end() && unix_ms() - copy->second <= oldest) {
-        const std::int64_t kept_made = copy->second;  // its process may end meanwhile
+    const auto source = index_of(std::string{request["Miss-To"]});
+    const bool has_source = is_store(server) || (source && *source != server && servers_[*source]->up);
+    if (exchange.is_write && has_source)
+        co_return co_await carry_out_write(exchange);
+    if (exchange.is_write)
+        co_return not_begun(http::status::not_found);
+    const std::int64_t asked_max_age_ms = header_number(request["No-Older-Than"]);
+    const std::int64_t max_age_ms = asked_max_age_ms > 0 ? asked_max_age_ms : terms::kMaxAge.count();
+    const auto& copies = servers_[server]->copies;
+    const auto copy = copies.find(exchange.path);
+    if (copy != copies.end() && unix_ms() - copy->second <= max_age_ms) {
+        const std::int64_t made_ms = copy->second;  // the copy may go while this waits
         co_await pause(Millis{1 + draw(5)});
-        co_return good(exchange.path, kept_made, "hit");
-    }
-    if (!has_source) {
-        Response response{http::status::not_found, 11};
-        response.set("Detail", source ? "src_refused" : "src_lacks");
-        co_return response;
+        co_return success(exchange.path, made_ms, "hit");
     }
-    const std::int64_t made = unix_ms();
+    if (has_source)
+        co_return co_await fill(server, exchange);
+    Response response{http::status::not_found, kHttpVersion};
+    response.set("Detail", source ? "src_refused" : "src_lacks");
+    co_return response;
+}
+
+Task<Response> Servers::carry_out_write(Exchange& exchange) {
+    co_await pause(Millis{5 + draw(20)});
+    execute(exchange);
+    co_return success(exchange.path, unix_ms(), "via_origin");
+}
+
+Task<Response> Servers::fill(std::size_t server, Exchange& exchange) {
+    const std::int64_t made_ms = unix_ms();
     co_await pause(Millis{8 + draw(30)});
-    if (number(request["Store-As"]) > 0)
-        s.copies[exchange.path] = made;
-    auto response = good(exchange.path, made, "via_origin");
+    if (header_number(exchange.request["Store-As"]) > 0)
+        servers_[server]->copies[exchange.path] = made_ms;
+    auto response = success(exchange.path, made_ms, "via_origin");
     response.set("Fill-Wait", "8");
     co_return response;
 }
--- a/src/lab/soak/servers.h
+++ b/src/lab/soak/servers.h
@@ -1,6 +1,6 @@
-// Stand-in servers: caches, two hubs and the store, each listening for each router at a port of its own, so
-// that it is known who sends. They keep copies, honour the oldest that will do, and misbehave as they are
-// told to.
+// Stand-in servers: caches, two hubs (parent caches) and the store (the origin). Each listens for each router
+// at a port of its own, so that the sender of a request is known. They keep copies, honour the age that a
+// request allows, and misbehave as they are set.
 #pragma once
 
 #include <memory>
@@ -12,76 +12,93 @@
 
 namespace silverrail::lab::soak {
 
-// How often of 100 a server does what; the first that is drawn counts.
+// How many of 100 requests a server treats how; one request in one way.
 struct Misbehaviour {
-    int hang = 0;
-    int reset = 0;
-    int error = 0;
-    int spoil = 0;
-    int close_idle = 0;
-    Millis slow{};
+    int hang = 0;        // no answer
+    int reset = 0;       // the connection is reset
+    int error = 0;       // 500, or 503 with the word that it was not begun
+    int spoil = 0;       // an answer that can't be read, breaks off, or has a second one behind it
+    int close_idle = 0;  // a good answer, and then the connection ends
+    Millis slow{};       // all answers come late, by half of this up to one and a half of it
 };
 
+// Servers and routers are named by their index: caches first, then the hubs, the store last. Tells the oracle
+// of each request and execution. Runs on the thread of `io`.
 class Servers {
 public:
+    // All are up. Throws boost::system::system_error if no port is free.
     Servers(asio::io_context& io, Oracle& oracle, std::size_t servers, std::size_t routers,
             std::uint64_t seed);
     ~Servers();
+    Servers(const Servers&) = delete;
+    Servers& operator=(const Servers&) = delete;
 
+    static constexpr std::size_t kHubs = 2;
     std::size_t count() const {
         return servers_.size();
     }
+    bool is_cache_server(std::size_t server) const {
+        return server + kHubs + 1 < servers_.size();
+    }
+    bool is_store(std::size_t server) const {
+        return server + 1 == servers_.size();
+    }
     std::string id(std::size_t server) const {
         return "s-" + std::to_string(server);
     }
+    // As discovery lists it.
     const char* kind(std::size_t server) const;
-    bool is_cache_server(std::size_t server) const {
-        return server + kHubs + 1 < servers_.size();
-    }
+    // ADDRESS:PORT at which the server listens for the router.
     std::string address(std::size_t server, std::size_t router) const;
+
     Misbehaviour& misbehaviour(std::size_t server) {
-        return servers_.at(server)->how;
+        return servers_.at(server)->misbehaviour;
     }
-    // Ends its process: refuses connections and resets those it has. Up again, it holds no copies.
+    // Down, it refuses connections, has reset those it had, and has lost its copies.
     void set_up(std::size_t server, bool up);
 
-    static constexpr std::size_t kHubs = 2;
-
 private:
-    struct Door {
-        explicit Door(asio::io_context& io) : acceptor(io) {}
+    struct Listener {
+        explicit Listener(asio::io_context& io) : acceptor(io) {}
         tcp::acceptor acceptor;
-        tcp::endpoint at;
-        std::uint64_t openings = 0;
+        tcp::endpoint endpoint;
+        std::uint64_t opening = 0;  // an accept of an earlier opening is over
     };
     struct Server {
-        std::vector<std::unique_ptr<Door>> doors;  // by router
-        std::map<std::string, std::int64_t> copies;
-        std::map<std::string, Moment> keys;  // of keyed requests that ran
-        std::set<tcp::socket*> open;
-        Misbehaviour how;
+        std::vector<std::unique_ptr<Listener>> listeners;  // by router
+        std::map<std::string, std::int64_t> copies;        // by path: when the store made it, Unix ms
+        std::set<tcp::socket*> connections;
+        Misbehaviour misbehaviour;
         bool up = true;
     };
     struct Exchange;
-    enum class Next { go_on, close, reset };
+    using Response = http::response<http::string_body>;
+    enum class Next { go_on, close, reset };  // what becomes of a connection
+
     void open(std::size_t server, std::size_t router);
     Task<> accept(std::size_t server, std::size_t router, std::uint64_t opening);
     Task<> serve(std::size_t server, std::size_t router, tcp::socket socket);
+    void on_request(std::size_t server, std::size_t router, Exchange& exchange, Moment first_byte);
     Task<Next> answer(std::size_t server, Exchange& exchange);
     Task<Next> misbehave(std::size_t server, Exchange& exchange);
-    Task<Next> write(Exchange& exchange, http::response<http::string_body> response);
-    Task<http::response<http::string_body>> carry_out(std::size_t server, Exchange& exchange);
-    std::optional<std::size_t> place(const std::string& id) const;
-    void run(Exchange& exchange);
-    int draw(int most) {
-        return static_cast<int>(random_() % static_cast<unsigned>(most + 1));
+    Task<Next> hang(Exchange& exchange);
+    Task<Next> spoil(Exchange& exchange);
+    Task<Next> write(Exchange& exchange, Response response);
+    Task<Response> carry_out(std::size_t server, Exchange& exchange);
+    Task<Response> carry_out_write(Exchange& exchange);
+    Task<Response> fill(std::size_t server, Exchange& exchange);
+    void execute(Exchange& exchange);
+    std::optional<std::size_t> index_of(const std::string& id) const;
+    // From 0 to `max`.
+    int draw(int max) {
+        return static_cast<int>(random_() % static_cast<unsigned>(max + 1));
     }
 
     asio::io_context& io_;
     Oracle& oracle_;
     std::mt19937_64 random_;
     std::vector<std::unique_ptr<Server>> servers_;
-    std::map<std::string, Moment> keys_;  // the servers share which keys they have seen
+    std::map<std::string, Moment> executed_keys_;  // of keyed requests; the servers share them
 };
 
 }  // namespace silverrail::lab::soak
