--- a/tests/trace/tools_test.cpp
+++ b/tests/trace/tools_test.cpp
@@ -97,8 +97,7 @@
         });
     })};
     const Replay stopped = replayed(gap);
-    CHECK(stopped.stopped() && stopped.stopped()->starts_with("5 records") &&
-          !stopped.first());
+    CHECK(stopped.stopped() && stopped.stopped()->starts_with("5 records") && !stopped.first());
 }
 
 void a_cut_keeps_all_records_of_its_time_and_stands_alone(const Bytes& trace) {
