--- a/bench/trace_bench.cpp
+++ b/bench/trace_bench.cpp
@@ -11,7 +11,7 @@
 #include "config/config.h"
 #include "lab/synthetic_trace/synthetic_trace.h"
 #include "trace/recorder.h"
-#include "trace/replay.h"
+#include "trace/replay/replay.h"
 #include "trace/tools/cut.h"
 #include "trace/tools/merge.h"
 #include "trace/tools/summarize.h"
@@ -149,10 +149,10 @@
         TraceReader reader{*source};
         Replay replay{parse_settings};
         reader.for_each({}, [&](const Record& r, bool from_snapshot, const model::EffectiveState&) {
-            return from_snapshot || replay.take(r);
+            return from_snapshot || replay.add(r);
         });
-        replay.end();
-        if (replay.first())
+        replay.finish();
+        if (replay.first_difference())
             state.SkipWithError("decisions differ");
     }
     state.SetItemsProcessed(state.iterations() * static_cast<std::int64_t>(made.records));
--- a/src/cli/trace/replay.cpp
+++ b/src/cli/trace/replay.cpp
@@ -1,6 +1,6 @@
 // `silverrail trace replay`: repeats the recorded decisions with this program's decision module, and compares
 // them.
-#include "trace/replay.h"
+#include "trace/replay/replay.h"
 
 #include <algorithm>
 #include <cstdio>
@@ -33,12 +33,12 @@
         read_options.track_state = false;
         input.reader().for_each(read_options, [&replay](const trace::Record& record, bool from_snapshot,
                                                         const trace::model::EffectiveState&) {
-            return from_snapshot || replay.take(record);
+            return from_snapshot || replay.add(record);
         });
         complete = input.reader().indexed();
         code = std::max(code, input.report_damage());
     }
-    replay.end(complete);
+    replay.finish(complete);
     return code;
 }
 
@@ -46,65 +46,68 @@
     Json::Value out;
     out["events"] = json_number(replay.events());
     out["decisions"] = json_number(replay.decisions());
-    out["differences"] = json_number(replay.differences());
-    if (replay.stopped())
-        out["stopped"] = *replay.stopped();
+    out["differences"] = json_number(replay.differing_events());
+    if (replay.stop())
+        out["stopped"] = describe(*replay.stop());
     out["by_class"] = Json::Value{Json::objectValue};
-    for (const auto& [key, count] : replay.sums())
-        out["by_class"][key.first][Replay::name_of(key.second)] = json_number(count);
-    if (const auto& first = replay.first()) {
-        out["first"]["event"] = json_number(first->event);
-        out["first"]["recorded"] = first->recorded;
-        out["first"]["now"] = first->now;
+    for (const auto& [category, count] : replay.differences())
+        out["by_class"][category.class_name][name_of(category.kind)] = json_number(count);
+    if (const auto& first = replay.first_difference()) {
+        out["first"]["event"] = json_number(first->event_number);
+        out["first"]["recorded"] = first->recorded_action;
+        out["first"]["now"] = first->replayed_action;
     }
     print(out);
 }
 
 void print_text(const Replay& replay, bool diff) {
-    const auto& first = replay.first();
+    const auto& first = replay.first_difference();
     if (!first) {
         std::printf("%llu events, %llu decisions, all the same\n", printable(replay.events()),
                     printable(replay.decisions()));
         return;
     }
     std::printf("%llu events, %llu decisions, %llu events answered otherwise%s\n", printable(replay.events()),
-                printable(replay.decisions()), printable(replay.differences()),
+                printable(replay.decisions()), printable(replay.differing_events()),
                 diff ? "" : ": stopped at the first");
     std::printf("first: event %llu, %s, call %llu\n    recorded: %s\n    now:      %s\n",
-                printable(first->event), Replay::name_of(first->difference), printable(first->request),
-                first->recorded.c_str(), first->now.c_str());
-    for (const auto& [key, count] : replay.sums())
-        std::printf("%-16s %-32s %llu\n", key.first.c_str(), Replay::name_of(key.second), printable(count));
+                printable(first->event_number), name_of(first->kind), printable(first->request),
+                first->recorded_action.c_str(), first->replayed_action.c_str());
+    for (const auto& [category, count] : replay.differences())
+        std::printf("%-16s %-32s %llu\n", category.class_name.c_str(), name_of(category.kind),
+                    printable(count));
 }
 
 // Prints the request of the first difference as it was recorded.
-void print_request(const Options& options, const Replay::Found& difference) {
+void print_request(const Options& options, const trace::DecisionDifference& difference) {
     for (const std::string& path : options.paths) {
         InputFile input{path};
         trace::show(input.reader(), {},
                     [&](const trace::model::RequestTimeline& timeline, const trace::Names& names) {
                         if (!options.json && timeline.request == difference.request &&
-                            timeline.router_index == difference.source)
+                            timeline.router_index == difference.router_index)
                             std::fputs(trace::text_of(timeline, names).c_str(), stdout);
                     });
     }
 }
 
 int replay_files(const Options& options) {
-    Replay replay{trace::parse_settings, options.diff};
+    const auto mode = options.diff ? trace::ReplayMode::continue_after_difference
+                                   : trace::ReplayMode::stop_at_first_difference;
+    Replay replay{trace::parse_settings, mode};
     const int code = read_files(options, replay);
     if (options.json)
         print_json(replay);
     else
         print_text(replay, options.diff);
-    const auto& first = replay.first();
+    const auto& first = replay.first_difference();
     if (first && first->request != 0)
         print_request(options, *first);
-    if (replay.stopped())
-        std::fprintf(stderr, "compared up to there: %s\n", replay.stopped()->c_str());
+    if (replay.stop())
+        std::fprintf(stderr, "compared up to there: %s\n", describe(*replay.stop()).c_str());
     if (first)
         return kDifferent;
-    return replay.stopped() ? std::max<int>(code, kDamaged) : code;
+    return replay.stop() ? std::max<int>(code, kDamaged) : code;
 }
 
 }  // namespace
--- a/tests/trace/recorder_test.cpp
+++ b/tests/trace/recorder_test.cpp
@@ -10,7 +10,6 @@
 #include <thread>
 
 #include "records.h"
-#include "trace/replay.h"
 #include "trace/tools/cut.h"
 #include "trace/tools/merge.h"
 #include "trace/tools/show.h"
--- a/tests/trace/tools_test.cpp
+++ b/tests/trace/tools_test.cpp
@@ -5,7 +5,7 @@
 
 #include "lab/synthetic_trace/synthetic_trace.h"
 #include "records.h"
-#include "trace/replay.h"
+#include "trace/replay/replay.h"
 #include "trace/tools/cut.h"
 #include "trace/tools/merge.h"
 #include "trace/tools/show.h"
@@ -43,19 +43,19 @@
     TraceReader reader;
 };
 
-Replay replayed(Open& trace, bool go_on = false) {
-    Replay replay{parse_settings, go_on};
+Replay replayed(Open& trace, ReplayMode mode = ReplayMode::stop_at_first_difference) {
+    Replay replay{parse_settings, mode};
     trace.reader.for_each({}, [&](const Record& r, bool from_snapshot, const EffectiveState&) {
-        return from_snapshot || replay.take(r);
+        return from_snapshot || replay.add(r);
     });
-    replay.end();
+    replay.finish();
     return replay;
 }
 
 void a_replay_finds_exactly_the_changed_decisions(const Bytes& trace) {
     Open whole{trace};
     const Replay same = replayed(whole);
-    CHECK(!same.first() && !same.stopped() && same.events() > 4000 && same.decisions() > 2000);
+    CHECK(!same.first_difference() && !same.stop() && same.events() > 4000 && same.decisions() > 2000);
     // One decision that was recorded otherwise is found, at its event, with its call.
     std::uint64_t changed_call = 0;
     int sends = 0;
@@ -77,13 +77,13 @@
     };
     Open target{spoil([](AttemptSent& s) { s.target = "s-elsewhere"; })};
     const Replay found = replayed(target);
-    CHECK(found.first() && found.first()->difference == Replay::Difference::other_target);
-    CHECK(found.first()->request == changed_call &&
-          found.first()->recorded.find("s-elsewhere") != std::string::npos);
+    CHECK(found.first_difference() && found.first_difference()->kind == ActionDifference::target);
+    CHECK(found.first_difference()->request == changed_call &&
+          found.first_difference()->recorded_action.find("s-elsewhere") != std::string::npos);
     Open retention{spoil([](AttemptSent& s) { s.retention ^= 1; })};
-    const Replay other = replayed(retention, true);
-    CHECK(other.differences() == 1 && other.events() == same.events());
-    CHECK(other.sums().begin()->first.second == Replay::Difference::other_fill);
+    const Replay other = replayed(retention, ReplayMode::continue_after_difference);
+    CHECK(other.differing_events() == 1 && other.events() == same.events());
+    CHECK(other.differences().begin()->first.kind == ActionDifference::fill);
     // What is not whole is not compared past the hole.
     Open gap{written([&](TraceWriter& w) {
         Open again{trace};
@@ -97,8 +97,8 @@
         });
     })};
     const Replay stopped = replayed(gap);
-    CHECK(stopped.stopped() && stopped.stopped()->starts_with("5 records") &&
-          !stopped.first());
+    CHECK(stopped.stop() && describe(*stopped.stop()).starts_with("5 records") &&
+          !stopped.first_difference());
 }
 
 void a_cut_keeps_all_records_of_its_time_and_stands_alone(const Bytes& trace) {
@@ -282,7 +282,7 @@
     // Without --objects the decisions can still be replayed.
     Open kept{strip_to({.key = key})};
     const Replay again = replayed(kept);
-    CHECK(!again.first() && !again.stopped() && again.events() > 4000);
+    CHECK(!again.first_difference() && !again.stop() && again.events() > 4000);
 }
 
 // Three routers, clocks up to a second apart and drifting, one of them restarted in between.
@@ -366,7 +366,7 @@
         truth += t.requests;
     CHECK(calls == truth);
     const Replay replay = replayed(merged);
-    CHECK(!replay.first() && !replay.stopped());
+    CHECK(!replay.first_difference() && !replay.stop());
     // Given offsets stand before estimates; where nothing is shared, it says so.
     MemorySink given_sink;
     const MergeResult given = merge(inputs, {{"n1", -250.0}}, given_sink);
