--- a/bench/trace_bench.cpp
+++ b/bench/trace_bench.cpp
@@ -10,7 +10,7 @@
 
 #include "config/config.h"
 #include "lab/synthetic_trace/synthetic_trace.h"
-#include "trace/recorder.h"
+#include "trace/recorder/recorder.h"
 #include "trace/replay/replay.h"
 #include "trace/tools/cut.h"
 #include "trace/tools/merge.h"
@@ -173,12 +173,12 @@
     RecorderSettings settings;
     settings.queue_bytes = 16 << 20;
     settings.flight_bytes = 8 << 20;
-    Recorder recorder{settings, Identity{}, std::make_unique<DiskFolder>("/nowhere", "")};
+    Recorder recorder{settings, RecorderIdentity{}, std::make_unique<DiskFolder>("/nowhere", "")};
     std::uint64_t allocations = 0;
     for (auto _ : state) {
         const std::uint64_t before = allocated;
         for (const auto& k : records)
-            recorder.take(k.record());
+            recorder.add(k.record());
         state.PauseTiming();
         allocations += allocated - before;
         std::this_thread::sleep_for(std::chrono::milliseconds{60});
--- a/src/app/optional_parts.cpp
+++ b/src/app/optional_parts.cpp
@@ -34,9 +34,10 @@
 }
 
 void OptionalParts::add_trace() {
-    add(std::make_unique<TracePart>(TracePart::World{with_.io, with_.engine, with_.log, with_.config.name,
-                                                     with_.config.seed, config::json_line(with_.config.root)},
-                                    with_.settings.trace));
+    add(std::make_unique<TracePart>(
+        TracePart::Dependencies{with_.io, with_.engine, with_.log, with_.config.name, with_.config.seed,
+                                config::json_line(with_.config.root)},
+        with_.settings.trace));
 }
 
 void OptionalParts::add_peers() {
--- a/src/lab/synthetic_trace/router_simulation.cpp
+++ b/src/lab/synthetic_trace/router_simulation.cpp
@@ -99,7 +99,7 @@
     });
 }
 
-void RouterSimulation::take(const trace::model::Record& record) {
+void RouterSimulation::add(const trace::model::Record& record) {
     writer_.add(record);
 }
 
--- a/src/lab/synthetic_trace/router_simulation.h
+++ b/src/lab/synthetic_trace/router_simulation.h
@@ -11,7 +11,7 @@
 #include "lab/synthetic_trace/server_model.h"
 #include "log/log.h"
 #include "trace/format/trace_writer.h"
-#include "trace/observe.h"
+#include "trace/recorder/trace_observer.h"
 
 namespace silverrail::lab {
 
@@ -51,7 +51,7 @@
     }
 
 private:
-    void take(const trace::model::Record& record) override;
+    void add(const trace::model::Record& record) override;
     void record_start(const Identity& identity);
     void apply_server_list();
     std::int64_t clock_offset_ns() const;
@@ -67,7 +67,7 @@
     SimulatedAttemptSender sender_;
     const Json::Value config_;
     trace::TraceWriter writer_;
-    trace::Observing observer_;
+    trace::TraceObserver observer_;
     core::Engine engine_;
     SeededRandom random_;
     RequestModel request_model_;
