--- a/bench/trace_bench.cpp
+++ b/bench/trace_bench.cpp
@@ -10,6 +10,7 @@
 
 #include "config/config.h"
 #include "lab/synthetic_trace/synthetic_trace.h"
+#include "trace/output/record_json.h"
 #include "trace/recorder/recorder.h"
 #include "trace/replay/replay.h"
 #include "trace/tools/cut.h"
--- a/src/cli/trace/info.cpp
+++ b/src/cli/trace/info.cpp
@@ -5,6 +5,7 @@
 #include <cstdio>
 
 #include "cli/trace/command.h"
+#include "trace/output/value_text.h"
 
 namespace silverrail::cli {
 
--- a/src/cli/trace/merge.cpp
+++ b/src/cli/trace/merge.cpp
@@ -8,6 +8,7 @@
 
 #include "cli/trace/command.h"
 #include "config/config.h"
+#include "trace/output/value_text.h"
 
 namespace silverrail::cli {
 
--- a/src/cli/trace/selection_options.cpp
+++ b/src/cli/trace/selection_options.cpp
@@ -1,6 +1,10 @@
 #include "cli/trace/selection_options.h"
 
+#include <algorithm>
 #include <charconv>
+#include <limits>
+
+#include "trace/output/value_text.h"
 
 namespace silverrail::cli {
 
--- a/src/trace/tools/merge.cpp
+++ b/src/trace/tools/merge.cpp
@@ -5,6 +5,7 @@
 #include <set>
 
 #include "trace/format/trace_writer.h"
+#include "trace/output/value_text.h"
 
 namespace silverrail::trace {
 
--- a/src/trace/tools/summary_output.cpp
+++ b/src/trace/tools/summary_output.cpp
@@ -3,6 +3,7 @@
 #include <cstdio>
 #include <utility>
 
+#include "trace/output/value_text.h"
 #include "trace/tools/summarize.h"
 
 namespace silverrail::trace {
--- a/src/trace/tools/tool.h
+++ b/src/trace/tools/tool.h
@@ -8,7 +8,8 @@
 
 #include "silverrail/routing/router.h"
 #include "trace/format/trace_reader.h"
-#include "trace/json.h"
+#include "trace/model/effective_state.h"
+#include "trace/output/timeline_output.h"
 
 namespace silverrail::trace {
 
--- a/tests/trace/tools_test.cpp
+++ b/tests/trace/tools_test.cpp
@@ -5,6 +5,7 @@
 
 #include "lab/synthetic_trace/synthetic_trace.h"
 #include "records.h"
+#include "trace/output/value_text.h"
 #include "trace/replay/replay.h"
 #include "trace/tools/cut.h"
 #include "trace/tools/merge.h"
