--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,6 +1,6 @@
 // The command line. Without a sub-command the program serves, as deploy/balancer.toml starts it.
 #include "app/commands.h"
-#include "cli/lab.h"
+#include "cli/lab/lab.h"
 #include "cli/trace/trace.h"
 
 int main(int argc, char** argv) {
