--- a/src/lab/synthetic_trace/discovery_model.cpp
+++ b/src/lab/synthetic_trace/discovery_model.cpp
@@ -1,6 +1,6 @@
 #include "lab/synthetic_trace/discovery_model.h"
 
-#include "lab/site.h"
+#include "lab/sample_deployment.h"
 #include "lab/synthetic_trace/object_catalog.h"
 
 namespace silverrail::lab {
@@ -73,7 +73,8 @@
 }
 
 void DiscoveryModel::publish(std::size_t server_index, Condition condition) {
-    const core::ServerChange change{false, {known(servers_.all()[server_index].listing, condition)}};
+    const core::ServerChange change{false,
+                                    {registry_server(servers_.all()[server_index].listing, condition)}};
     for (DiscoveryListener* listener : listeners_)
         listener->on_server_change(change);
 }
--- a/src/lab/synthetic_trace/request_model.cpp
+++ b/src/lab/synthetic_trace/request_model.cpp
@@ -3,7 +3,7 @@
 #include <cmath>
 #include <cstdio>
 
-#include "lab/site.h"
+#include "lab/sample_deployment.h"
 #include "lab/synthetic_trace/object_catalog.h"
 
 namespace silverrail::lab {
@@ -95,7 +95,7 @@
 core::ClientRequest RequestModel::next(core::Time now) {
     core::ClientRequest request;
     const std::size_t class_index = class_of(random_.uniform());
-    request.class_name = kClasses[class_index];
+    request.class_name = kRequestClasses[class_index];
     request.trace_id = hex_digits(random_.next());
     const std::uint64_t object = draw_object(class_index);
     request.object = hex_digits(object);
--- a/src/lab/synthetic_trace/router_simulation.cpp
+++ b/src/lab/synthetic_trace/router_simulation.cpp
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "config/config.h"
-#include "lab/site.h"
+#include "lab/sample_deployment.h"
 
 namespace silverrail::lab {
 
@@ -70,7 +70,7 @@
     list.complete = true;
     for (const SimulatedServer& server : servers_.all()) {
         const auto condition = server.down ? routing::Condition::gone : routing::Condition::ready;
-        list.servers.push_back(known(server.listing, condition));
+        list.servers.push_back(registry_server(server.listing, condition));
     }
     engine_.apply(std::move(list));
 }
--- a/src/lab/synthetic_trace/server_model.cpp
+++ b/src/lab/synthetic_trace/server_model.cpp
@@ -47,7 +47,7 @@
     return id;
 }
 
-ServerPlan cache_server(std::size_t index) {
+SampleServer cache_server(std::size_t index) {
     const auto remainder = static_cast<std::int64_t>(index % 3);
     const double weight = 10.0 + 3 * static_cast<double>(remainder);
     const std::string address = "127.0.1." + std::to_string(index + 1) + ":4100";
--- a/src/lab/synthetic_trace/server_model.h
+++ b/src/lab/synthetic_trace/server_model.h
@@ -7,16 +7,16 @@
 #include <vector>
 
 #include "core/ports.h"
-#include "lab/site.h"
+#include "lab/sample_deployment.h"
 #include "lab/synthetic_trace/seeded_random.h"
 #include "lab/synthetic_trace/simulated_clock.h"
 
 namespace silverrail::lab {
 
 struct SimulatedServer {
-    ServerPlan listing;  // as discovery lists it
-    bool down = false;   // refuses connections
-    int in_flight = 0;   // attempts of all routers
+    SampleServer listing;  // as discovery lists it
+    bool down = false;     // refuses connections
+    int in_flight = 0;     // attempts of all routers
 };
 
 // The servers that all routers share.
