--- a/bench/trace_bench.cpp
+++ b/bench/trace_bench.cpp
@@ -9,10 +9,10 @@
 #include <thread>
 
 #include "config/config.h"
-#include "lab/sample_deployment.h"
-#include "trace/recorder.h"
-#include "trace/replay.h"
-#include "trace/synth.h"
+#include "lab/synthetic_trace/synthetic_trace.h"
+#include "trace/output/record_json.h"
+#include "trace/recorder/recorder.h"
+#include "trace/replay/replay.h"
 #include "trace/tools/cut.h"
 #include "trace/tools/merge.h"
 #include "trace/tools/summarize.h"
@@ -45,18 +45,19 @@
 };
 Made make(double seconds, int routers) {
     Made m;
-    SynthPlan plan;
-    plan.seconds = seconds;
+    lab::SyntheticTracePlan plan;
+    plan.duration_s = seconds;
     plan.routers = routers;
-    plan.rate = routers == 1 ? 950 : 240;
-    plan.skew_ms = routers == 1 ? 0 : 1000;
-    plan.drift_ppm = routers == 1 ? 0 : 100;
+    plan.requests_per_s = routers == 1 ? 950 : 240;
+    plan.max_skew_ms = routers == 1 ? 0 : 1000;
+    plan.max_drift_ppm = routers == 1 ? 0 : 100;
     plan.seed = 7;
-    for (const auto& t : synth(plan, [&](int, const std::string&, int, std::string&) -> ByteSink& {
-             m.sinks.push_back(std::make_unique<MemorySink>());
-             return *m.sinks.back();
-         }))
-        m.calls += t.calls;
+    const auto open_output = [&m](const lab::RouterProcess&) -> lab::TraceOutput {
+        m.sinks.push_back(std::make_unique<MemorySink>());
+        return {*m.sinks.back(), ""};
+    };
+    for (const auto& trace : lab::generate_synthetic_traces(plan, open_output))
+        m.calls += trace.requests;
     for (const auto& s : m.sinks) {
         const MemorySource source{s->bytes()};
         TraceReader reader{source};
@@ -149,10 +150,10 @@
         TraceReader reader{*source};
         Replay replay{parse_settings};
         reader.for_each({}, [&](const Record& r, bool from_snapshot, const model::EffectiveState&) {
-            return from_snapshot || replay.take(r);
+            return from_snapshot || replay.add(r);
         });
-        replay.end();
-        if (replay.first())
+        replay.finish();
+        if (replay.first_difference())
             state.SkipWithError("decisions differ");
     }
     state.SetItemsProcessed(state.iterations() * static_cast<std::int64_t>(made.records));
@@ -173,12 +174,12 @@
     RecorderSettings settings;
     settings.queue_bytes = 16 << 20;
     settings.flight_bytes = 8 << 20;
-    Recorder recorder{settings, Identity{}, std::make_unique<DiskFolder>("/nowhere", "")};
+    Recorder recorder{settings, RecorderIdentity{}, std::make_unique<DiskFolder>("/nowhere", "")};
     std::uint64_t allocations = 0;
     for (auto _ : state) {
         const std::uint64_t before = allocated;
         for (const auto& k : records)
-            recorder.take(k.record());
+            recorder.add(k.record());
         state.PauseTiming();
         allocations += allocated - before;
         std::this_thread::sleep_for(std::chrono::milliseconds{60});
--- a/src/app/config_reload.cpp
+++ b/src/app/config_reload.cpp
@@ -58,7 +58,7 @@
     for (const auto& name : config::need_restart(running_, fresh))
         log_.line("reload", "%s has changed: not applied, takes a restart", name.c_str());
     if (fresh.discovery == discovery_address_ || !watch_) {
-        log_.line("reload", "read; the address of discovery is unchanged");
+        log_.line("reload", "read; the discovery address is unchanged");
         return;
     }
     watch_->move_to(endpoint_of(fresh.discovery));
