--- a/src/lab/fault_proxy.cpp
+++ b/src/lab/fault_proxy.cpp
@@ -45,8 +45,7 @@
 
 }  // namespace
 
-// A port that is free for datagrams and streams alike: tests that run beside this one may hold the one or the
-// other.
+// A port that is free for datagrams and streams alike: other tests' processes may hold it for one of them.
 struct FaultProxy::Port {
     explicit Port(asio::io_context& io) : socket(io), acceptor(io) {
         const auto loopback = asio::ip::make_address("127.0.0.1");
--- a/src/lab/fault_proxy.h
+++ b/src/lab/fault_proxy.h
@@ -1,6 +1,5 @@
 // A proxy with faults between the peers of a fleet on loopback. Every datagram and stream to a member goes
-// through the member's proxy port, where it can be delayed (with jitter), dropped, duplicated, reordered or
-// cut off.
+// through the member's proxy port, where it can be delayed (with jitter), dropped, duplicated or cut off.
 #pragma once
 
 #include <atomic>
--- a/src/lab/faults/control.h
+++ b/src/lab/faults/control.h
@@ -54,8 +54,7 @@
 constexpr const char* kFaultFileVariable = "SILVERRAIL_FAULTS";
 constexpr const char* kFaultSeedVariable = "SILVERRAIL_FAULTS_SEED";
 
-// The file as the side has it that orders faults: made and mapped for the life of this object. The file
-// itself stays.
+// The side that orders faults: makes the file, and maps it for the life of this object. The file stays.
 class FaultFile {
 public:
     // Without faults at first. Throws std::system_error if it can't make the file.
--- a/src/lab/faults/fault_source.h
+++ b/src/lab/faults/fault_source.h
@@ -11,8 +11,7 @@
 // Whether the process was started with a fault control block.
 bool faults_are_ordered();
 
-// Whether this call fails in this way: one of the calls that are to fail for certain, or by chance. Counted
-// if so.
+// Whether this call fails in this way, as one of those that have to, or by chance. Counts it if so.
 bool draw_fault(CallFault fault);
 
 // Moves a time of the wall clock by the step that is ordered.
--- a/src/lab/sample_deployment.h
+++ b/src/lab/sample_deployment.h
@@ -40,8 +40,7 @@
 // Discovery's event `number`: the given endpoints, as the whole list (`full`) or as a change to it.
 Json::Value endpoint_list_event(std::int64_t number, bool full, const std::vector<Json::Value>& endpoints);
 
-// Discovery's event `number`: copies of `object` from before `issued_ms` (Unix time) are not to be served any
-// more.
+// Discovery's event `number`: no copy of `object` from before `issued_ms` (Unix time) may be served.
 Json::Value purge_event(std::int64_t number, const std::string& object, std::int64_t issued_ms);
 
 }  // namespace silverrail::lab
--- a/src/lab/soak/async.h
+++ b/src/lab/soak/async.h
@@ -31,12 +31,7 @@
     asio::co_spawn(io, std::move(task), asio::detached);
 }
 
-inline std::string text_of(const tcp::endpoint& at) {
-    return at.address().to_string() + ":" + std::to_string(at.port());
-}
-
-// Listens at a port of the address; 0 takes any. A port that was let go stays free for it: nobody else binds
-// there.
+// Listens at the endpoint's port; 0: at any that is free. A port that was closed can be listened at again.
 inline void listen(tcp::acceptor& acceptor, const tcp::endpoint& at) {
     acceptor.open(at.protocol());
     acceptor.set_option(tcp::acceptor::reuse_address(true));
--- a/src/lab/soak/discovery.cpp
+++ b/src/lab/soak/discovery.cpp
@@ -2,8 +2,6 @@
 
 #include <sys/socket.h>
 
-#include "lab/stand_in_support.h"
-
 namespace silverrail::lab::soak {
 
 namespace {
--- a/src/lab/soak/discovery.h
+++ b/src/lab/soak/discovery.h
@@ -1,11 +1,11 @@
 // A stand-in for service discovery: the endpoint list and the purges as numbered events, sent to each router
-// at an address of that router's own, which may move. It can be down, silent or slow for one router at a
-// time.
+// at an address of that router's own, which may move. It can be down, silent or slow for a single router.
 #pragma once
 
 #include <set>
 
 #include "lab/soak/servers.h"
+#include "lab/stand_in_support.h"
 
 namespace silverrail::lab::soak {
 
@@ -22,10 +22,9 @@
 
     // ADDRESS:PORT at which the router finds it.
     std::string address(std::size_t router) const {
-        return text_of(routers_.at(router)->endpoint);
+        return address_text(routers_.at(router)->endpoint);
     }
-    // The events so far, as the configuration holds them that is being written for the router now: a JSON
-    // object.
+    // The events so far, for a configuration of the router that is written now: a JSON object.
     std::string known_events(std::size_t router);
     // A new process of the router begins with the configuration that was written last.
     void on_configuration_read(std::size_t router);
--- a/src/lab/soak/main.cpp
+++ b/src/lab/soak/main.cpp
@@ -74,8 +74,7 @@
                        [rule](const Violation& violation) { return violation.rule == rule; });
 }
 
-// Leaves out ever smaller parts of the schedule as long as the rule that broke first still breaks without
-// them.
+// Leaves out ever smaller parts of the schedule without which the rule that broke first still breaks.
 void shrink(SoakOptions options, Rule rule) {
     Positions positions;
     for (const PlannedFault& fault : draw_plan(options.plan))
--- a/src/lab/soak/router_lifecycle.cpp
+++ b/src/lab/soak/router_lifecycle.cpp
@@ -5,6 +5,8 @@
 #include <algorithm>
 #include <csignal>
 
+#include "lab/stand_in_support.h"
+
 namespace silverrail::lab::soak {
 
 namespace {
@@ -47,7 +49,7 @@
 }
 
 void RouterLifecycle::write_configuration(std::size_t router) {
-    processes_.write_configuration(router, {text_of(standing(router).at), discovery_.address(router)},
+    processes_.write_configuration(router, {address_text(standing(router).at), discovery_.address(router)},
                                    discovery_.known_events(router));
 }
 
@@ -62,7 +64,7 @@
 
 Task<> RouterLifecycle::start(std::size_t router, Millis timeout) {
     write_configuration(router);
-    discovery_.on_configuration_read(router);  // from here on it can know that
+    discovery_.on_configuration_read(router);  // from here on the router can act on it
     processes_.start(router);
     const auto generation = processes_.generation(router);
     const bool ready = co_await wait_until_ready(router, timeout);
@@ -95,7 +97,7 @@
     const CloseAt limit{socket, Clock::now() + kAnswerTimeout};
     error_code error;
     co_await socket.async_connect(standing(router).at, into(error));
-    http::request<http::empty_body> request{http::verb::get, "/alive", 11};
+    http::request<http::empty_body> request{http::verb::get, "/alive", kHttpVersion};
     if (!error)
         co_await http::async_write(socket, request, into(error));
     beast::flat_buffer buffer;
--- a/src/lab/soak/router_processes.h
+++ b/src/lab/soak/router_processes.h
@@ -54,8 +54,7 @@
     bool running(std::size_t router) const {
         return routers_.at(router)->pid > 0;
     }
-    // The status as waitpid gives it, once after the process has ended; absent while it runs, and if none
-    // does.
+    // The status as waitpid gives it, once after the process has ended; else absent.
     std::optional<int> exit_status(std::size_t router);
     // The number of processes that were started: it tells one from the next.
     std::uint64_t generation(std::size_t router) const {
--- a/src/lab/soak/servers.cpp
+++ b/src/lab/soak/servers.cpp
@@ -94,7 +94,7 @@
 }
 
 std::string Servers::address(std::size_t server, std::size_t router) const {
-    return text_of(servers_.at(server)->listeners.at(router)->endpoint);
+    return address_text(servers_.at(server)->listeners.at(router)->endpoint);
 }
 
 std::optional<std::size_t> Servers::index_of(const std::string& id) const {
--- a/src/lab/soak/servers.h
+++ b/src/lab/soak/servers.h
@@ -16,7 +16,7 @@
 struct Misbehaviour {
     int hang = 0;        // no answer
     int reset = 0;       // the connection is reset
-    int error = 0;       // 500, or 503 with the word that it was not begun
+    int error = 0;       // 500, or 503 that says it was not begun
     int spoil = 0;       // an answer that can't be read, breaks off, or has a second one behind it
     int close_idle = 0;  // a good answer, and then the connection ends
     Millis slow{};       // all answers come late, by half of this up to one and a half of it
--- a/src/lab/stand_in_server.h
+++ b/src/lab/stand_in_server.h
@@ -15,8 +15,7 @@
 // The body of an object's part, the same wherever it is made.
 std::string object_body(const std::string& class_name, const std::string& object, const std::string& part);
 
-// Listens at a port that the system chooses, from its construction on. Runs on the thread of `io`, which must
-// outlive it.
+// Listens from its construction on, at a port that the system chooses. Runs on `io`, which must outlive it.
 class StandInServer {
 public:
     enum class Role { cache, parent, origin };
--- a/tests/fleet/common.h
+++ b/tests/fleet/common.h
@@ -69,8 +69,7 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(TestClock::now() - began).count();
 }
 
-// All members see each other alive within `timeout`; if not, what each of them sees and has logged is
-// printed.
+// All members see each other alive within `timeout`; if not, prints what each sees and has logged.
 inline bool all_agree(RouterFleet& fleet, std::chrono::milliseconds timeout) {
     if (fleet.wait_until([&] { return fleet.agree(); }, timeout))
         return true;
