--- a/src/core/attempt_builder.h
+++ b/src/core/attempt_builder.h
@@ -15,7 +15,7 @@
     std::optional<AttemptRequest> build(const routing::Send& send, const ActiveRequest& request,
                                         std::uint32_t attempt, Time now) const;
     struct CopyAge {
-        Span oldest{};           // as in AttemptRequest
+        Span max_age{};          // as in AttemptRequest
         bool tightened = false;  // by a purge that came after the decision
     };
     // `class_max_age` is that of the request's class; 0: its copies do not age.
--- a/src/net/server_protocol.cpp
+++ b/src/net/server_protocol.cpp
@@ -2,12 +2,14 @@
 
 #include <algorithm>
 #include <array>
-#include <charconv>
+
+#include "config/number.h"
 
 namespace silverrail::net {
 
 namespace {
 
+using config::parse_number;
 using core::AttemptResult;
 using core::AttemptStatus;
 using core::CacheStatus;
@@ -57,21 +59,7 @@
 constexpr std::pair<std::string_view, std::optional<double> routing::LoadReport::*> kLoadFields[] = {
     {"inflight", &routing::LoadReport::in_flight}, {"concurrent", &routing::LoadReport::in_flight},
     {"util", &routing::LoadReport::utilisation},   {"load_share", &routing::LoadReport::utilisation},
-    {"x0", &routing::LoadReport::hit_share},       {"x1", &routing::LoadReport::link_fullness}};
-
-std::string_view view(beast::string_view text) {
-    return {text.data(), text.size()};
-}
-
-// The whole text as a number.
-template <class Number>
-std::optional<Number> parse_number(std::string_view text) {
-    Number value{};
-    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-    if (error != std::errc{} || end != text.data() + text.size())
-        return std::nullopt;
-    return value;
-}
+    {"x0", &routing::LoadReport::hit_ratio},       {"x1", &routing::LoadReport::link_utilisation}};
 
 // 0 if absent or no time.
 std::int64_t parse_unix_ms(std::string_view text) {
@@ -98,7 +86,7 @@
             flags += '+';
         flags += flag;
     };
-    if (order.join)
+    if (order.coalesce)
         add(kJoinFill);
     if (order.only_if_cached)
         add(kOnlyIfCached);
@@ -161,7 +149,7 @@
 ServerRequest server_request(const core::AttemptRequest& order, core::Span max_age, core::Span remaining) {
     const core::ClientRequest& call = *order.client_request;
     const std::string target =
-        "/obj/" + call.class_name + "/" + call.object + "/" + std::to_string(call.part);
+        "/obj/" + call.class_name + "/" + call.object + "/" + std::to_string(call.segment);
     ServerRequest request{call.write ? http::verb::put : http::verb::get, target, kHttp11};
     request.set(http::field::host, order.address);
     request.set(kRequestId, call.trace_id);
@@ -188,15 +176,15 @@
 
 AttemptResult attempt_end(ServerResponse response) {
     AttemptResult end;
-    const bool never_ran = view(response[kNeverRan]) == "1";
+    const bool never_ran = to_string_view(response[kNeverRan]) == "1";
     end.attempt_status = attempt_status(response.result_int(), never_ran);
-    end.cache_status = parse_cache_status(view(response[kCacheStatus]));
-    end.load = parse_load_report(view(response[kLoadReport]));
-    end.source_wait = parse_source_wait(view(response[kSourceWaitMs]));
+    end.cache_status = parse_cache_status(to_string_view(response[kCacheStatus]));
+    end.load = parse_load_report(to_string_view(response[kLoadReport]));
+    end.source_wait = parse_source_wait(to_string_view(response[kSourceWaitMs]));
     if (end.attempt_status == AttemptStatus::success) {
         end.not_modified = response.result() == http::status::not_modified;
-        end.tag = view(response[kTag]);
-        end.made_ms = parse_unix_ms(view(response[kMadeAtUnixMs]));
+        end.tag = to_string_view(response[kTag]);
+        end.made_ms = parse_unix_ms(to_string_view(response[kMadeAtUnixMs]));
         end.body = std::move(response.body());
     }
     return end;
--- a/src/routing/work_estimate.cpp
+++ b/src/routing/work_estimate.cpp
@@ -10,6 +10,7 @@
 
 constexpr double kSampleWeight = 0.05;   // of a new sample in a running mean
 constexpr double kInitialHits = 5;       // that the first estimate counts for
+constexpr double kMinObjective = 1e-3;   // seconds
 constexpr double kMinHitWeight = 0.005;  // so that a short fault hardly moves the estimate
 
 }  // namespace
@@ -25,7 +26,7 @@
 
 void WorkEstimator::record_size(const Request& request) {
     if (tells_work(request))
-        update_mean(by_class_[request.class_index].work, request.size_kb / settings_.flow_kb_per_s);
+        update_mean(by_class_[request.class_index].work, request.size_kb / settings_.max_response_kb_per_s);
 }
 
 void WorkEstimator::record_cacheable_request(const Request& request) {
@@ -40,7 +41,8 @@
 }
 
 double WorkEstimator::of_request(const Request& request) const {
-    return tells_work(request) ? request.size_kb / settings_.flow_kb_per_s : of_class(request.class_index);
+    return tells_work(request) ? request.size_kb / settings_.max_response_kb_per_s
+                               : of_class(request.class_index);
 }
 
 Span WorkEstimator::latency_objective(const Request& request) const {
@@ -48,4 +50,8 @@
     return request_class.latency_objective + to_span(request_class.objective_stretch * of_request(request));
 }
 
+double WorkEstimator::relative_latency(const Request& request, Span latency) const {
+    return to_seconds(latency) / std::max(kMinObjective, to_seconds(latency_objective(request)));
+}
+
 }  // namespace silverrail::routing
--- a/src/routing/work_estimate.h
+++ b/src/routing/work_estimate.h
@@ -33,6 +33,8 @@
 
     // The time within which an answer to the request earns its full weight.
     Span latency_objective(const Request& request) const;
+    // A latency in multiples of the request's objective; one below a millisecond counts as a millisecond.
+    double relative_latency(const Request& request, Span latency) const;
 
 private:
     struct ClassEstimate {
@@ -40,7 +42,7 @@
         double hits = 0;  // that the estimate rests on
     };
     bool tells_work(const Request& request) const {
-        return request.size_kb > 0 && settings_.flow_kb_per_s > 0;
+        return request.size_kb > 0 && settings_.max_response_kb_per_s > 0;
     }
 
     const Settings& settings_;
--- a/tests/core/first_byte_test.cpp
+++ b/tests/core/first_byte_test.cpp
@@ -63,7 +63,7 @@
     f.engine.apply(PurgeNotice{{}, kGroup, f.clock.unix_ms()});
     f.timers.pass(7200ms);
     (void)f.submit();
-    CHECK(f.sender.in_flight.at(0).oldest == Span{});
+    CHECK(f.sender.in_flight.at(0).max_age == Span{});
     CHECK(f.sender.first_byte(0) == Span{});
 }
 
