--- a/Makefile
+++ b/Makefile
@@ -21,7 +21,7 @@
 
 # The format of all files, and clang-tidy on the folders that pass it; docs/left.md names the others.
 LINT_BUILD ?= build-lint
-LINTED = src/(routing|cluster|cache|limits|overrides|acme|net|front|log)/
+LINTED = src/(routing|cluster|cache|limits|overrides|acme|net|front|log|lab)/
 lint: packages
 	@clang-format-19 --dry-run --Werror $(SOURCES)
 	cmake -S . -B $(LINT_BUILD) -DCMAKE_BUILD_TYPE=Debug >/dev/null
