--- a/src/lab/soak/clients.cpp
+++ b/src/lab/soak/clients.cpp
@@ -125,6 +125,7 @@
     const int together = chance(habits.pipeline) ? 2 + draw(3) : 1;
     std::string bytes;
     std::vector<Sent> all;
+    all.reserve(static_cast<std::size_t>(together));
     for (int i = 0; i < together; ++i)
         all.push_back(draw_request(connection.router, bytes));
     // Known before the last byte is out: servers may see it before this runs on.
--- a/src/lab/soak/oracle.h
+++ b/src/lab/soak/oracle.h
@@ -88,13 +88,16 @@
 public:
     explicit Oracle(std::size_t routers, std::size_t servers);
 
-    // This program itself was late by so much: times seen since are not exact.
+    // This program itself was late by so much: times seen since are not exact. Called every few milliseconds.
     void late_by(Millis lag) {
         lag_ = std::max(lag, lag_ - 1ms);
+        lag_measured_ = Clock::now();
     }
-    // How far a time seen here may be off.
+    // How far a time seen here may be off. After a pause of this program, what came meanwhile may be read
+    // before the lag is measured again: the time since the last measurement bounds it.
     Millis slack() const {
-        return 30ms + lag_;
+        const auto unmeasured = std::chrono::duration_cast<Millis>(Clock::now() - lag_measured_);
+        return 30ms + std::max(lag_, unmeasured);
     }
 
     // Clients.
@@ -158,6 +161,7 @@
     void check_copy(const std::string& id, const Request& request, std::string_view body);
 
     Millis lag_{};
+    Moment lag_measured_ = Clock::now();
     std::unordered_map<std::string, Request> requests_;
     std::vector<std::map<std::size_t, Moment>> drains_;  // by router: server, when it was told
     std::vector<std::optional<Cold>> colds_;
