--- a/Makefile
+++ b/Makefile
@@ -21,7 +21,7 @@
 
 # The format of all files, and clang-tidy on the folders that pass it; docs/left.md names the others.
 LINT_BUILD ?= build-lint
-LINTED_FOLDERS = acme app cache cluster config core front limits log net overrides routing store
+LINTED_FOLDERS = acme app cache cluster config core front lab limits log net overrides routing store
 empty :=
 space := $(empty) $(empty)
 LINTED = (src/($(subst $(space),|,$(LINTED_FOLDERS)))/|src/main\.cpp|adapter/)
