--- a/Makefile
+++ b/Makefile
@@ -10,21 +10,18 @@
 
 build: packages
 	cmake -S . -B $(BUILD) -DCMAKE_BUILD_TYPE=Release
-	cmake --build $(BUILD) -j4
+	cmake --build $(BUILD) -j$$(nproc)
 
 # Debug, with the address and undefined-behaviour sanitizers; warnings are errors. Tests in KNOWN-RED.txt are run, and
 # passed over if they fail.
 test: packages
 	cmake --preset test
-	cmake --build --preset test
+	cmake --build --preset test -j$$(nproc)
 	.ci/test
 
-# The format of all files, and clang-tidy on the folders that pass it; docs/left.md names the others.
+# The format of all files, and clang-tidy on the whole program; tests are formatted only.
 LINT_BUILD ?= build-lint
-LINTED_FOLDERS = acme app cache cluster config core front lab limits log net overrides routing store
-empty :=
-space := $(empty) $(empty)
-LINTED = (src/($(subst $(space),|,$(LINTED_FOLDERS)))/|src/main\.cpp|adapter/)
+LINTED = (src|adapter)/
 lint: packages
 	@clang-format-19 --dry-run --Werror $(SOURCES)
 	cmake -S . -B $(LINT_BUILD) -DCMAKE_BUILD_TYPE=Debug >/dev/null
@@ -33,12 +30,12 @@
 
 # The real program before stand-in servers, for some seconds.
 demo: build
-	cmake --build $(BUILD) -j4 --target silverrail_demo
+	cmake --build $(BUILD) -j$$(nproc) --target silverrail_demo
 	$(BUILD)/silverrail_demo $(BUILD)/silverrail
 
 bench:
 	cmake -S . -B $(BUILD) -DCMAKE_BUILD_TYPE=Release -DSILVERRAIL_BENCH=ON
-	cmake --build $(BUILD) -j4 --target silverrail_trace_bench
+	cmake --build $(BUILD) -j$$(nproc) --target silverrail_trace_bench
 	$(BUILD)/silverrail_trace_bench
 
 # Needs EDGE_CONFIG, and EDGE_LISTEN to listen elsewhere than it says.
