--- a/src/lab/soak/clients.cpp
+++ b/src/lab/soak/clients.cpp
@@ -26,10 +26,10 @@
 
 Clients::Clients(asio::io_context& io, Oracle& oracle, std::size_t routers, std::size_t each,
                  std::uint64_t seed)
-    : io_(io), oracle_(oracle), random_(seed), standings_(routers), each_(each) {}
+    : io_(io), oracle_(oracle), random_(seed), availability_(routers), each_(each) {}
 
 void Clients::start() {
-    for (std::size_t r = 0; r < standings_.size(); ++r)
+    for (std::size_t r = 0; r < availability_.size(); ++r)
         for (std::size_t i = 0; i < each_; ++i) {
             ++running_;
             spawn(io_, client(r, i));
@@ -44,17 +44,17 @@
     while (!stopping_) {
         co_await pause(chance(habits.rest) ? Millis{draw(2'500)}
                                            : Millis{draw(2 * static_cast<int>(habits.think.count()))});
-        const Standing& standing = standings_[router];
-        const bool open = connection->socket.is_open() && connection->generation == standing.generation;
+        const RouterAvailability& availability = availability_[router];
+        const bool open = connection->socket.is_open() && connection->generation == availability.generation;
         if (!open || chance(habits.new_connection)) {
             connection = std::make_unique<Connection>(io_, router);
-            if (!standing.connections)
+            if (!availability.connections)
                 continue;
             if (chance(habits.unreadable))
                 co_await unreadable(router);
             if (!co_await connect(*connection))
                 continue;
-        } else if (!standing.requests && !rests) {
+        } else if (!availability.requests && !rests) {
             continue;
         }
         co_await exchange(*connection);
@@ -63,11 +63,11 @@
 }
 
 Task<bool> Clients::connect(Connection& connection) {
-    const Standing& standing = standings_[connection.router];
-    connection.generation = standing.generation;
+    const RouterAvailability& availability = availability_[connection.router];
+    connection.generation = availability.generation;
     const CloseAt limit{connection.socket, Clock::now() + 3s};
     error_code error;
-    co_await connection.socket.async_connect(standing.at, into(error));
+    co_await connection.socket.async_connect(availability.at, into(error));
     if (error)
         connection.socket.close(error);
     co_return connection.socket.is_open();
@@ -83,7 +83,7 @@
     request.router = router;
     request.effect = kind == 0 ? Idempotency::none : kind == 1 ? Idempotency::keyed : Idempotency::idempotent;
     const int object = draw(kObjects - 1) * draw(99) / 99;
-    request.lot = static_cast<std::size_t>(object) % kLots;
+    request.group = static_cast<std::size_t>(object) % kGroups;
     char path[48];
     std::snprintf(path, sizeof path, "/%016x/", static_cast<unsigned>(object) + 1);
     const char* name = request.effect == Idempotency::none    ? "lodge"
@@ -97,7 +97,7 @@
     bytes += (body.empty() ? "GET /ops/" : "PUT /ops/") + std::string{name} + path +
              "piece-0 HTTP/1.1\r\nHost: soak\r\n" + "Trace-Id: " + sent.id +
              "\r\nMax-Wait-Ms: " + std::to_string(request.wait.count()) +
-             "\r\nX-Lot: " + std::to_string(request.lot) +
+             "\r\nX-Lot: " + std::to_string(request.group) +
              "\r\nReserve-Kb: " + std::to_string(terms::kRequestKb) + "\r\n";
     if (request.effect == Idempotency::keyed)
         bytes += "Replay-Key: k" + sent.id + "\r\n";
@@ -134,7 +134,7 @@
     co_await send(connection, bytes, chance(habits.in_pieces));
     if (!connection.socket.is_open()) {
         for (const Sent& sent : all)
-            oracle_.forget(sent.id);  // it never had the last byte, as far as one can tell
+            oracle_.not_owed(sent.id);  // it never had the last byte, as far as one can tell
         co_return;
     }
     for (const Sent& sent : all)
@@ -157,7 +157,7 @@
             continue;
         // Those behind it are not owed more than it was.
         for (std::size_t k = i + 1; k < all.size(); ++k)
-            oracle_.forget(all[k].id);
+            oracle_.not_owed(all[k].id);
         co_return;
     }
     char byte = 0;
@@ -192,12 +192,12 @@
 
 // `closed`: by the router; else no answer came.
 void Clients::lost(Connection& connection, const Sent& sent, bool closed) {
-    const Standing& standing = standings_[connection.router];
-    const bool killed = connection.generation <= standing.killed;
+    const RouterAvailability& availability = availability_[connection.router];
+    const bool killed = connection.generation <= availability.killed;
     const bool crossed = closed && connection.used &&
                          Clock::now() < oracle_.find(sent.id)->written + kCrossing + oracle_.slack();
-    if (killed || crossed || (closed && standing.breaks))
-        return oracle_.forget(sent.id);
+    if (killed || crossed || (closed && availability.breaks))
+        return oracle_.not_owed(sent.id);
     oracle_.lost(
         sent.id,
         (closed ? "its connection was closed after " : "no answer after ") +
--- a/src/lab/soak/clients.h
+++ b/src/lab/soak/clients.h
@@ -10,13 +10,13 @@
 namespace silverrail::lab::soak {
 
 // What the front lets through to one router, and what became of its process.
-struct Standing {
+struct RouterAvailability {
     tcp::endpoint at{};
     bool connections = false;      // new ones come
     bool requests = false;         // requests come on open ones
     std::uint64_t generation = 0;  // of the process
     std::uint64_t killed = 0;      // the last generation that SIGKILL has ended
-    bool breaks = false;           // connections break by the system's word
+    bool breaks = false;           // system calls fail, and connections with them
 };
 
 struct ClientHabits {
@@ -40,12 +40,12 @@
     bool done() const {
         return running_ == 0;
     }
-    Standing& standing(std::size_t router) {
-        return standings_.at(router);
+    RouterAvailability& availability(std::size_t router) {
+        return availability_.at(router);
     }
     ClientHabits habits;
 
-    static constexpr std::size_t kLots = 4;
+    static constexpr std::size_t kGroups = 4;
 
 private:
     struct Connection;
@@ -71,7 +71,7 @@
     asio::io_context& io_;
     Oracle& oracle_;
     std::mt19937_64 random_;
-    std::vector<Standing> standings_;
+    std::vector<RouterAvailability> availability_;
     std::size_t each_;
     std::size_t running_ = 0;
     std::uint64_t requests_ = 0;
--- a/src/lab/soak/discovery.cpp
+++ b/src/lab/soak/discovery.cpp
@@ -70,7 +70,7 @@
 std::string Discovery::event_json(const Event& event, std::size_t router) const {
     const std::string number = std::to_string(event.number);
     if (!event.server)
-        return R"({"no":)" + number + R"(,"recall":{"lot":)" + std::to_string(event.lot) + R"(,"issued":)" +
+        return R"({"no":)" + number + R"(,"recall":{"lot":)" + std::to_string(event.group) + R"(,"issued":)" +
                std::to_string(event.issued_ms) + "}}";
     return R"({"no":)" + number + R"(,"roster":{"version":)" + number + R"(,"full":false,"servers":[)" +
            server_json(*event.server, {event.state, event.started_ms}, router) + "]}}";
@@ -82,7 +82,7 @@
     own.known_list = listed_;
     const std::string number = std::to_string(own.known_number);
     std::string purges;
-    const auto earliest = unix_ms() - kPurgesKnownFor.count();
+    const auto earliest = unix_time_ms() - kPurgesKnownFor.count();
     for (const Event& event : events_)
         if (!event.server && event.issued_ms > earliest)
             purges += event_json(event, router) + ",";
@@ -99,11 +99,11 @@
     for (std::size_t server = 0; server < own.known_list.size(); ++server) {
         const ListedServer& listed = own.known_list[server];
         if (listed.state != ServerState::active)
-            oracle_.told_drain(router, server);
+            oracle_.on_drain_delivered(router, server);
         else if (listed.started_ms > 0)
-            oracle_.told_start(router, server);
+            oracle_.on_start_delivered(router, server);
     }
-    const auto earliest = unix_ms() - kPurgesKnownFor.count();
+    const auto earliest = unix_time_ms() - kPurgesKnownFor.count();
     for (const Event& event : events_)
         if (!event.server && event.number <= own.known_number && event.issued_ms > earliest)
             on_delivered(router, event);
@@ -120,14 +120,14 @@
 }
 
 void Discovery::list_restarted(std::size_t server) {
-    listed_.at(server) = {ServerState::active, unix_ms()};
+    listed_.at(server) = {ServerState::active, unix_time_ms()};
     list(server, ServerState::active);
 }
 
-void Discovery::purge(std::size_t lot) {
-    const auto issued_ms = unix_ms();
-    oracle_.purged({lot, issued_ms});
-    add({.lot = lot, .issued_ms = issued_ms});
+void Discovery::purge(std::size_t group) {
+    const auto issued_ms = unix_time_ms();
+    oracle_.purged({group, issued_ms});
+    add({.group = group, .issued_ms = issued_ms});
 }
 
 void Discovery::move(std::size_t router) {
@@ -227,10 +227,10 @@
 
 void Discovery::on_refetch(std::size_t router, const Event& event) {
     if (event.server)
-        return oracle_.told_active(router, *event.server);
+        return oracle_.on_active_delivered(router, *event.server);
     for (auto& purge : oracle_.purges())
-        if (purge.lot == event.lot && purge.issued_ms == event.issued_ms)
-            purge.told.erase(router);
+        if (purge.group == event.group && purge.issued_ms == event.issued_ms)
+            purge.delivered.erase(router);
 }
 
 void Discovery::set_stopped(std::size_t router, bool stopped) {
@@ -248,14 +248,14 @@
         return own.unread.push_back(event);
     if (!event.server) {
         for (auto& purge : oracle_.purges())
-            if (purge.lot == event.lot && purge.issued_ms == event.issued_ms)
-                purge.told[router] = Clock::now();
+            if (purge.group == event.group && purge.issued_ms == event.issued_ms)
+                purge.delivered[router] = Clock::now();
     } else if (event.state == ServerState::active) {
-        oracle_.told_active(router, *event.server);
+        oracle_.on_active_delivered(router, *event.server);
         if (event.started_ms > 0)
-            oracle_.told_start(router, *event.server);
+            oracle_.on_start_delivered(router, *event.server);
     } else {
-        oracle_.told_drain(router, *event.server);
+        oracle_.on_drain_delivered(router, *event.server);
     }
 }
 
--- a/src/lab/soak/discovery.h
+++ b/src/lab/soak/discovery.h
@@ -32,7 +32,7 @@
     void list(std::size_t server, ServerState state);
     // The same id, another start.
     void list_restarted(std::size_t server);
-    void purge(std::size_t lot);
+    void purge(std::size_t group);
 
     // To a new address; the old one sends no more events, and closes 1.5 s later.
     void move(std::size_t router);
@@ -53,7 +53,7 @@
         std::optional<std::size_t> server{};  // absent: a purge
         ServerState state = ServerState::active;
         std::int64_t started_ms = 0;
-        std::size_t lot = 0;
+        std::size_t group = 0;
         std::int64_t issued_ms = 0;
     };
     struct ListedServer {
--- a/src/lab/soak/fault_player.cpp
+++ b/src/lab/soak/fault_player.cpp
@@ -105,14 +105,14 @@
         call_fault == CallFault::read_timed_out || call_fault == CallFault::read_unreachable;
     FaultFile& faults = processes_.faults(fault.target);
     if (breaks_connections)
-        clients_.standing(fault.target).breaks = true;
+        clients_.availability(fault.target).breaks = true;
     faults.set_chance(call_fault, fault.level);
     co_await pause(fault.length);
     faults.set_chance(call_fault, 0);
     if (!breaks_connections)
         co_return;
     co_await pause(kBrokenConnectionSeenAfter);
-    clients_.standing(fault.target).breaks = false;
+    clients_.availability(fault.target).breaks = false;
 }
 
 Task<> FaultPlayer::step_clock(PlannedFault fault) {
@@ -145,7 +145,7 @@
 }
 
 Task<> FaultPlayer::purge(PlannedFault fault) {
-    discovery_.purge(fault.detail % Clients::kLots);
+    discovery_.purge(fault.detail % Clients::kGroups);
     co_return;
 }
 
--- a/src/lab/soak/oracle.cpp
+++ b/src/lab/soak/oracle.cpp
@@ -31,10 +31,6 @@
     return kRuleNames[static_cast<std::size_t>(rule)];
 }
 
-std::int64_t unix_ms() {
-    return std::chrono::duration_cast<Millis>(std::chrono::system_clock::now().time_since_epoch()).count();
-}
-
 std::string body_of(const std::string& path, std::int64_t made_ms) {
     const std::size_t size = 400 + std::hash<std::string>{}(path) % 12'000;
     std::string body = path + "|" + std::to_string(made_ms) + "|";
@@ -43,7 +39,7 @@
     return body;
 }
 
-Oracle::Oracle(std::size_t routers, std::size_t servers) : drains_(routers), colds_(servers) {}
+Oracle::Oracle(std::size_t routers, std::size_t servers) : drains_(routers), cold_starts_(servers) {}
 
 void Oracle::written(const std::string& id, Request request) {
     request.written = Clock::now();
@@ -85,20 +81,20 @@
         std::from_chars(body.data() + head.size(), body.data() + body.size(), made);
     if (made == 0 || body != body_of(request.path, made))
         return violation(Rule::right_bytes, id + ": other bytes than those of " + request.path);
-    const std::int64_t written = unix_ms() - whole_ms(Clock::now() - request.written).count();
+    const std::int64_t written = unix_time_ms() - whole_ms(Clock::now() - request.written).count();
     const std::int64_t age = written - made;
-    const auto most = terms::kMaxAge + terms::kGrace + kRuleSlack + slack();
+    const auto most = terms::kMaxAge + terms::kStaleGrace + kRuleSlack + slack();
     if (age > most.count())
         violation(Rule::fresh, id + ": a copy of " + std::to_string(age) + " ms");
     for (const Purge& purge : purges_) {
-        const auto told = purge.told.find(request.router);
-        if (purge.lot != request.lot || told == purge.told.end() || made >= purge.issued_ms)
+        const auto delivered = purge.delivered.find(request.router);
+        if (purge.group != request.group || delivered == purge.delivered.end() || made >= purge.issued_ms)
             continue;
-        if (request.written < told->second + terms::kHeedWithin + kRuleSlack + slack())
+        if (request.written < delivered->second + terms::kPurgeEffectiveWithin + kRuleSlack + slack())
             continue;
         violation(Rule::purged, "router " + std::to_string(request.router) + ", " + id + ": a copy " +
                                     std::to_string(purge.issued_ms - made) + " ms older than a purge told " +
-                                    in_ms(request.written - told->second) + " before");
+                                    in_ms(request.written - delivered->second) + " before");
     }
 }
 
@@ -131,11 +127,11 @@
 
 void Oracle::check_drained(std::size_t router, std::size_t server, const std::string& id, Moment first_byte) {
     const auto& drains = drains_[router];
-    const auto told = drains.find(server);
-    if (told == drains.end() || first_byte <= told->second + terms::kDrainGrace + kRuleSlack + slack())
+    const auto drain = drains.find(server);
+    if (drain == drains.end() || first_byte <= drain->second + terms::kDrainGrace + kRuleSlack + slack())
         return;
     violation(Rule::drained, "router " + std::to_string(router) + ", " + id + ": server " +
-                                 std::to_string(server) + ", told " + in_ms(first_byte - told->second) +
+                                 std::to_string(server) + ", told " + in_ms(first_byte - drain->second) +
                                  " before");
 }
 
@@ -143,19 +139,19 @@
 // time that the settings name; under 30 it is N + 3 x root of N + 3. N is what they allow the server at that
 // time.
 void Oracle::check_cold(std::size_t router, std::size_t server, Moment at) {
-    auto& cold = colds_[server];
-    if (!cold || at > cold->started + terms::kColdFor || !cold->told.contains(router))
+    auto& cold = cold_starts_[server];
+    if (!cold || at > cold->started + terms::kSlowStartDuration || !cold->informed_routers.contains(router))
         return;
     auto& attempts = cold->attempts;
     attempts.push_back(at);
-    while (attempts.front() + terms::kTipWindow < at)
+    while (attempts.front() + terms::kOverloadWindow < at)
         attempts.pop_front();
-    const double warm = std::chrono::duration<double>(at - cold->started) / terms::kColdFor;
+    const double warm = std::chrono::duration<double>(at - cold->started) / terms::kSlowStartDuration;
     const double capacity =
-        terms::kWeight * (terms::kColdFrom + (1 - terms::kColdFrom) * std::clamp(warm, 0.0, 1.0));
-    const double work = terms::kRequestKb / terms::kFlowKbPerS;
-    const double n =
-        terms::kTipMultiple * capacity * std::chrono::duration<double>(terms::kTipWindow).count() / work;
+        terms::kWeight * (terms::kSlowStartShare + (1 - terms::kSlowStartShare) * std::clamp(warm, 0.0, 1.0));
+    const double work = terms::kRequestKb / terms::kMaxResponseKbPerS;
+    const double n = terms::kOverloadMultiple * capacity *
+                     std::chrono::duration<double>(terms::kOverloadWindow).count() / work;
     const double most = n < 30 ? n + 3 * std::sqrt(n) + 3 : n + 2 * std::sqrt(n) + 2;
     if (static_cast<double>(attempts.size()) <= most)
         return;
@@ -177,27 +173,27 @@
     if (request->effect == Idempotency::none)
         violation(Rule::not_repeated, id + ": ran again");
     if (request->effect == Idempotency::keyed &&
-        now > *request->first_run + terms::kWindow + kRuleSlack + slack())
+        now > *request->first_run + terms::kRetryWindow + kRuleSlack + slack())
         violation(Rule::not_repeated, id + ": ran again after " + in_ms(now - *request->first_run));
 }
 
-void Oracle::told_drain(std::size_t router, std::size_t server) {
+void Oracle::on_drain_delivered(std::size_t router, std::size_t server) {
     drains_[router].try_emplace(server, Clock::now());
 }
 
-void Oracle::told_active(std::size_t router, std::size_t server) {
+void Oracle::on_active_delivered(std::size_t router, std::size_t server) {
     drains_[router].erase(server);
 }
 
-void Oracle::told_start(std::size_t router, std::size_t server) {
-    if (colds_[server])
-        colds_[server]->told.insert(router);
+void Oracle::on_start_delivered(std::size_t router, std::size_t server) {
+    if (cold_starts_[server])
+        cold_starts_[server]->informed_routers.insert(router);
 }
 
 void Oracle::forget_router(std::size_t router) {
     drains_[router].clear();
     for (Purge& purge : purges_)
-        purge.told.erase(router);
+        purge.delivered.erase(router);
 }
 
 void Oracle::violation(Rule rule, std::string what) {
--- a/src/lab/soak/oracle.h
+++ b/src/lab/soak/oracle.h
@@ -14,6 +14,8 @@
 #include <unordered_map>
 #include <vector>
 
+#include "lab/stand_in_support.h"
+
 namespace silverrail::lab::soak {
 
 using Clock = std::chrono::steady_clock;
@@ -23,20 +25,20 @@
 
 // The figures of the settings that the routers are given and that the rules go by.
 namespace terms {
-constexpr Millis kMaxAge = 3'000ms;  // of a copy of class pages
-constexpr Millis kGrace = 4'000ms;   // how far past that it may still be served
-constexpr Millis kHeedWithin = 500ms;
-constexpr Millis kClearedWithin = 6'000ms;
+constexpr Millis kMaxAge = 3'000ms;      // of a copy of class pages
+constexpr Millis kStaleGrace = 4'000ms;  // how far past that it may still be served
+constexpr Millis kPurgeEffectiveWithin = 500ms;
+constexpr Millis kPurgeCompleteWithin = 6'000ms;
 constexpr Millis kDrainGrace = 500ms;
-constexpr Millis kWindow = 900ms;  // of a keyed request's repeats
+constexpr Millis kRetryWindow = 900ms;  // of a keyed request's repeats
 constexpr Millis kLongestDeadline = 2'000ms;
-constexpr Millis kColdFor = 6'000ms;
-constexpr Millis kTipWindow = 1'500ms;
-constexpr double kColdFrom = 0.26;
-constexpr double kTipMultiple = 2;
+constexpr Millis kSlowStartDuration = 6'000ms;
+constexpr Millis kOverloadWindow = 1'500ms;
+constexpr double kSlowStartShare = 0.26;
+constexpr double kOverloadMultiple = 2;
 constexpr double kWeight = 10;
 constexpr double kRequestKb = 25;
-constexpr double kFlowKbPerS = 250;
+constexpr double kMaxResponseKbPerS = 250;
 }  // namespace terms
 
 enum class Rule : std::uint8_t {
@@ -47,7 +49,7 @@
     left_alone,    // nothing begins more than 0.1 s after its client has left
     deadline,      // a server is told no more time than the client has left
     drained,       // nothing new to a server that was said to drain
-    purged,        // no copy from before a purge that was told
+    purged,        // no copy from before a purge that was delivered
     fresh,         // no copy older than its class allows
     cold_start,    // no more to a server that has just started than it bears
     alive,         // no process ends by itself, and each is ready in time
@@ -64,7 +66,7 @@
     std::size_t router = 0;
     Idempotency effect = Idempotency::idempotent;
     std::string path;  // CLASS/OBJECT/PART
-    std::size_t lot = 0;
+    std::size_t group = 0;
     Millis wait{};
     Moment written{};                     // its last byte
     std::optional<Moment> answer_from{};  // behind another on its connection: when that was answered
@@ -106,7 +108,7 @@
     void answered(const std::string& id, int status, std::string_view body);
     void lost(const std::string& id, const std::string& why);
     // Nothing is owed for it: it never came whole, or its process was killed.
-    void forget(const std::string&) {
+    void not_owed(const std::string&) {
         ++outcomes_["not owed"];
     }
     Request* find(const std::string& id);
@@ -118,17 +120,17 @@
     void named_source(std::size_t router, std::size_t source, const std::string& id, Moment first_byte);
     void ran(const std::string& id);
     void server_started(std::size_t server) {
-        colds_[server] = Cold{Clock::now(), {}, {}};
+        cold_starts_[server] = ColdStart{Clock::now(), {}, {}};
     }
 
     // Discovery, to one router; it counts from when the router was awake to read it.
-    void told_drain(std::size_t router, std::size_t server);
-    void told_active(std::size_t router, std::size_t server);
-    void told_start(std::size_t router, std::size_t server);
+    void on_drain_delivered(std::size_t router, std::size_t server);
+    void on_active_delivered(std::size_t router, std::size_t server);
+    void on_start_delivered(std::size_t router, std::size_t server);
     struct Purge {
-        std::size_t lot = 0;
+        std::size_t group = 0;
         std::int64_t issued_ms = 0;
-        std::map<std::size_t, Moment> told{};  // by router
+        std::map<std::size_t, Moment> delivered{};  // by router
     };
     void purged(Purge purge) {
         purges_.push_back(std::move(purge));
@@ -151,10 +153,10 @@
     }
 
 private:
-    struct Cold {
+    struct ColdStart {
         Moment started{};
-        std::deque<Moment> attempts{};  // of routers that were told of the start
-        std::set<std::size_t> told{};
+        std::deque<Moment> attempts{};  // of informed routers
+        std::set<std::size_t> informed_routers{};
     };
     void check_drained(std::size_t router, std::size_t server, const std::string& id, Moment first_byte);
     void check_cold(std::size_t router, std::size_t server, Moment at);
@@ -163,14 +165,13 @@
     Millis lag_{};
     Moment lag_measured_ = Clock::now();
     std::unordered_map<std::string, Request> requests_;
-    std::vector<std::map<std::size_t, Moment>> drains_;  // by router: server, when it was told
-    std::vector<std::optional<Cold>> colds_;
+    std::vector<std::map<std::size_t, Moment>> drains_;  // by router: server, when the drain was delivered
+    std::vector<std::optional<ColdStart>> cold_starts_;
     std::vector<Purge> purges_;
     std::vector<Violation> violations_;
     std::map<std::string, std::size_t> outcomes_;
 };
 
-std::int64_t unix_ms();
 // The bytes that a server gives for a path: when the copy was made is written in them.
 std::string body_of(const std::string& path, std::int64_t made_ms);
 
--- a/src/lab/soak/router_lifecycle.cpp
+++ b/src/lab/soak/router_lifecycle.cpp
@@ -49,13 +49,14 @@
 }
 
 void RouterLifecycle::write_configuration(std::size_t router) {
-    processes_.write_configuration(router, {address_text(standing(router).at), discovery_.address(router)},
+    processes_.write_configuration(router,
+                                   {address_text(availability(router).at), discovery_.address(router)},
                                    discovery_.known_events(router));
 }
 
 Task<> RouterLifecycle::start_all() {
     for (std::size_t router = 0; router < processes_.count(); ++router) {
-        standing(router).at = free_endpoint(router);
+        availability(router).at = free_endpoint(router);
         spawn(io_, start(router, kStartTimeout));
     }
     while (!all_ready())
@@ -71,9 +72,9 @@
     if (!ready || processes_.generation(router) != generation)
         co_return;
     routers_[router].ready = true;
-    standing(router).generation = generation;
-    standing(router).connections = true;
-    standing(router).requests = true;
+    availability(router).generation = generation;
+    availability(router).connections = true;
+    availability(router).requests = true;
 }
 
 // False if this process ends before, or is too late; time for which it was stopped does not count.
@@ -96,7 +97,7 @@
     tcp::socket socket{io_};
     const CloseAt limit{socket, Clock::now() + kAnswerTimeout};
     error_code error;
-    co_await socket.async_connect(standing(router).at, into(error));
+    co_await socket.async_connect(availability(router).at, into(error));
     http::request<http::empty_body> request{http::verb::get, "/alive", kHttpVersion};
     if (!error)
         co_await http::async_write(socket, request, into(error));
@@ -117,8 +118,8 @@
                 continue;
             oracle_.violation(Rule::alive,
                               label(router) + " ended by itself, status " + std::to_string(*status));
-            standing(router).connections = false;
-            standing(router).requests = false;
+            availability(router).connections = false;
+            availability(router).requests = false;
             spawn(io_, start(router, kRestartTimeout));
         }
         co_await pause(kPollInterval);
@@ -144,12 +145,12 @@
     co_await pause(kNewConnectionsUntil);
     if (signals == TerminationSignals::term_twice)
         processes_.signal(router, SIGTERM);
-    standing(router).connections = false;
+    availability(router).connections = false;
     co_await pause(kOpenConnectionsUntil - kNewConnectionsUntil);
-    standing(router).requests = false;
+    availability(router).requests = false;
     const std::optional<int> status = co_await wait_for_exit(router, signalled_at);
     if (!status) {
-        standing(router).killed = generation;
+        availability(router).killed = generation;
         processes_.kill(router);
     } else if (!WIFEXITED(*status) || WEXITSTATUS(*status) != 0) {
         oracle_.violation(Rule::alive,
@@ -171,11 +172,11 @@
     if (routers_[router].restarting)
         co_return;
     routers_[router].restarting = true;
-    standing(router).killed = processes_.generation(router);
+    availability(router).killed = processes_.generation(router);
     processes_.kill(router);
     co_await pause(kCrashNoticedAfter);
-    standing(router).connections = false;
-    standing(router).requests = false;
+    availability(router).connections = false;
+    availability(router).requests = false;
     co_await start(router, kRestartTimeout);
     routers_[router].restarting = false;
 }
--- a/src/lab/soak/router_lifecycle.h
+++ b/src/lab/soak/router_lifecycle.h
@@ -55,8 +55,8 @@
         bool stopped = false;
         Clock::duration stopped_for{};  // the sum of all stops that are over
     };
-    Standing& standing(std::size_t router) {
-        return clients_.standing(router);
+    RouterAvailability& availability(std::size_t router) {
+        return clients_.availability(router);
     }
     std::string label(std::size_t router) const;
     bool all_ready() const;
--- a/src/lab/soak/router_processes.cpp
+++ b/src/lab/soak/router_processes.cpp
@@ -33,21 +33,22 @@
            R"(,"effect":"side_effect"},)"
            R"({"name":"order","aim":500000000,"give-up":)" +
            nanoseconds(terms::kLongestDeadline) + R"(,"effect":"token","group":"all","window":)" +
-           nanoseconds(terms::kWindow) +
+           nanoseconds(terms::kRetryWindow) +
            R"(}],"zone":"edge-1","dcs":["north","edge-1"],"weights":"nominal","balancers":)" +
            std::to_string(routers) +
            R"(,"kinds":["cache","hub","store"],"family-info":{"second-tier-kind":1,"origin-kind":2,)"
            R"("uncached":[false,true,true],"detail":"all","bypass-allowed":true,"shares-fills":true,)"
            R"("one-flow-kb-per-s":)" +
-           std::to_string(terms::kFlowKbPerS) + R"(,"max-age":[)" + nanoseconds(terms::kMaxAge) +
-           R"(,0,0],"class-grace":[)" + nanoseconds(terms::kGrace) +
-           R"(,0,0],"stale-earns":[0.4,0,0],"heed-within":)" + nanoseconds(terms::kHeedWithin) +
-           R"(,"cleared-within":)" + nanoseconds(terms::kClearedWithin) +
+           std::to_string(terms::kMaxResponseKbPerS) + R"(,"max-age":[)" + nanoseconds(terms::kMaxAge) +
+           R"(,0,0],"class-grace":[)" + nanoseconds(terms::kStaleGrace) +
+           R"(,0,0],"stale-earns":[0.4,0,0],"heed-within":)" + nanoseconds(terms::kPurgeEffectiveWithin) +
+           R"(,"cleared-within":)" + nanoseconds(terms::kPurgeCompleteWithin) +
            R"(,"upper-cold-from":0.3,"parent-warms-in":6000000000,"parent-limit-factor":2},"invariants":{)"
            R"("drain-grace":)" +
-           nanoseconds(terms::kDrainGrace) + R"(,"cold-from":)" + std::to_string(terms::kColdFrom) +
-           R"(,"cold":)" + nanoseconds(terms::kColdFor) + R"(,"tip-multiple":)" +
-           std::to_string(terms::kTipMultiple) + R"(,"fall":)" + nanoseconds(terms::kTipWindow) + "}}";
+           nanoseconds(terms::kDrainGrace) + R"(,"cold-from":)" + std::to_string(terms::kSlowStartShare) +
+           R"(,"cold":)" + nanoseconds(terms::kSlowStartDuration) + R"(,"tip-multiple":)" +
+           std::to_string(terms::kOverloadMultiple) + R"(,"fall":)" + nanoseconds(terms::kOverloadWindow) +
+           "}}";
 }
 
 }  // namespace
--- a/src/lab/soak/servers.cpp
+++ b/src/lab/soak/servers.cpp
@@ -30,9 +30,9 @@
 enum class Spoiled { unreadable, broken_off, second_answer, interim_answer };
 
 std::string spoiled_answer(Spoiled how, const std::string& path) {
-    const std::string body = body_of(path, unix_ms());
+    const std::string body = body_of(path, unix_time_ms());
     const std::string head =
-        "HTTP/1.1 200 OK\r\nTag: x\r\nMade-At: " + std::to_string(unix_ms()) + "\r\nDetail: hit\r\n";
+        "HTTP/1.1 200 OK\r\nTag: x\r\nMade-At: " + std::to_string(unix_time_ms()) + "\r\nDetail: hit\r\n";
     const std::string whole = head + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
     switch (how) {
         case Spoiled::unreadable:
@@ -172,7 +172,7 @@
     const std::string key{exchange.request["Call-Once"]};
     if (!key.empty()) {
         const auto [seen, is_new] = executed_keys_.try_emplace(key, Clock::now());
-        if (!is_new && Clock::now() < seen->second + terms::kWindow)
+        if (!is_new && Clock::now() < seen->second + terms::kRetryWindow)
             return;
     }
     oracle_.ran(exchange.id);
@@ -248,7 +248,7 @@
     const std::int64_t max_age_ms = asked_max_age_ms > 0 ? asked_max_age_ms : terms::kMaxAge.count();
     const auto& copies = servers_[server]->copies;
     const auto copy = copies.find(exchange.path);
-    if (copy != copies.end() && unix_ms() - copy->second <= max_age_ms) {
+    if (copy != copies.end() && unix_time_ms() - copy->second <= max_age_ms) {
         const std::int64_t made_ms = copy->second;  // the copy may go while this waits
         co_await pause(Millis{1 + draw(5)});
         co_return success(exchange.path, made_ms, "hit");
@@ -263,11 +263,11 @@
 Task<Response> Servers::carry_out_write(Exchange& exchange) {
     co_await pause(Millis{5 + draw(20)});
     execute(exchange);
-    co_return success(exchange.path, unix_ms(), "via_origin");
+    co_return success(exchange.path, unix_time_ms(), "via_origin");
 }
 
 Task<Response> Servers::fill(std::size_t server, Exchange& exchange) {
-    const std::int64_t made_ms = unix_ms();
+    const std::int64_t made_ms = unix_time_ms();
     co_await pause(Millis{8 + draw(30)});
     if (header_number(exchange.request["Store-As"]) > 0)
         servers_[server]->copies[exchange.path] = made_ms;
--- a/src/routing/outcome_learning.cpp
+++ b/src/routing/outcome_learning.cpp
@@ -31,19 +31,21 @@
 OutcomeLearner::Findings OutcomeLearner::examine(const OpenRequest& open, const Outcome& outcome) const {
     const AttemptStatus status = outcome.attempt_status;
     const CacheStatus cache_status = outcome.cache_status;
-    const bool untold = cache_status == CacheStatus::none;
+    const bool status_unknown = cache_status == CacheStatus::none;
 
     Findings findings;
     findings.succeeded = status == AttemptStatus::success;
     findings.gave_up = status == AttemptStatus::timeout || status == AttemptStatus::cancelled;
     findings.hit = findings.succeeded && cache_status == CacheStatus::hit;
-    findings.filled = findings.succeeded && (cache_status == CacheStatus::filled ||
-                                             cache_status == CacheStatus::filled_from_origin ||
-                                             (untold && d_.settings.outcome_detail == OutcomeDetail::off));
-    // A request that hung, or an answer that was spoilt or cut off, says nothing of the capacities.
-    const bool spoilt = status == AttemptStatus::reset || (status == AttemptStatus::error && untold);
-    findings.failed =
-        !findings.succeeded && !spoilt && status != AttemptStatus::miss && status != AttemptStatus::cancelled;
+    findings.filled =
+        findings.succeeded &&
+        (cache_status == CacheStatus::filled || cache_status == CacheStatus::filled_from_origin ||
+         (status_unknown && d_.settings.outcome_detail == OutcomeDetail::off));
+    // A request that hung, or a response that was malformed or cut off, says nothing of the capacities.
+    const bool response_broken =
+        status == AttemptStatus::reset || (status == AttemptStatus::error && status_unknown);
+    findings.failed = !findings.succeeded && !response_broken && status != AttemptStatus::miss &&
+                      status != AttemptStatus::cancelled;
     findings.in_time = findings.succeeded && outcome.duration <= d_.work.latency_objective(open.request);
     findings.relative_latency = d_.work.relative_latency(open.request, outcome.duration);
     return findings;
@@ -87,7 +89,8 @@
         d_.capacity.origin_factor().record(findings.in_time);
 }
 
-// Where answers do not tell, the origin had a part in any fill that was not asked of the parent alone.
+// Where responses carry no cache status, the origin had a part in any fill that was not asked of the parent
+// alone.
 bool OutcomeLearner::involved_origin(const Attempt& attempt, const Outcome& outcome) const {
     if (outcome.cache_status == CacheStatus::filled_from_origin ||
         outcome.cache_status == CacheStatus::origin_failed || attempt.direct_read)
--- a/src/routing/work_estimate.cpp
+++ b/src/routing/work_estimate.cpp
@@ -25,7 +25,7 @@
 }
 
 void WorkEstimator::record_size(const Request& request) {
-    if (tells_work(request))
+    if (knows_work(request))
         update_mean(by_class_[request.class_index].work, request.size_kb / settings_.max_response_kb_per_s);
 }
 
@@ -41,7 +41,7 @@
 }
 
 double WorkEstimator::of_request(const Request& request) const {
-    return tells_work(request) ? request.size_kb / settings_.max_response_kb_per_s
+    return knows_work(request) ? request.size_kb / settings_.max_response_kb_per_s
                                : of_class(request.class_index);
 }
 
--- a/src/routing/work_estimate.h
+++ b/src/routing/work_estimate.h
@@ -41,7 +41,7 @@
         double work = 0;
         double hits = 0;  // that the estimate rests on
     };
-    bool tells_work(const Request& request) const {
+    bool knows_work(const Request& request) const {
         return request.size_kb > 0 && settings_.max_response_kb_per_s > 0;
     }
 
