--- a/src/trace/output/value_text.cpp
+++ b/src/trace/output/value_text.cpp
@@ -117,7 +117,7 @@
     if (bytes.size() == sizeof(ip::address_v6::bytes_type))
         return ip_address_text<ip::address_v6>(bytes);
     if (bytes.size() == kPseudonymBytes)
-        return "~" + hex(u64_at(bytes));
+        return std::string{"~"}.append(hex(u64_at(bytes)));  // not "~" + ...: GCC 12 warns (-Wrestrict)
     return {};
 }
 
