--- a/src/lab/fleet_config.cpp
+++ b/src/lab/fleet_config.cpp
@@ -144,7 +144,7 @@
 
 Json::Value member_settings(const FleetOptions& options, std::size_t member,
                             const MemberAddresses& addresses) {
-    const std::string default_zone = "z" + std::to_string(member % kDefaultPeerZones);
+    const std::string default_zone = std::string{"z"}.append(std::to_string(member % kDefaultPeerZones));
     const FleetOptions::Location location =
         options.locations.empty() ? FleetOptions::Location{default_zone, "r1"} : options.locations.at(member);
     Json::Value peers;
--- a/src/lab/synthetic_trace/synthetic_trace.cpp
+++ b/src/lab/synthetic_trace/synthetic_trace.cpp
@@ -64,7 +64,7 @@
     }
     void start_process(std::size_t router, int incarnation) {
         SyntheticTrace trace;
-        trace.router_name = "n" + std::to_string(router);
+        trace.router_name = std::string{"n"}.append(std::to_string(router));
         trace.clock_error = clock_errors_[router];
         TraceOutput output = open_output_({trace.router_name, incarnation});
         trace.file = std::move(output.file);
