--- a/tests/silverrail/test_fixture.h
+++ b/tests/silverrail/test_fixture.h
@@ -181,20 +181,10 @@
     Request request_;
 };
 
-// Writes bytes as they are and collects what comes back until the end of the connection.
-class RawClient {
+// A connection on which bytes are written as they are.
+class RawConnection {
 public:
-    RawClient(net::asio::io_context& io, const tcp::endpoint& to, std::string bytes = {})
-        : socket_(io), bytes_(std::move(bytes)) {
-        socket_.open(to.protocol());
-        socket_.set_option(
-            net::asio::socket_base::send_buffer_size(16 * 1024));  // more waits for the other side
-        socket_.connect(to);
-        net::asio::async_write(
-            socket_, net::asio::buffer(bytes_),
-            [this](const net::error_code& error, std::size_t) { cut_short = bool(error); });
-        read();
-    }
+    explicit RawConnection(net::asio::io_context& io) : socket_(io) {}
     void say(const std::string& bytes) {
         net::asio::write(socket_, net::asio::buffer(bytes));
     }
@@ -207,6 +197,25 @@
     void half_close() {
         socket_.shutdown(tcp::socket::shutdown_send);
     }
+
+protected:
+    tcp::socket socket_;
+};
+
+// Writes bytes as they are and collects what comes back until the end of the connection.
+class RawClient : public RawConnection {
+public:
+    RawClient(net::asio::io_context& io, const tcp::endpoint& to, std::string bytes = {})
+        : RawConnection(io), bytes_(std::move(bytes)) {
+        socket_.open(to.protocol());
+        socket_.set_option(
+            net::asio::socket_base::send_buffer_size(16 * 1024));  // more waits for the other side
+        socket_.connect(to);
+        net::asio::async_write(
+            socket_, net::asio::buffer(bytes_),
+            [this](const net::error_code& error, std::size_t) { cut_short = bool(error); });
+        read();
+    }
     void reset() {
         socket_.set_option(net::asio::socket_base::linger(true, 0));
         socket_.close();
@@ -227,15 +236,14 @@
                                     ended = true;
                                 });
     }
-    tcp::socket socket_;
     std::string bytes_;
     char part_[4096];
 };
 
 // One line at a second address, and all that comes back until the other side closes.
-class Caller {
+class Caller : public RawConnection {
 public:
-    Caller(net::asio::io_context& io, const tcp::endpoint& to, const std::string& says) : socket_(io) {
+    Caller(net::asio::io_context& io, const tcp::endpoint& to, const std::string& says) : RawConnection(io) {
         socket_.connect(to);
         if (!says.empty())
             net::asio::write(socket_, net::asio::buffer(says));
@@ -245,25 +253,9 @@
                                   done = true;
                               });
     }
-    void say(const std::string& more) {
-        net::asio::write(socket_, net::asio::buffer(more));
-    }
-    // False: the other side has reset the connection.
-    bool takes_more() {
-        net::error_code error;
-        net::asio::write(socket_, net::asio::buffer("x", 1), error);
-        return !error;
-    }
-    void half_close() {
-        socket_.shutdown(tcp::socket::shutdown_send);
-    }
-
     std::string answer;
     bool done = false;
     bool clean = false;  // it ended, and was not reset
-
-private:
-    tcp::socket socket_;
 };
 
 inline std::string call(net::asio::io_context& io, const tcp::endpoint& to, const std::string& line) {
