--- a/src/cli/trace/merge.cpp
+++ b/src/cli/trace/merge.cpp
@@ -2,12 +2,12 @@
 #include "trace/tools/merge.h"
 
 #include <algorithm>
-#include <charconv>
 #include <cmath>
 #include <cstdio>
 
 #include "cli/trace/command.h"
 #include "config/config.h"
+#include "config/number.h"
 #include "trace/output/value_text.h"
 
 namespace silverrail::cli {
@@ -35,12 +35,10 @@
         const auto separator = argument.rfind('=');
         if (separator == std::string::npos || separator == 0)
             throw UsageError("--offset takes NAME=MS: " + argument);
-        double ms = 0;
-        const char* last = argument.data() + argument.size();
-        const auto [end, error] = std::from_chars(argument.data() + separator + 1, last, ms);
-        if (error != std::errc{} || end != last || !(std::abs(ms) < kMaxOffsetMs))
+        const auto ms = config::parse_number<double>(std::string_view{argument}.substr(separator + 1));
+        if (!ms || !(std::abs(*ms) < kMaxOffsetMs))
             throw UsageError("not a number of ms: " + argument);
-        offsets[argument.substr(0, separator)] = ms;
+        offsets[argument.substr(0, separator)] = *ms;
     }
     return offsets;
 }
--- a/src/cli/trace/selection_options.cpp
+++ b/src/cli/trace/selection_options.cpp
@@ -1,9 +1,9 @@
 #include "cli/trace/selection_options.h"
 
 #include <algorithm>
-#include <charconv>
 #include <limits>
 
+#include "config/hex.h"
 #include "trace/output/value_text.h"
 
 namespace silverrail::cli {
@@ -25,12 +25,13 @@
     throw UsageError("not a time (as 2026-06-30T10:00:00Z, or +10s from the begin): " + text);
 }
 
+constexpr std::size_t kObjectDigits = 16;
+
 std::uint64_t parse_object(const std::string& text) {
-    std::uint64_t object = 0;
-    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), object, 16);
-    if (text.size() != 16 || error != std::errc{} || end != text.data() + text.size())
+    const auto object = config::parse_hex(text);
+    if (!object || text.size() != kObjectDigits)
         throw UsageError("not an object (16 hex digits): " + text);
-    return object;
+    return *object;
 }
 
 }  // namespace
--- a/src/config/discovery_event.cpp
+++ b/src/config/discovery_event.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 
 #include "config/hex.h"
+#include "config/word_table.h"
 
 namespace silverrail::config {
 
@@ -29,13 +30,6 @@
 constexpr std::pair<std::string_view, Condition> kStates[] = {
     {"active", Condition::ready}, {"leaving", Condition::draining}, {"left", Condition::gone}};
 
-std::optional<Condition> parse_state(std::string_view word) {
-    for (const auto& [known, condition] : kStates)
-        if (word == known)
-            return condition;
-    return std::nullopt;
-}
-
 // 0 if it is no number.
 std::int64_t integer(const Json::Value& json, const char* key) {
     const Json::Value& value = json[key];
@@ -52,7 +46,7 @@
 }
 
 std::optional<core::Server> parse_server(const Json::Value& json) {
-    const auto condition = parse_state(text(json, "state"));
+    const auto condition = find_word(kStates, text(json, "state"));
     core::Server server;
     server.entry.id = routing::ServerId{text(json, "id")};
     server.address = text(json, "addr");
--- a/src/config/endpoint.cpp
+++ b/src/config/endpoint.cpp
@@ -1,6 +1,6 @@
 #include "config/endpoint.h"
 
-#include <charconv>
+#include "config/number.h"
 
 namespace silverrail::config {
 
@@ -17,13 +17,10 @@
     const auto colon = text.rfind(':');
     if (colon == std::string_view::npos || colon == 0)
         return std::nullopt;
-    Endpoint endpoint;
-    const std::string_view port = text.substr(colon + 1);
-    const auto [end, error] = std::from_chars(port.data(), port.data() + port.size(), endpoint.port);
-    if (error != std::errc{} || end != port.data() + port.size())
+    const auto port = parse_number<std::uint16_t>(text.substr(colon + 1));
+    if (!port)
         return std::nullopt;
-    endpoint.host = without_brackets(text.substr(0, colon));
-    return endpoint;
+    return Endpoint{std::string{without_brackets(text.substr(0, colon))}, *port};
 }
 
 }  // namespace silverrail::config
--- a/src/config/hex.cpp
+++ b/src/config/hex.cpp
@@ -1,6 +1,7 @@
 #include "config/hex.h"
 
 #include <charconv>
+#include <cstdio>
 
 namespace silverrail::config {
 
@@ -21,4 +22,10 @@
     return value;
 }
 
+std::string hex_text(std::uint64_t value) {
+    char digits[kMaxDigits + 1];
+    std::snprintf(digits, sizeof digits, "%016llx", static_cast<unsigned long long>(value));
+    return digits;
+}
+
 }  // namespace silverrail::config
--- a/src/config/json_object.h
+++ b/src/config/json_object.h
@@ -10,6 +10,7 @@
 #include <utility>
 
 #include "config/config_error.h"
+#include "config/word_table.h"
 #include "silverrail/routing/router.h"
 
 namespace silverrail::config {
@@ -60,10 +61,10 @@
     }
     template <class Value>
     Value meaning(const char* key, const std::string& word, std::span<const WordMeaning<Value>> words) const {
-        for (const auto& [known, value] : words)
-            if (word == known)
-                return value;
-        throw ConfigError(path_of(key), "unknown word " + word);
+        const auto value = find_word(words, word);
+        if (!value)
+            throw ConfigError(path_of(key), "unknown word " + word);
+        return *value;
     }
 
     const Json::Value& json_;
--- a/src/front/admin/command_parser.cpp
+++ b/src/front/admin/command_parser.cpp
@@ -4,6 +4,7 @@
 #include <array>
 #include <optional>
 
+#include "config/word_table.h"
 #include "overrides/server_overrides.h"
 
 namespace silverrail::front::admin {
@@ -24,15 +25,6 @@
 constexpr std::pair<std::string_view, Kind> kServerCommands[] = {{"OFFLINE", Kind::offline},
                                                                  {"ONLINE", Kind::online}};
 
-template <std::size_t Size>
-std::optional<Kind> find_command(const std::pair<std::string_view, Kind> (&commands)[Size],
-                                 std::string_view word) {
-    for (const auto& [name, kind] : commands)
-        if (word == name)
-            return kind;
-    return std::nullopt;
-}
-
 bool is_plain_text(std::string_view line) {
     return std::all_of(line.begin(), line.end(), [](char c) { return c >= ' ' && c < '\x7f'; });
 }
@@ -75,12 +67,12 @@
     const std::string_view word = line.substr(0, line.find(' '));
     const bool has_arguments = word.size() < line.size();
     const std::string_view arguments = has_arguments ? line.substr(word.size() + 1) : std::string_view{};
-    if (const auto kind = find_command(kCommandsWithoutArguments, word)) {
+    if (const auto kind = config::find_word(kCommandsWithoutArguments, word)) {
         if (has_arguments)
             return CommandError{std::string{word} + " takes nothing behind it"};
         return Command{*kind};
     }
-    if (const auto kind = find_command(kServerCommands, word))
+    if (const auto kind = config::find_word(kServerCommands, word))
         return parse_server_command(*kind, word, arguments);
     if (word == kPin)
         return parse_pin(arguments);
--- a/src/lab/demo/client.cpp
+++ b/src/lab/demo/client.cpp
@@ -1,8 +1,8 @@
 #include "lab/demo/client.h"
 
 #include <algorithm>
-#include <cstdio>
 
+#include "config/hex.h"
 #include "lab/sample_deployment.h"
 #include "lab/stand_in_server.h"
 #include "lab/stand_in_support.h"
@@ -35,12 +35,6 @@
 
 }  // namespace
 
-std::string hexadecimal(std::uint64_t value) {
-    char text[17];
-    std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(value));
-    return text;
-}
-
 Client::Client(net::asio::io_context& io, net::tcp::endpoint router, Workload& workload)
     : socket_(io), router_(std::move(router)), workload_(workload) {}
 
@@ -55,12 +49,12 @@
     auto& random = workload_.random;
     class_name_ = class_of(random() % 100);
     const bool is_write = class_name_ == kWriteClass;
-    object_ = hexadecimal(is_write ? random() : random() % kReadObjects * kObjectStep);
+    object_ = config::hex_text(is_write ? random() : random() % kReadObjects * kObjectStep);
     part_ = is_write ? "0" : std::to_string(random() % kParts);
     request_ = {is_write ? http::verb::put : http::verb::get,
                 "/ops/" + class_name_ + "/" + object_ + "/piece-" + part_, kHttpVersion};
     request_.set(http::field::host, "app.svc");
-    request_.set("Trace-Id", hexadecimal(random()));
+    request_.set("Trace-Id", config::hex_text(random()));
     request_.set("Max-Wait-Ms", is_write ? "3000" : "2500");
     request_.set("X-Lot", std::to_string(random() % kPurgeGroups));
     if (is_write)
--- a/src/lab/demo/client.h
+++ b/src/lab/demo/client.h
@@ -39,9 +39,6 @@
     }
 };
 
-// 16 digits, as object names and request ids are written.
-std::string hexadecimal(std::uint64_t value);
-
 // Owned by its pending operations. Ends when the workload has no requests left, or its connection fails. The
 // workload must outlive the I/O context's last handler.
 class Client : public std::enable_shared_from_this<Client> {
--- a/src/lab/demo/demo.cpp
+++ b/src/lab/demo/demo.cpp
@@ -9,6 +9,7 @@
 #include <cstdio>
 #include <fstream>
 
+#include "config/hex.h"
 #include "config/json_text.h"
 #include "lab/stand_in_support.h"
 
@@ -191,7 +192,7 @@
 }
 
 void Demo::purge_an_object() {
-    discovery_.publish(purge_event(0, hexadecimal(0), unix_time_ms()));
+    discovery_.publish(purge_event(0, config::hex_text(0), unix_time_ms()));
 }
 
 void Demo::drain_a_server() {
--- a/src/lab/router_fleet.cpp
+++ b/src/lab/router_fleet.cpp
@@ -9,13 +9,13 @@
 #include <algorithm>
 #include <array>
 #include <csignal>
-#include <cstdio>
 #include <cstdlib>
 #include <fstream>
 #include <sstream>
 #include <stdexcept>
 
 #include "config/config.h"
+#include "config/hex.h"
 
 namespace silverrail::lab {
 
@@ -27,6 +27,7 @@
 namespace {
 
 constexpr int kPortAttempts = 50;
+constexpr std::uint64_t kFirstRequestId = 0xf1ee'0000'0000'0000;
 constexpr std::size_t kFirstClientByte = 110;
 constexpr timeval kAnswerTimeout{2, 0};
 constexpr std::size_t kMaxAnswer = 1 << 20;
@@ -77,10 +78,14 @@
     return answer;
 }
 
-std::string hexadecimal(std::uint64_t value, int digits) {
-    char text[17];
-    std::snprintf(text, sizeof text, "%0*llx", digits, static_cast<unsigned long long>(value));
-    return text;
+// The lines of a control answer, up to the "--" that ends it.
+void for_each_line(const std::string& answer, const std::function<void(std::istringstream& words)>& handle) {
+    std::istringstream lines{answer};
+    std::string line;
+    while (std::getline(lines, line) && line != "--") {
+        std::istringstream words{line};
+        handle(words);
+    }
 }
 
 int status_of(const std::string& answer) {
@@ -228,29 +233,23 @@
 
 MembershipView RouterFleet::membership(std::size_t member) {
     MembershipView view;
-    std::istringstream lines{control(member, "MEMBERS")};
-    std::string line;
-    while (std::getline(lines, line) && line != "--") {
-        std::istringstream words{line};
+    for_each_line(control(member, "MEMBERS"), [&view](std::istringstream& words) {
         std::string name;
         MemberStatus status;
         if (words >> name >> status.state >> status.incarnation >> status.start)
             view[name] = status;
-    }
+    });
     return view;
 }
 
 CounterValues RouterFleet::replica_digest(std::size_t member) {
     CounterValues versions;
-    std::istringstream lines{control(member, "REPLICA")};
-    std::string line;
-    while (std::getline(lines, line) && line != "--") {
-        std::istringstream words{line};
+    for_each_line(control(member, "REPLICA"), [&versions](std::istringstream& words) {
         std::string origin;
         std::uint64_t version = 0;
         if (words >> origin >> version)
             versions[origin] = version;
-    }
+    });
     return versions;
 }
 
@@ -272,11 +271,11 @@
 int RouterFleet::request(std::size_t member, const std::string& class_name, std::uint64_t object,
                          std::string* id) {
     const bool is_write = class_name == "lodge";
-    const std::string request_id = "f1ee" + hexadecimal(++requests_, 12);
+    const std::string request_id = config::hex_text(kFirstRequestId + ++requests_);
     if (id)
         *id = request_id;
     std::string bytes = is_write ? "PUT" : "GET";
-    bytes += " /ops/" + class_name + "/" + hexadecimal(object, 16) + "/piece-0 HTTP/1.1\r\n";
+    bytes += " /ops/" + class_name + "/" + config::hex_text(object) + "/piece-0 HTTP/1.1\r\n";
     bytes += "Host: fleet\r\nTrace-Id: " + request_id + "\r\n";
     bytes += "Max-Wait-Ms: 1500\r\nX-Lot: 1\r\nReserve-Kb: 25\r\nConnection: close\r\n";
     bytes += is_write ? "Content-Length: 9\r\n\r\ntimesheet" : "\r\n";
--- a/src/lab/sample_deployment.cpp
+++ b/src/lab/sample_deployment.cpp
@@ -1,6 +1,6 @@
 #include "lab/sample_deployment.h"
 
-#include <cstdio>
+#include "config/hex.h"
 
 namespace silverrail::lab {
 
@@ -112,19 +112,13 @@
     return json;
 }
 
-std::string hexadecimal(std::uint64_t value) {
-    char digits[17];
-    std::snprintf(digits, sizeof digits, "%016llx", static_cast<unsigned long long>(value));
-    return digits;
-}
-
 }  // namespace
 
 Json::Value router_config(const std::string& name, std::uint64_t seed, const std::string& listen,
                           const std::string& discovery, int routers) {
     Json::Value config;
     config["name"] = name;
-    config["seed"] = hexadecimal(seed);
+    config["seed"] = config::hex_text(seed);
     config["listen"] = listen;
     config["bulletin"] = discovery;
     config["limits"]["sockets"] = 1024;
--- a/src/lab/soak/clients.cpp
+++ b/src/lab/soak/clients.cpp
@@ -2,7 +2,7 @@
 
 #include <sys/socket.h>
 
-#include <cstdio>
+#include "config/hex.h"
 
 namespace silverrail::lab::soak {
 
@@ -11,6 +11,7 @@
 constexpr Millis kCrossing{50};    // a request and a close may cross so close to each other
 constexpr Millis kGivenUp{1'500};  // past its time: there will be no answer
 constexpr int kObjects = 400;
+constexpr std::uint64_t kFirstRequestId = 0x50a4'0000'0000'0000;
 
 }  // namespace
 
@@ -76,16 +77,14 @@
 Clients::Sent Clients::draw_request(std::size_t router, std::string& bytes) {
     const int kind = draw(9);
     Sent sent;
-    char id[17];
-    std::snprintf(id, sizeof id, "50a4%012llx", static_cast<unsigned long long>(++requests_));
-    sent.id = id;
+    sent.id = config::hex_text(kFirstRequestId + ++requests_);
     Request& request = sent.request;
     request.router = router;
     request.effect = kind == 0 ? Idempotency::none : kind == 1 ? Idempotency::keyed : Idempotency::idempotent;
     const int object = draw(kObjects - 1) * draw(99) / 99;
     request.group = static_cast<std::size_t>(object) % kGroups;
-    char path[48];
-    std::snprintf(path, sizeof path, "/%016x/", static_cast<unsigned>(object) + 1);
+    const std::string path =
+        std::string{"/"}.append(config::hex_text(static_cast<std::uint64_t>(object) + 1)).append("/");
     const char* name = request.effect == Idempotency::none    ? "lodge"
                        : request.effect == Idempotency::keyed ? "order"
                                                               : "pages";
--- a/src/lab/synthetic_trace/request_model.cpp
+++ b/src/lab/synthetic_trace/request_model.cpp
@@ -1,8 +1,8 @@
 #include "lab/synthetic_trace/request_model.h"
 
 #include <cmath>
-#include <cstdio>
 
+#include "config/hex.h"
 #include "lab/sample_deployment.h"
 #include "lab/synthetic_trace/object_catalog.h"
 
@@ -22,12 +22,6 @@
 constexpr double kRevalidationShare = 0.2;  // of pages' requests
 constexpr const char* kEntityTag = "4be0c1927d55a6f3";
 
-std::string hex_digits(std::uint64_t number) {
-    char digits[17];
-    std::snprintf(digits, sizeof digits, "%016llx", static_cast<unsigned long long>(number));
-    return digits;
-}
-
 double size_kb(std::size_t class_index, std::uint64_t object) {
     const double spread = static_cast<double>(hash_number(object + 7) % 1000) / 1000;
     switch (class_index) {
@@ -96,9 +90,9 @@
     core::ClientRequest request;
     const std::size_t class_index = class_of(random_.uniform());
     request.class_name = kRequestClasses[class_index];
-    request.trace_id = hex_digits(random_.next());
+    request.trace_id = config::hex_text(random_.next());
     const std::uint64_t object = draw_object(class_index);
-    request.object = hex_digits(object);
+    request.object = config::hex_text(object);
     request.object_id = routing::ObjectId{object};
     request.group = group_of(object);
     if (class_index == kLargeFiles)
--- a/src/net/server_protocol.cpp
+++ b/src/net/server_protocol.cpp
@@ -4,6 +4,7 @@
 #include <array>
 
 #include "config/number.h"
+#include "config/word_table.h"
 
 namespace silverrail::net {
 
@@ -114,10 +115,7 @@
 }  // namespace
 
 CacheStatus parse_cache_status(std::string_view word) {
-    for (const auto& [known, status] : kCacheStatusWords)
-        if (word == known)
-            return status;
-    return CacheStatus::none;
+    return config::find_word(kCacheStatusWords, word).value_or(CacheStatus::none);
 }
 
 std::string_view cache_status_word(CacheStatus status) {
@@ -139,9 +137,8 @@
         const double value = parse_number<double>(field.substr(colon + 1)).value_or(-1);
         if (value < 0)
             continue;
-        for (const auto& [name, member] : kLoadFields)
-            if (field.substr(0, colon) == name)
-                load.*member = value;
+        if (const auto member = config::find_word(kLoadFields, field.substr(0, colon)))
+            load.*(*member) = value;
     }
     return load;
 }
--- a/src/trace/output/record_json.cpp
+++ b/src/trace/output/record_json.cpp
@@ -6,6 +6,7 @@
 #include <string>
 #include <string_view>
 
+#include "config/hex.h"
 #include "trace/model/enum_names.h"
 #include "trace/output/value_text.h"
 
@@ -49,7 +50,7 @@
     }
     void operator()(const char* field, std::uint64_t value, Encoding) {
         if (is_identifier(field))
-            out_[field] = hex(value);
+            out_[field] = config::hex_text(value);
         else
             out_[field] = Json::Value{Json::UInt64{value}};
     }
--- a/src/trace/output/timeline_output.cpp
+++ b/src/trace/output/timeline_output.cpp
@@ -3,6 +3,7 @@
 #include <cstdio>
 #include <string_view>
 
+#include "config/hex.h"
 #include "trace/model/enum_names.h"
 #include "trace/output/value_text.h"
 
@@ -33,7 +34,7 @@
 
 std::string client_request_id(const RequestTimeline& timeline) {
     if (timeline.client_request_id.empty())
-        return hex(timeline.received.client_request_number);
+        return config::hex_text(timeline.received.client_request_number);
     return std::string{timeline.client_request_id.text()};
 }
 
@@ -65,7 +66,7 @@
     out["client"] = address_text(timeline.client.text());
     out["front"] = name_text(kFrontNames, received.front);
     out["class"] = names.class_name(timeline.router_index, received.class_index);
-    out["object"] = hex(received.object);
+    out["object"] = config::hex_text(received.object);
     out["part"] = json_number(received.part);
     if (received.group_known)
         out["lot"] = json_number(received.group);
@@ -129,7 +130,7 @@
     std::string text = time_text(names.unix_ns(router, timeline.received_at));
     text += ' ' + names.router(router);
     text += ' ' + names.class_name(router, received.class_index);
-    text += ' ' + hex(received.object) + '/' + std::to_string(received.part);
+    text += ' ' + config::hex_text(received.object) + '/' + std::to_string(received.part);
     text += " id " + client_request_id(timeline);
     if (const std::string client = address_text(timeline.client.text()); !client.empty())
         text += " from " + client;
--- a/src/trace/output/value_text.cpp
+++ b/src/trace/output/value_text.cpp
@@ -5,6 +5,7 @@
 #include <cstdio>
 #include <ctime>
 
+#include "config/hex.h"
 #include "trace/format/coding.h"
 
 namespace silverrail::trace {
@@ -104,12 +105,6 @@
 
 }  // namespace
 
-std::string hex(std::uint64_t value) {
-    char text[17];
-    std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(value));
-    return text;
-}
-
 std::string address_text(std::string_view bytes) {
     constexpr std::size_t kPseudonymBytes = 8;
     if (bytes.size() == sizeof(ip::address_v4::bytes_type))
@@ -117,7 +112,8 @@
     if (bytes.size() == sizeof(ip::address_v6::bytes_type))
         return ip_address_text<ip::address_v6>(bytes);
     if (bytes.size() == kPseudonymBytes)
-        return std::string{"~"}.append(hex(u64_at(bytes)));  // not "~" + ...: GCC 12 warns (-Wrestrict)
+        return std::string{"~"}.append(
+            config::hex_text(u64_at(bytes)));  // not "~" + ...: GCC 12 warns (-Wrestrict)
     return {};
 }
 
--- a/src/trace/output/value_text.h
+++ b/src/trace/output/value_text.h
@@ -8,8 +8,6 @@
 
 namespace silverrail::trace {
 
-// 16 lower-case hex digits.
-std::string hex(std::uint64_t value);
 // An IP address of 4 or 16 bytes in its usual form; a pseudonym of 8 bytes as `~` and 16 digits; empty for
 // anything else.
 std::string address_text(std::string_view bytes);
--- a/src/trace/recorder/trace_observer.cpp
+++ b/src/trace/recorder/trace_observer.cpp
@@ -1,8 +1,10 @@
 #include "trace/recorder/trace_observer.h"
 
-#include <charconv>
+#include <algorithm>
 #include <string_view>
 
+#include "config/hex.h"
+
 namespace silverrail::trace {
 
 namespace {
@@ -23,14 +25,9 @@
 // The number that 16 lower-case hex digits stand for; absent for any other text.
 std::optional<std::uint64_t> compact_request_id(std::string_view text) {
     constexpr std::size_t kDigits = 16;
-    if (text.size() != kDigits)
+    if (text.size() != kDigits || !std::all_of(text.begin(), text.end(), is_lower_case_hex))
         return std::nullopt;
-    for (const char c : text)
-        if (!is_lower_case_hex(c))
-            return std::nullopt;
-    std::uint64_t value = 0;
-    std::from_chars(text.data(), text.data() + text.size(), value, 16);
-    return value;
+    return config::parse_hex(text);
 }
 
 model::ServerListEntry list_entry(const routing::ListedServer& server) {
