--- a/src/cluster/hash.h
+++ b/src/cluster/hash.h
@@ -1,5 +1,5 @@
-// FNV-1a (Fowler, Noll, Vo; 64 bits), the same in every build and on every machine: routers compare digests
-// of their state. It does not withstand an adversary.
+// 64-bit FNV-1a (Fowler-Noll-Vo) hashes. Routers compare digests of their state, so the hash must be the same
+// in every build and on every machine. It is not collision-resistant against deliberately chosen input.
 #pragma once
 
 #include <cstdint>
@@ -16,14 +16,14 @@
     return hash;
 }
 
-// The number's eight bytes, least significant first.
+// Hashes the eight bytes of the number in little-endian order.
 inline std::uint64_t fnv1a(std::uint64_t hash, std::uint64_t number) {
     for (int i = 0; i < 8; ++i)
         hash = (hash ^ ((number >> (8 * i)) & 0xff)) * kFnvPrime;
     return hash;
 }
 
-// Digests of state are kept by bucket, so that two routers exchange only the buckets that differ.
+// State digests have buckets by name, so that two routers exchange only the contents of differing buckets.
 inline constexpr std::size_t kDigestBuckets = 64;
 
 inline std::size_t digest_bucket(std::string_view name) {
--- a/src/cluster/membership/gossip_queue.h
+++ b/src/cluster/membership/gossip_queue.h
@@ -1,5 +1,4 @@
-// The records still to be spread by gossip, each a limited number of times: memberlist's transmit-limited
-// queue.
+// Records to spread by gossip, each a limited number of times (memberlist's TransmitLimitedQueue).
 #pragma once
 
 #include <compare>
@@ -14,11 +13,11 @@
 
 class GossipQueue {
 public:
-    // Queues a record; it replaces an older one of the same member and counts as never sent.
+    // Queues a record with a transmission count of zero. It replaces a queued record of the same member.
     void enqueue(const MemberRecord& record);
     void remove(const std::string& member);
-    // At most `max_records` for one message, those sent least often first, then the newest. A record leaves
-    // the queue when it has been taken `transmit_limit` times. The member `except` is left out.
+    // Takes at most `max_records` for one message, except that of the member `except`: those sent least often
+    // first, then the newest. A record taken `transmit_limit` times leaves the queue.
     std::vector<MemberRecord> take(std::size_t max_records, std::size_t transmit_limit,
                                    const std::string& except);
     std::size_t size() const {
@@ -31,12 +30,12 @@
 private:
     struct Priority {
         std::size_t transmissions = 0;
-        std::uint64_t order = 0;  // counts down as records come in: the newest is first
+        std::uint64_t order = 0;  // decreases with each enqueued record, so that the newest sorts first
         auto operator<=>(const Priority&) const = default;
     };
 
     std::map<Priority, MemberRecord> records_;
-    std::map<std::string, Priority> priorities_;  // by member: where its record stands
+    std::map<std::string, Priority> priorities_;  // by member: the key of its record in `records_`
     std::uint64_t next_order_ = UINT64_MAX;
 };
 
--- a/src/cluster/membership/member_table.cpp
+++ b/src/cluster/membership/member_table.cpp
@@ -138,7 +138,7 @@
                                        static_cast<double>(min_suspicion_timeout().count()))};
 }
 
-// From the longest down to the shortest, on a logarithmic scale of the confirmations.
+// Falls logarithmically with the confirmations, from the maximum to the minimum timeout (Lifeguard).
 Time MemberTable::suspicion_timeout(std::size_t confirmations) const {
     const auto enough = static_cast<double>(std::max<std::size_t>(1, settings_.suspicion_confirmations));
     const double share =
--- a/src/cluster/membership/member_table.h
+++ b/src/cluster/membership/member_table.h
@@ -1,4 +1,4 @@
-// The members that one router knows, with their states and the deadlines of those that are not alive.
+// The members that a router knows, their states, and the deadlines of those that are not alive.
 #pragma once
 
 #include <array>
@@ -16,16 +16,16 @@
 
 struct Member {
     MemberRecord record;
-    Time state_since{};                // when it came into its state here
-    Time deadline{};                   // suspect: when it is declared dead; dead, left: when it is removed
-    std::set<std::string> confirmers;  // suspect: who suspected it independently
+    Time state_since{};                // when this router set the current state
+    Time deadline{};                   // suspect: when it is declared dead; dead or left: when it is removed
+    std::set<std::string> confirmers;  // suspect: the members that suspected it independently
 };
 
 class MemberTable {
 public:
     MemberTable(MemberRecord self, const MembershipSettings& settings);
 
-    // The router's own record: part of the counts and of the digest, not of `members`.
+    // The router's own record. It is included in the counts and the digest, but not in `members`.
     const MemberRecord& self() const {
         return self_;
     }
@@ -41,25 +41,26 @@
     const MembershipDigest& digest() const {
         return digest_;
     }
-    // The records, the router's own first; `differing_from`: only those of buckets that differ from its.
+    // All records, the router's own first.
     std::vector<MemberRecord> records() const;
+    // The records in the buckets where this table's digest differs from `other`.
     std::vector<MemberRecord> records_differing_from(const MembershipDigest& other) const;
-    // The members in a state other than alive, by name.
+    // The members in `state`, which must not be alive, ordered by name.
     std::vector<const MemberRecord*> not_alive(MemberState state) const;
 
-    // Replaces the member's record, or adds it, and starts its new state.
+    // Adds the member or replaces its record, and restarts the time in its state and its deadline.
     void update(const MemberRecord& record, Time now);
     void update_identity(const MemberIdentity& identity);
     void remove(const std::string& name);
 
-    // Counts an independent suspicion of a suspect, which shortens its wait (Lifeguard). False: it counts
-    // already, or there are enough.
+    // Adds an independent suspicion of a suspect, which brings its deadline forward (Lifeguard). Returns
+    // false if this confirmer has been counted already or the maximum number of confirmations is reached.
     bool confirm_suspicion(const std::string& name, const std::string& confirmer);
     void postpone_suspicions(Time by);
-    // The members whose deadline has passed, by name.
+    // The names of the members whose deadline has passed.
     std::vector<std::string> expired(Time now);
 
-    // The shortest and the longest suspicion at the fleet's size now.
+    // The minimum and maximum suspicion timeout at the current size of the fleet.
     Time min_suspicion_timeout() const;
     Time max_suspicion_timeout() const;
 
@@ -75,7 +76,7 @@
     std::set<std::string> with_deadline_;  // names of the members that are not alive
     std::array<std::size_t, kMemberStates> count_by_state_{};
     MembershipDigest digest_{};
-    Time earliest_deadline_ = Time::max();  // no deadline is before it
+    Time earliest_deadline_ = Time::max();  // a lower bound of all deadlines
 };
 
 }  // namespace silverrail::cluster
--- a/src/cluster/membership/membership.cpp
+++ b/src/cluster/membership/membership.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::size_t kMaxRelayedProbes = 256;
 
-bool is_full_view(const MembershipMessage& message) {
+bool is_push_or_pull(const MembershipMessage& message) {
     return message.kind == MembershipMessage::Kind::push || message.kind == MembershipMessage::Kind::pull;
 }
 
@@ -30,11 +30,11 @@
       seeds_(std::move(seeds)),
       table_({std::move(self), start, 0, MemberState::alive, {}}, settings),
       last_tick_(now),
-      // Members that start together would probe in step: the first probe falls anywhere in the first period.
+      // Random offset within the first interval, so that members started together do not probe in lockstep.
       next_probe_(now + random_delay(random_, settings.probe_interval)),
       next_push_pull_(now),
       next_gossip_(now),
-      next_suspect_notice_(now) {
+      next_suspect_notification_(now) {
     gossip_.enqueue(table_.self());
 }
 
@@ -52,15 +52,15 @@
     const auto n = static_cast<double>(members().size() + 1);
     const auto limit = settings_.retransmit_mult * static_cast<std::size_t>(std::ceil(std::log10(n + 1)));
     const auto used = std::min(message.records.size(), settings_.gossip_per_message);
-    // A message that already carries a record of a member does not carry another.
+    // A message that already carries a record of a member must not carry a second one of the same member.
     const auto except = message.records.empty() ? std::string{} : message.records.front().identity.name;
     for (auto& record :
          gossip_.take(settings_.gossip_per_message - used, std::max<std::size_t>(limit, 1), except))
         message.records.push_back(std::move(record));
 }
 
-// Only the member raises its own incarnation, and only this process is of this start: a record of ours that
-// is ahead of us was made up by somebody.
+// Only this process raises its own incarnation, and no other process has its start. A record of this router
+// that supersedes its own state is therefore forged.
 bool Membership::acceptable(const MembershipMessage& message) const {
     const auto& own_name = self().identity.name;
     if (!within_bounds(message) || message.sender == own_name)
@@ -80,7 +80,7 @@
         return out;
     }
     for (const auto& record : message.records)
-        merge(record, now, is_full_view(message));
+        merge(record, now, is_push_or_pull(message));
     switch (message.kind) {
         case MembershipMessage::Kind::ping:
             on_ping(message, out);
@@ -110,7 +110,7 @@
     if (ping.target != self().identity.name)
         return;
     auto ack = make_message(MembershipMessage::Kind::ack, ping.sequence);
-    // A sender held suspect or dead learns of it here, and can refute.
+    // Informs a sender that is considered suspect or dead, so that it can refute.
     const auto* sender = table_.find(ping.sender);
     if (sender && sender->record.start == ping.sender_start &&
         (sender->record.state == MemberState::suspect || sender->record.state == MemberState::dead))
@@ -140,7 +140,7 @@
         return;
     const auto sequence = ++last_sequence_;
     relayed_probes_[sequence] = {request.sender_address, request.sequence,
-                                 now + stretched(settings_.probe_timeout)};
+                                 now + scaled_by_local_health(settings_.probe_timeout)};
     auto ping = make_message(MembershipMessage::Kind::ping, sequence);
     ping.target = request.target;
     piggyback_gossip(ping);
@@ -158,7 +158,7 @@
     if (!push.digest)
         return;
     if (diverged(digest(), *push.digest))
-        hasten_push_pull(now);
+        schedule_early_push_pull(now);
     auto pull = make_message(MembershipMessage::Kind::pull, push.sequence);
     pull.digest = digest();
     pull.records = table_.records_differing_from(*push.digest);
@@ -169,8 +169,8 @@
     if (!pull.digest)
         return;
     if (diverged(digest(), *pull.digest))
-        hasten_push_pull(now);
-    // The sender's records have been merged: what still differs is what it lacks.
+        schedule_early_push_pull(now);
+    // The sender's records have been merged already, so it lacks whatever still differs.
     if (digest() == *pull.digest)
         return;
     auto push = make_message(MembershipMessage::Kind::push, ++last_sequence_);
--- a/src/cluster/membership/membership_digest.h
+++ b/src/cluster/membership/membership_digest.h
@@ -1,4 +1,4 @@
-// A short summary of a membership view, by which two members find out what differs between theirs.
+// A digest of a membership view, by which two members find the records that differ between their views.
 #pragma once
 
 #include <array>
@@ -9,19 +9,20 @@
 
 namespace silverrail::cluster {
 
-// Covers the members that are alive or suspect. The dead and the left are not in it, as each member removes
-// those in its own time. Equal views have equal digests, whatever order they were learned in.
+// Covers members that are alive or suspect. Dead and left members are excluded because each member removes
+// their records at a different time. Equal views have equal digests, regardless of the order of updates.
 struct MembershipDigest {
-    std::uint64_t members = 0;  // XOR of hashes of (name, start): differs only while members come or go
-    std::array<std::uint64_t, kDigestBuckets> buckets{};  // by name: XOR of (name, start, incarnation)
+    std::uint64_t members = 0;  // XOR of hashes of (name, start); differs only if the sets of members differ
+    // By name: XOR of hashes of (name, start, incarnation).
+    std::array<std::uint64_t, kDigestBuckets> buckets{};
 
-    // Adds a record, or takes one out that was added: the two are the same operation.
+    // Adds a record to the digest, or removes one added before: with XOR both are the same operation.
     void toggle(const MemberRecord& record);
     bool operator==(const MembershipDigest&) const = default;
 };
 
-// True if the views hold different members, or more of them at different incarnations than datagrams would
-// bring in line soon (as after a partition, when everybody refutes).
+// True if the views have different members, or if more than half of the buckets differ. Gossip
+// spreads that many new incarnations too slowly (as after a partition, when every member refutes).
 bool diverged(const MembershipDigest& a, const MembershipDigest& b);
 
 }  // namespace silverrail::cluster
--- a/src/cluster/membership/membership_message.h
+++ b/src/cluster/membership/membership_message.h
@@ -13,34 +13,34 @@
 
 struct MembershipMessage {
     enum class Kind : std::uint8_t {
-        ping,      // probes `target`, who answers with an ack
-        ack,       // the answer to a ping; from a helper: the member it probed has answered
+        ping,      // probes `target`, which answers with an ack
+        ack,       // answers a ping; from a helper: the probed member has answered
         ping_req,  // asks a helper to probe `target` at `target_address`
-        nack,      // from a helper: `target` did not answer (Lifeguard)
-        push,      // with a digest: asks for what differs; without: the records that the receiver lacks
-        pull,    // answers a push with a digest: the sender's digest, its records of the buckets that differ
-        gossip,  // records alone, not waiting for a probe
+        nack,      // from a helper: `target` did not answer in time (Lifeguard)
+        push,      // with a digest: asks for the records that differ; without: records the receiver lacks
+        pull,      // answers a push with a digest: the sender's digest and its records of differing buckets
+        gossip,    // records only, sent independently of probes
     };
-    static constexpr std::size_t kMaxRecords = 4096;  // in a push or pull; far fewer in a datagram
+    static constexpr std::size_t kMaxRecords = 4096;  // push, pull; datagrams: kMaxDatagramRecords
 
     Kind kind = Kind::ping;
     std::string sender;
     std::uint64_t sender_start = 0;
-    std::string sender_address;  // where answers go
-    std::uint32_t sequence = 0;  // an ack or nack repeats that of the message it answers
+    std::string sender_address;  // the address that answers are sent to
+    std::uint32_t sequence = 0;  // an ack or nack repeats the one of the message it answers
     std::string target;
     std::string target_address;
-    std::vector<MemberRecord> records;       // piggybacked gossip; push and pull: what differs
-    std::optional<MembershipDigest> digest;  // push and pull only
+    std::vector<MemberRecord> records;       // piggybacked gossip; in push and pull: the records that differ
+    std::optional<MembershipDigest> digest;  // in push and pull only
     bool operator==(const MembershipMessage&) const = default;
 };
 const char* name_of(MembershipMessage::Kind kind);
 
-// A message to send to an address.
+// A message and the address to send it to.
 struct OutgoingMembershipMessage {
     std::string address;
     MembershipMessage message;
-    // Over a stream (push and pull), or as a datagram.
+    // True if sent over a stream (push and pull), false if sent as a datagram.
     bool stream() const {
         return message.kind == MembershipMessage::Kind::push || message.kind == MembershipMessage::Kind::pull;
     }
--- a/src/cluster/membership/membership_periodic.cpp
+++ b/src/cluster/membership/membership_periodic.cpp
@@ -1,4 +1,4 @@
-// What a member does by the clock: probes, gossip, push-pull and the deadlines of its view.
+// Periodic work of a member: probes, gossip, push-pull, and the deadlines of the members in its view.
 #include <algorithm>
 #include <utility>
 
@@ -10,19 +10,19 @@
     Outgoing out;
     if (has_left())
         return out;
-    absorb_stall(now);
+    handle_stall(now);
     send_due_nacks(now, out);
     expire_members(now);
     request_indirect_probes(now, out);
-    run_probe_period(now, out);
+    run_probe_interval(now, out);
     notify_one_suspect(now, out);
     send_gossip(now, out);
     run_push_pull(now, out);
     return out;
 }
 
-// While this process did not run it could hear nobody: what went unanswered says nothing of the others.
-void Membership::absorb_stall(Time now) {
+// A process that did not run could not receive answers, so missing ones must not raise suspicions.
+void Membership::handle_stall(Time now) {
     const auto gap = now - std::exchange(last_tick_, now);
     if (gap <= 2 * settings_.probe_interval)
         return;
@@ -63,7 +63,7 @@
 
 void Membership::request_indirect_probes(Time now, Outgoing& out) {
     if (!probe_ || probe_->acked || probe_->asked_helpers ||
-        now < probe_->sent + stretched(settings_.probe_timeout))
+        now < probe_->sent + scaled_by_local_health(settings_.probe_timeout))
         return;
     probe_->asked_helpers = true;
     const auto helpers = random_alive_members(settings_.indirect_probes, probe_->target);
@@ -81,25 +81,25 @@
     probe_->nacks_expected = helpers.size();
 }
 
-void Membership::run_probe_period(Time now, Outgoing& out) {
+void Membership::run_probe_interval(Time now, Outgoing& out) {
     if (now < next_probe_)
         return;
     end_probe(now);
     start_probe(now, out);
-    next_probe_ = now + stretched(settings_.probe_interval);
+    next_probe_ = now + scaled_by_local_health(settings_.probe_interval);
 }
 
 void Membership::end_probe(Time now) {
     const auto probe = std::exchange(probe_, std::nullopt);
     if (!probe || probe->acked)
         return;
-    // Helpers that did not even send a nack point at our own slowness, not the target's (Lifeguard).
+    // If helpers sent no nack either, this router is probably the slow one, not the target (Lifeguard).
     if (probe->nacks < probe->nacks_expected)
         worsen_local_health();
     worsen_local_health();
     if (!is_probeable(probe->target))
         return;
-    // Of a suspect this is an independent confirmation (Lifeguard).
+    // If the target is suspect already, this counts as an independent confirmation (Lifeguard).
     MemberRecord suspicion = table_.find(probe->target)->record;
     suspicion.state = MemberState::suspect;
     suspicion.reported_by = self().identity.name;
@@ -112,7 +112,7 @@
            (member->record.state == MemberState::alive || member->record.state == MemberState::suspect);
 }
 
-// SWIM's round: every member once, in an order drawn anew each time.
+// Starts a SWIM round: every member is probed once, in a new random order.
 void Membership::start_probe_round() {
     probe_round_.clear();
     for (const auto& [name, member] : members())
@@ -133,7 +133,7 @@
     const auto sequence = ++last_sequence_;
     auto ping = make_message(MembershipMessage::Kind::ping, sequence);
     ping.target = target.identity.name;
-    // A suspect learns of it from the probe itself, and can refute at once (Lifeguard's buddy system).
+    // The probe informs a suspect of its suspicion, so that it can refute at once (Lifeguard's buddy system).
     if (target.state == MemberState::suspect)
         ping.records.push_back(target);
     piggyback_gossip(ping);
@@ -142,12 +142,12 @@
     out.push_back({target.identity.address, std::move(ping)});
 }
 
-// A refutation may have been missed here, and in a large fleet a round of probes is long: each period one
-// suspect is told of its suspicion, and its answer brings the refutation. Silence changes nothing.
+// This router may have missed a refutation, and a round of probes takes long in a large fleet. So one suspect
+// per probe interval is notified of its suspicion; its ack carries the refutation. A missing ack is ignored.
 void Membership::notify_one_suspect(Time now, Outgoing& out) {
-    if (now < next_suspect_notice_)
+    if (now < next_suspect_notification_)
         return;
-    next_suspect_notice_ = now + settings_.probe_interval;
+    next_suspect_notification_ = now + settings_.probe_interval;
     const auto suspects = table_.not_alive(MemberState::suspect);
     if (suspects.empty())
         return;
@@ -179,10 +179,10 @@
         push_digest(alive.front()->record.identity.address, out);
     else if (!seeds_.empty())
         push_digest(seeds_[random_() % seeds_.size()], out);
-    // After a partition both halves hold the other dead: one of those is asked too.
+    // After a partition each side considers the other dead, so one dead member is contacted too.
     if (const auto dead = table_.not_alive(MemberState::dead); !dead.empty())
         push_digest(dead[random_() % dead.size()]->identity.address, out);
-    // While alone, again soon: the seed may not have answered.
+    // While no member is known, retry after a probe interval: the seed may not have answered.
     const auto interval = members().empty() ? settings_.probe_interval : settings_.push_pull_interval;
     next_push_pull_ = now + interval * 3 / 4 + random_delay(random_, interval / 2);
 }
@@ -196,14 +196,14 @@
     out.push_back({address, std::move(push)});
 }
 
-// Somebody new or back is seldom alone (a rollout, a healed partition): the next push-pull comes within one
-// and a half probe intervals, so that all views are complete after about log n of them.
-void Membership::hasten_push_pull(Time now) {
+// Members rarely join or recover one at a time (a rollout, a healed partition). The next push-pull is moved
+// to within one and a half probe intervals, so that all views are complete after about log n push-pulls.
+void Membership::schedule_early_push_pull(Time now) {
     const auto interval = settings_.probe_interval;
     next_push_pull_ = std::min(next_push_pull_, now + interval / 2 + random_delay(random_, interval));
 }
 
-// At most `count` different members alive, drawn at random, without `except`.
+// At most `count` distinct alive members other than `except`, chosen at random.
 std::vector<const Member*> Membership::random_alive_members(std::size_t count, const std::string& except) {
     std::vector<const Member*> out;
     const auto add = [&](const std::string& name) {
@@ -212,7 +212,7 @@
             std::find(out.begin(), out.end(), member) == out.end())
             out.push_back(member);
     };
-    // A few draws from the probe round find enough, as a rule, without going through all members.
+    // A few random draws from the probe round usually suffice, which avoids a pass over all members.
     for (std::size_t draws = 0; draws < 4 * count && !probe_round_.empty() && out.size() < count; ++draws)
         add(probe_round_[random_() % probe_round_.size()]);
     if (out.size() >= count)
--- a/src/cluster/time.h
+++ b/src/cluster/time.h
@@ -1,4 +1,4 @@
-// Time as the state machines of src/cluster take it in: they read no clock.
+// The time type of the state machines in src/cluster. They read no clock: the caller passes the current time.
 #pragma once
 
 #include <algorithm>
@@ -8,10 +8,10 @@
 
 namespace silverrail::cluster {
 
-// A point on a steady clock with any origin, or a span, in milliseconds.
+// A time point of a steady clock with an arbitrary epoch, or a duration, in milliseconds.
 using Time = std::chrono::milliseconds;
 
-// A delay drawn evenly from [0, span), so that many routers do not act in step.
+// A delay drawn uniformly from [0, span), so that routers do not act at the same moment.
 inline Time random_delay(std::mt19937_64& random, Time span) {
     const auto bound = static_cast<std::uint64_t>(std::max<Time::rep>(1, span.count()));
     return Time{static_cast<Time::rep>(random() % bound)};
