--- a/src/cluster/codec/membership_codec.cpp
+++ b/src/cluster/codec/membership_codec.cpp
@@ -1,4 +1,4 @@
-// Membership messages as MessagePack.
+// Membership messages in MessagePack.
 #include <algorithm>
 
 #include "cluster/codec/msgpack_fields.h"
@@ -9,7 +9,7 @@
 
 constexpr std::uint32_t kMessageFields = 10;
 constexpr std::uint32_t kRecordFields = 8;
-constexpr std::size_t kDigestWords = kDigestBuckets + 1;
+constexpr std::size_t kDigestLength = kDigestBuckets + 1;
 
 void pack(Packer& packer, const MemberRecord& record) {
     packer.pack_array(kRecordFields);
@@ -38,18 +38,18 @@
 }
 
 void pack(Packer& packer, const MembershipDigest& digest) {
-    std::array<std::uint64_t, kDigestWords> words{digest.members};
-    std::copy(digest.buckets.begin(), digest.buckets.end(), words.begin() + 1);
-    pack_words(packer, words);
+    std::array<std::uint64_t, kDigestLength> numbers{digest.members};
+    std::copy(digest.buckets.begin(), digest.buckets.end(), numbers.begin() + 1);
+    pack_u64_array(packer, numbers);
 }
 
 std::optional<MembershipDigest> read_digest(const msgpack::object& object) {
     if (object.type == msgpack::type::NIL)
         return std::nullopt;
-    const auto words = read_words<kDigestWords>(object);
+    const auto numbers = read_u64_array<kDigestLength>(object);
     MembershipDigest out;
-    out.members = words[0];
-    std::copy(words.begin() + 1, words.end(), out.buckets.begin());
+    out.members = numbers[0];
+    std::copy(numbers.begin() + 1, numbers.end(), out.buckets.begin());
     return out;
 }
 
--- a/src/cluster/codec/message_codec.cpp
+++ b/src/cluster/codec/message_codec.cpp
@@ -10,8 +10,8 @@
 constexpr std::size_t kMaxDepth = 6;
 constexpr std::size_t kMaxMessageFields = 16;
 
-// msgpack-cxx refuses, while it reads, any array, map or string over these: an oversize count in a small
-// datagram can't make it allocate.
+// msgpack-cxx rejects any array, map or string above these limits while parsing, so that a forged length in a
+// small datagram cannot cause a large allocation.
 msgpack::unpack_limit unpack_limits(Transport transport) {
     static_assert(ReplicaMessage::kMaxUpdates <= MembershipMessage::kMaxRecords &&
                   ReplicaMessage::kMaxVersions <= MembershipMessage::kMaxRecords &&
@@ -22,7 +22,7 @@
     return {max_records + kMaxMessageFields, 0, kMaxKeyLength + 1, kDigestBytes, 0, kMaxDepth};
 }
 
-// One object, with nothing after it.
+// Unpacks a single object; trailing bytes are an error.
 msgpack::object_handle unpack(std::string_view bytes, Transport transport) {
     std::size_t offset = 0;
     auto out =
--- a/src/cluster/codec/msgpack_fields.h
+++ b/src/cluster/codec/msgpack_fields.h
@@ -1,4 +1,4 @@
-// Reading and writing of single fields, with their bounds. For the codecs alone.
+// Reads and writes single MessagePack fields and checks their bounds. Internal to the codecs.
 #pragma once
 
 #include <array>
@@ -14,7 +14,7 @@
 
 using Packer = msgpack::packer<msgpack::sbuffer>;
 
-// Thrown by the reading functions; `decode` returns what it holds.
+// Thrown by the reading functions; `decode` returns its `error`.
 struct DecodeFailure {
     DecodeError error;
 };
@@ -44,7 +44,7 @@
     return object.via.u64;
 }
 
-// For numbers of a narrower type.
+// For values that are stored in a narrower type.
 inline std::uint64_t read_unsigned(const msgpack::object& object, std::uint64_t max) {
     const auto out = read_unsigned(object);
     if (out > max)
@@ -52,7 +52,7 @@
     return out;
 }
 
-// An enumerator, by its value; `last` is the last there is.
+// Converts a value to an enumerator; `last` is the enumeration's last one.
 template <class Enum>
 Enum read_enum(std::uint64_t value, Enum last) {
     if (value > static_cast<std::uint64_t>(last))
@@ -66,7 +66,7 @@
     return object.via.boolean;
 }
 
-// Calls `read_item` with each item of an array.
+// Calls `read_item` for each item of an array of at most `max_size` items.
 template <class ReadItem>
 void read_array(const msgpack::object& object, std::size_t max_size, ReadItem read_item) {
     if (object.type != msgpack::type::ARRAY)
@@ -77,19 +77,19 @@
         read_item(object.via.array.ptr[i]);
 }
 
-// Numbers of eight bytes, little-endian.
+// An array of 64-bit numbers as a binary field, little-endian.
 template <std::size_t N>
-void pack_words(Packer& packer, const std::array<std::uint64_t, N>& words) {
+void pack_u64_array(Packer& packer, const std::array<std::uint64_t, N>& numbers) {
     std::string bytes;
-    for (const auto word : words)
+    for (const auto number : numbers)
         for (int i = 0; i < 8; ++i)
-            bytes += static_cast<char>(word >> (8 * i));
+            bytes += static_cast<char>(number >> (8 * i));
     packer.pack_bin(static_cast<std::uint32_t>(bytes.size()));
     packer.pack_bin_body(bytes.data(), static_cast<std::uint32_t>(bytes.size()));
 }
 
 template <std::size_t N>
-std::array<std::uint64_t, N> read_words(const msgpack::object& object) {
+std::array<std::uint64_t, N> read_u64_array(const msgpack::object& object) {
     if (object.type != msgpack::type::BIN || object.via.bin.size != N * 8)
         throw DecodeFailure{DecodeError::undecodable};
     std::array<std::uint64_t, N> out{};
@@ -98,7 +98,7 @@
     return out;
 }
 
-// The messages and entries of each part; their arrays' items as message_codec.h says.
+// Messages and entries; message_codec.h has the order of their fields.
 void pack(Packer& packer, const MembershipMessage& message);
 MembershipMessage read_membership_message(const msgpack::object& object, Transport transport);
 void pack(Packer& packer, const ReplicaMessage& message);
@@ -106,7 +106,7 @@
 void pack_entry_fields(Packer& packer, const ReplicatedEntry& entry);
 ReplicatedEntry read_entry(const msgpack::object& changed, const msgpack::object& writes);
 
-// The kinds of the replicated state's messages come after those of membership.
+// On the wire, kinds from this value on are those of replicated-state messages; lower ones are of membership.
 inline constexpr std::uint8_t kFirstReplicaKind = 32;
 
 }  // namespace silverrail::cluster::codec
--- a/src/cluster/codec/replica_codec.cpp
+++ b/src/cluster/codec/replica_codec.cpp
@@ -1,4 +1,4 @@
-// Messages and entries of the replicated state as MessagePack.
+// Messages and entries of the replicated state in MessagePack.
 #include "cluster/codec/msgpack_fields.h"
 
 namespace silverrail::cluster::codec {
@@ -12,9 +12,9 @@
 
 void pack(Packer& packer, const VersionVector& versions) {
     packer.pack_array(static_cast<std::uint32_t>(versions.size()));
-    for (const auto& [origin, version] : versions) {
+    for (const auto& [writer, version] : versions) {
         packer.pack_array(kVersionFields);
-        packer.pack(origin);
+        packer.pack(writer);
         packer.pack(version);
     }
 }
@@ -53,13 +53,13 @@
 
 }  // namespace
 
-// Two items: when it was changed, and its writes.
+// Packs two fields: the time of the change, and the writes.
 void pack_entry_fields(Packer& packer, const ReplicatedEntry& entry) {
     packer.pack(entry.changed);
     packer.pack_array(static_cast<std::uint32_t>(entry.writes.size()));
-    for (const auto& [origin, write] : entry.writes) {
+    for (const auto& [writer, write] : entry.writes) {
         packer.pack_array(kWriteFields);
-        packer.pack(origin);
+        packer.pack(writer);
         packer.pack(write.set_version);
         packer.pack(write.cleared_version);
         packer.pack(write.timestamp);
@@ -85,7 +85,7 @@
     packer.pack(message.sender);
     packer.pack(message.sender_address);
     if (message.kind == ReplicaMessage::Kind::digest)
-        pack_words(packer, message.digest);
+        pack_u64_array(packer, message.digest);
     else
         packer.pack_nil();
     packer.pack(message.bucket_mask);
@@ -108,7 +108,7 @@
     out.sender = read_string(item_at(object, 3), kMaxNameLength);
     out.sender_address = read_string(item_at(object, 4), kMaxAddressLength);
     if (item_at(object, 5).type != msgpack::type::NIL)
-        out.digest = read_words<kDigestBuckets>(item_at(object, 5));
+        out.digest = read_u64_array<kDigestBuckets>(item_at(object, 5));
     out.bucket_mask = read_unsigned(item_at(object, 6));
     out.versions = read_versions(item_at(object, 7));
     const auto max_updates =
