--- a/src/cluster/outliers/outlier_consensus.cpp
+++ b/src/cluster/outliers/outlier_consensus.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Reports of one event are spread over a time that grows with the fleet.
+// Reports on the same event are spread over a time span that grows with the size of the fleet.
 constexpr Time kDelayPerRouter{20};
 constexpr Time kMaxDelay{5000};
 constexpr std::size_t kMaxCountedRouters = 1'000;
@@ -43,9 +43,9 @@
     Result out;
     const auto peer_reports = read_peer_reports(unix_now, entries, alive);
     out.reports = publish_own(now, servers, peer_reports, alive.size());
-    out.ejected = agreed_outliers(servers, peer_reports);
+    out.ejected = select_ejected(servers, peer_reports);
     out.changed = out.ejected != ejected_;
-    note_ejected(out.ejected);
+    update_ejected(out.ejected);
     return out;
 }
 
@@ -98,9 +98,9 @@
            count_reports(peer_reports, subject, draining) >= settings_.quorum;
 }
 
-// The ids of the servers that a quorum reports, without those of zones that would lose too many.
-std::set<std::string> OutlierConsensus::agreed_outliers(const std::vector<ServerObservation>& servers,
-                                                        const PeerReports& peer_reports) {
+// The ids of the servers that a quorum reports, except in zones beyond the panic threshold.
+std::set<std::string> OutlierConsensus::select_ejected(const std::vector<ServerObservation>& servers,
+                                                       const PeerReports& peer_reports) {
     struct ZoneCount {
         std::size_t servers = 0;
         std::size_t agreed = 0;
@@ -112,7 +112,7 @@
             continue;
         auto& zone = by_zone[server.zone];
         ++zone.servers;
-        // Whoever keeps away from it already judges it by itself.
+        // A server that this router itself excludes is left to its own outlier detection.
         if (server.outlier || !has_quorum(server, peer_reports))
             continue;
         ++zone.agreed;
@@ -123,7 +123,7 @@
         if (static_cast<double>(count.agreed) >
             settings_.max_ejected_share * static_cast<double>(count.servers))
             panicking.insert(zone);
-    note_panics(std::move(panicking));
+    update_panicking_zones(std::move(panicking));
     std::set<std::string> out;
     for (const auto* server : agreed)
         if (!panicking_zones_.contains(server->zone))
@@ -131,13 +131,13 @@
     return out;
 }
 
-void OutlierConsensus::note_panics(std::set<std::string> zones) {
+void OutlierConsensus::update_panicking_zones(std::set<std::string> zones) {
     for (const auto& zone : zones)
         counters_.panics += panicking_zones_.contains(zone) ? 0 : 1;
     panicking_zones_ = std::move(zones);
 }
 
-void OutlierConsensus::note_ejected(const std::set<std::string>& ejected) {
+void OutlierConsensus::update_ejected(const std::set<std::string>& ejected) {
     for (const auto& id : ejected)
         counters_.ejected += ejected_.contains(id) ? 0 : 1;
     for (const auto& id : ejected_)
--- a/src/cluster/outliers/outlier_consensus.h
+++ b/src/cluster/outliers/outlier_consensus.h
@@ -1,15 +1,15 @@
-// Outlier detection shared by the fleet: a server that enough other routers report as an outlier or as
-// draining is ejected here too, before this router has found out by itself.
+// Outlier detection shared by the fleet: a server that a quorum of other routers reports as an outlier or as
+// draining is ejected by this router too, before it has detected the problem itself.
 //
-// A state machine without I/O, clocks or threads. Rules (docs/design/replication.md has the reasons):
-// - One router's report ejects nobody: it takes a quorum of independent reporters that are alive, with
-// reports
-//   within the age limit.
-// - A router that reports a server judges it by itself: it goes on with its trials, and withdraws its report
-//   when one succeeds.
-// - Where more than `max_ejected_share` of a zone's servers would be ejected by reports, none of them is (the
-//   panic threshold): that many at once is the zone's affair (failover), or the reporters' own fault.
-// - A draining report holds only for the process that drains: a server with another start is another process.
+// A state machine without I/O, clocks or threads. Its rules (docs/design/replication.md has the reasons):
+// - The report of a single router ejects no server. It takes a quorum of independent reporters that are
+//   alive, with reports no older than `max_report_age`.
+// - A router that reports a server relies on its own detection for it: it continues its trial requests, and
+//   withdraws its report when one succeeds.
+// - If reports would eject more than `max_ejected_share` of a zone's servers, they eject none of them (the
+//   panic threshold): that many at once are either a failure of the zone, which failover handles, or an error
+//   of the reporters.
+// - A draining report holds only for the process that drains. A server with another start is another process.
 #pragma once
 
 #include <cstdint>
@@ -23,19 +23,19 @@
 
 namespace silverrail::cluster {
 
-// A server as this router sees it.
+// The state of a server as this router sees it.
 struct ServerObservation {
     std::string id;
     std::string zone;
-    std::int64_t started_ms = 0;  // Unix ms as listed; 0: long ago
-    bool outlier = false;         // kept away from here: it failed, or is slow against its like
-    bool leaving = false;         // listed as draining or gone
+    std::int64_t started_ms = 0;  // Unix ms as in the server list; 0: long ago
+    bool outlier = false;         // excluded by this router: it failed, or is slower than comparable servers
+    bool leaving = false;         // in the server list as draining or gone
 };
 
 struct OutlierConsensusSettings {
-    UnixMs max_report_age = 10'000;  // published again each third of it
+    UnixMs max_report_age = 10'000;  // reports are refreshed after a third of it
     std::size_t quorum = 2;
-    std::size_t enough_reporters = 4;  // of a server; further ones add nothing
+    std::size_t enough_reporters = 4;  // a router adds no report if so many others report the same
     double max_ejected_share = 0.5;
     std::size_t max_own_reports = 512;
 };
@@ -53,11 +53,11 @@
     OutlierConsensus(std::string router, const OutlierConsensusSettings& settings, std::uint64_t random_seed);
 
     struct Result {
-        std::vector<ReportUpdate> reports;  // to be written under report_key(subject, this router)
-        std::set<std::string> ejected;      // ids of the servers ejected on the reports of others
-        bool changed = false;               // not the same ids as in the result before
+        std::vector<ReportUpdate> reports;  // to write under report_key(subject, this router)
+        std::set<std::string> ejected;      // ids of the servers ejected because of other routers' reports
+        bool changed = false;               // `ejected` differs from that of the previous tick
     };
-    // `alive`: zones of the members alive, by name; only the names count.
+    // `alive`: the zones of the alive members, by member name. Only the names are used.
     Result tick(Time now, UnixMs unix_now, const std::vector<ServerObservation>& servers,
                 const Replica::Entries& entries, const std::map<std::string, std::string>& alive);
 
@@ -69,7 +69,7 @@
     }
 
 private:
-    // By subject: what each other router reports.
+    // By subject: the reports of the other routers.
     using PeerReports = std::map<std::string, std::vector<ServerReport>>;
 
     PeerReports read_peer_reports(UnixMs unix_now, const Replica::Entries& entries,
@@ -77,16 +77,16 @@
     std::vector<ReportUpdate> publish_own(Time now, const std::vector<ServerObservation>& servers,
                                           const PeerReports& peer_reports, std::size_t routers);
     bool has_quorum(const ServerObservation& server, const PeerReports& peer_reports) const;
-    std::set<std::string> agreed_outliers(const std::vector<ServerObservation>& servers,
-                                          const PeerReports& peer_reports);
-    void note_panics(std::set<std::string> zones);
-    void note_ejected(const std::set<std::string>& ejected);
+    std::set<std::string> select_ejected(const std::vector<ServerObservation>& servers,
+                                         const PeerReports& peer_reports);
+    void update_panicking_zones(std::set<std::string> zones);
+    void update_ejected(const std::set<std::string>& ejected);
 
     std::string router_;
     OutlierConsensusSettings settings_;
     ReportPublisher publisher_;
     std::set<std::string> ejected_;
-    std::set<std::string> panicking_zones_;  // of which nothing is ejected by reports now
+    std::set<std::string> panicking_zones_;  // beyond the panic threshold
     OutlierConsensusCounters counters_;
 };
 
--- a/src/cluster/outliers/server_report.cpp
+++ b/src/cluster/outliers/server_report.cpp
@@ -25,7 +25,7 @@
         out.kind = ServerReport::Kind::draining;
         std::from_chars(value.data() + kDraining.size(), value.data() + value.size(), out.started_ms);
     }
-    // Only the form that `encode` gives is a report.
+    // Only the exact output of `encode` is accepted.
     if (encode(out) != value)
         return std::nullopt;
     return out;
--- a/src/cluster/outliers/server_report.h
+++ b/src/cluster/outliers/server_report.h
@@ -1,4 +1,4 @@
-// What a router reports of a server, and its form in the replicated state.
+// A router's report on a server, and its encoding in the replicated state.
 #pragma once
 
 #include <cstdint>
@@ -9,11 +9,11 @@
 
 struct ServerReport {
     enum class Kind : std::uint8_t {
-        outlier,   // the reporter keeps away from it: it failed, or is slow against its like
-        draining,  // it is listed as draining or gone
+        outlier,   // the reporter excludes the server: it failed, or is slower than comparable servers
+        draining,  // the server list has it as draining or gone
     };
     Kind kind = Kind::outlier;
-    std::int64_t started_ms = 0;  // draining: of the process that drains, Unix ms as listed
+    std::int64_t started_ms = 0;  // draining: start of the draining process, Unix ms as in the server list
     bool operator==(const ServerReport&) const = default;
 };
 
@@ -21,7 +21,7 @@
 std::string encode(const ServerReport& report);
 std::optional<ServerReport> decode_server_report(const std::string& value);
 
-// The subject of reports on a server; of an empty id: the prefix of all of them.
+// The subject of reports on a server. With an empty id: the common prefix of all these subjects.
 std::string server_subject(const std::string& server_id);
 
 }  // namespace silverrail::cluster
--- a/src/cluster/reports/report_publisher.cpp
+++ b/src/cluster/reports/report_publisher.cpp
@@ -61,7 +61,8 @@
         if (now < publication.due)
             continue;
         publication.due = now + settings_.refresh_interval;
-        // Whoever has published goes on: else two that fall silent for each other would both be missing.
+        // A published report is always refreshed: if two reporters each left it to the other, both reports
+        // would expire.
         if (!publication.published && settings_.enough_reporters > 0 &&
             other_reporters(subject) >= settings_.enough_reporters)
             continue;
