--- a/tests/cluster/membership_fixture.h
+++ b/tests/cluster/membership_fixture.h
@@ -1,5 +1,4 @@
-// What the tests of the membership protocol have in common: the router "a", its peers' messages, and time
-// that the test moves on.
+// Shared fixture of the membership tests: the router "a", messages from its peers, and simulated time.
 #pragma once
 
 #include <string>
@@ -45,12 +44,12 @@
     return {identity_of(name), start, incarnation, state, reported_by};
 }
 
-// The router "a" in its run `start`, that knows nobody.
+// The router "a", started at `start`, that knows no other member.
 inline Membership lone_membership(std::uint64_t start, const MembershipSettings& settings = fast_settings()) {
     return {identity_of("a"), start, settings, 7, {}, 0ms};
 }
 
-// The router "a" that knows these members to be alive.
+// The router "a", with the given members alive in its view.
 inline Membership membership_with(const std::vector<std::string>& names,
                                   const MembershipSettings& settings = fast_settings()) {
     Membership membership{identity_of("a"), 1, settings, 11, {}, 0ms};
@@ -78,7 +77,7 @@
     return membership.members().at(name).record.state;
 }
 
-// Ticks each millisecond from `first` to `last`, and gathers what is sent.
+// Ticks every millisecond from `first` to `last` and returns the messages sent.
 inline Sent run_ticks(Membership& membership, Time first, Time last) {
     Sent all;
     for (Time now = first; now <= last; now += 1ms)
--- a/tests/cluster/membership_fleet_test.cpp
+++ b/tests/cluster/membership_fleet_test.cpp
@@ -1,4 +1,4 @@
-// A small fleet of membership state machines, with messages delivered by hand.
+// Several membership state machines that exchange messages in memory.
 #include <cstdio>
 #include <deque>
 #include <map>
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Six members; every message is delivered at once but to those that are down or stopped.
+// Six members. Messages are delivered immediately, except to members that are down or stopped.
 class SmallFleet {
 public:
     SmallFleet() {
@@ -43,12 +43,12 @@
         for (const auto end = now_ + span; now_ < end; now_ += 5ms)
             step();
     }
-    bool run_until_all_hold(const std::string& name, MemberState state, Time longest) {
-        for (const auto end = now_ + longest; now_ < end && !all_hold(name, state); now_ += 5ms)
+    bool run_until_all_see(const std::string& name, MemberState state, Time timeout) {
+        for (const auto end = now_ + timeout; now_ < end && !all_see(name, state); now_ += 5ms)
             step();
-        return all_hold(name, state);
+        return all_see(name, state);
     }
-    bool all_hold(const std::string& name, MemberState state) const {
+    bool all_see(const std::string& name, MemberState state) const {
         for (const auto& [member, membership] : fleet_)
             if (!down_.contains(member) && member != name &&
                 (!membership.members().contains(name) || state_of(membership, name) != state))
@@ -65,18 +65,18 @@
     static constexpr std::size_t kMembers = 6;
 
 private:
-    bool runs(const std::string& name) const {
+    bool is_running(const std::string& name) const {
         return fleet_.contains(name) && !down_.contains(name) && !stopped_.contains(name);
     }
     void step() {
         for (auto& [name, membership] : fleet_)
-            if (runs(name))
+            if (is_running(name))
                 for (auto& outgoing : membership.tick(now_))
                     in_flight_.push_back(std::move(outgoing));
         for (std::size_t hops = 0; !in_flight_.empty() && hops < 10'000; ++hops) {
             const auto outgoing = std::move(in_flight_.front());
             in_flight_.pop_front();
-            if (!runs(outgoing.address))
+            if (!is_running(outgoing.address))
                 continue;
             for (auto& answer : at(outgoing.address).receive(outgoing.message, now_))
                 in_flight_.push_back(std::move(answer));
@@ -89,33 +89,34 @@
     Time now_{0};
 };
 
-void a_small_fleet_agrees_on_joins_a_crash_a_stall_and_a_leave() {
+void all_views_agree_after_joins_a_crash_a_stall_and_a_leave() {
     SmallFleet fleet;
-    CHECK(fleet.run_until_all_hold("m5", MemberState::alive, 3'000ms));
+    CHECK(fleet.run_until_all_see("m5", MemberState::alive, 3'000ms));
     fleet.check_running(
         [](const Membership& membership) { CHECK(membership.members().size() == SmallFleet::kMembers - 1); });
 
     fleet.kill("m3");
-    CHECK(fleet.run_until_all_hold("m3", MemberState::dead, 10'000ms));
+    CHECK(fleet.run_until_all_see("m3", MemberState::dead, 10'000ms));
     fleet.check_running([](const Membership& membership) { CHECK(membership.counters().deaths <= 1); });
 
-    // Stopped for less than the shortest suspicion: alive everywhere, and it blamed nobody.
+    // Stopped for less than the minimum suspicion timeout: it stays alive in all views, and declares no other
+    // member dead.
     fleet.stop("m4");
     fleet.run_for(300ms);
     fleet.resume_all();
     const auto deaths = fleet.at("m4").counters().deaths;
     fleet.run_for(2'000ms);
-    CHECK(fleet.all_hold("m4", MemberState::alive));
+    CHECK(fleet.all_see("m4", MemberState::alive));
     CHECK(fleet.at("m4").counters().deaths == deaths && fleet.at("m4").counters().stalls == 1);
 
     fleet.leave("m2");
     fleet.run_for(2'000ms);
-    CHECK(fleet.all_hold("m2", MemberState::left));
+    CHECK(fleet.all_see("m2", MemberState::left));
 }
 
 }  // namespace
 
 int main() {
-    a_small_fleet_agrees_on_joins_a_crash_a_stall_and_a_leave();
-    std::puts("membership of a small fleet: one view after joins, a crash, a stall and a leave");
+    all_views_agree_after_joins_a_crash_a_stall_and_a_leave();
+    std::puts("membership of a fleet: all views agree after joins, a crash, a stall and a leave");
 }
--- a/tests/cluster/membership_simulation_test.cpp
+++ b/tests/cluster/membership_simulation_test.cpp
@@ -1,5 +1,5 @@
-// The simulated fleet: the same seed gives the same run, every scenario settles within its bound at 12 and at
-// 120 members, and the load of a member at rest does not grow with the fleet.
+// Membership in a simulated fleet: the same seed gives the same run, every scenario settles within its time
+// limit with 12 and with 120 members, and the load per member does not grow with the fleet.
 #include "lab/membership_simulation.h"
 
 #include <cstdio>
@@ -39,28 +39,28 @@
     CHECK(differs);
 }
 
-void every_scenario_settles_within_its_bound_and_the_load_is_flat() {
+void every_scenario_settles_in_time_and_the_load_does_not_grow_with_the_fleet() {
     const auto few = run(12, 1), many = run(120, 1);
-    // From the fault, in ms, with probes each second: a crash is found by the next probes and waits for the
-    // suspicion's floor (4 s at 10 members, 8.4 s at 120) and its spreading.
+    // Limits in ms after the fault, with a probe interval of 1 s. A crash takes the next probes to detect,
+    // the minimum suspicion timeout (4 s with 10 members, 8.4 s with 120), and the time to spread the result.
     const struct {
         Scenario scenario;
         std::int64_t few_ms, many_ms;
-    } kMost[] = {{Scenario::join, 5'000, 15'000},    {Scenario::calm, 0, 0},
-                 {Scenario::crash, 15'000, 20'000},  {Scenario::stall, 6'000, 10'000},
-                 {Scenario::loss, 10'000, 15'000},   {Scenario::partition, 15'000, 40'000},
-                 {Scenario::restart, 10'000, 30'000}};
-    for (const auto& most : kMost) {
-        const auto &f = row(few, most.scenario), &m = row(many, most.scenario);
-        std::printf("%s: settled after %lld and %lld ms\n", lab::name_of(most.scenario),
+    } kBounds[] = {{Scenario::join, 5'000, 15'000},    {Scenario::calm, 0, 0},
+                   {Scenario::crash, 15'000, 20'000},  {Scenario::stall, 6'000, 10'000},
+                   {Scenario::loss, 10'000, 15'000},   {Scenario::partition, 15'000, 40'000},
+                   {Scenario::restart, 10'000, 30'000}};
+    for (const auto& bound : kBounds) {
+        const auto &f = row(few, bound.scenario), &m = row(many, bound.scenario);
+        std::printf("%s: settled after %lld and %lld ms\n", lab::name_of(bound.scenario),
                     static_cast<long long>(f.settled_ms), static_cast<long long>(m.settled_ms));
-        CHECK(f.settled_ms >= 0 && f.settled_ms <= most.few_ms);
-        CHECK(m.settled_ms >= 0 && m.settled_ms <= most.many_ms);
+        CHECK(f.settled_ms >= 0 && f.settled_ms <= bound.few_ms);
+        CHECK(m.settled_ms >= 0 && m.settled_ms <= bound.many_ms);
     }
     for (const auto scenario :
          {Scenario::join, Scenario::calm, Scenario::crash, Scenario::stall, Scenario::loss})
         CHECK(row(few, scenario).false_deaths == 0 && row(many, scenario).false_deaths == 0);
-    // SWIM's property: ten times the fleet, the same messages a member a second.
+    // With SWIM the messages per member and second do not depend on the size of the fleet.
     CHECK(row(many, Scenario::crash).messages_per_s < 2 * row(few, Scenario::crash).messages_per_s);
     CHECK(row(few, Scenario::crash).suspected_ms >= 0 && row(many, Scenario::crash).suspected_ms >= 0);
 }
@@ -69,6 +69,7 @@
 
 int main() {
     the_same_seed_gives_the_same_run();
-    every_scenario_settles_within_its_bound_and_the_load_is_flat();
-    std::puts("membership simulation: the same run from the same seed, every scenario settled, load flat");
+    every_scenario_settles_in_time_and_the_load_does_not_grow_with_the_fleet();
+    std::puts(
+        "membership simulation: reproducible, all scenarios settle in time, load per member is constant");
 }
--- a/tests/cluster/membership_test.cpp
+++ b/tests/cluster/membership_test.cpp
@@ -1,4 +1,4 @@
-// The membership protocol: every transition of a record by a table, then probes, suspicion, refutations,
+// The membership protocol: a table of all transitions of a record, then probes, suspicions, refutations,
 // stalls and push-pull.
 #include "cluster/membership/membership.h"
 
@@ -21,11 +21,11 @@
     std::optional<EventKind> event;
 };
 
-// Every way a record held of a member meets one that comes in.
+// Every combination of the current record of a member and an incoming one.
 std::vector<Transition> transitions() {
     using S = MemberState;
     return {
-        // alive held
+        // currently alive
         {record("b", 1, 3, S::alive),
          record("b", 1, 2, S::suspect, "c"),
          S::alive,
@@ -38,33 +38,33 @@
         {record("b", 1, 3, S::alive), record("b", 1, 2, S::dead, "c"), S::alive, 3, {}},
         {record("b", 1, 3, S::alive), record("b", 1, 3, S::dead, "c"), S::dead, 3, EventKind::dead},
         {record("b", 1, 3, S::alive), record("b", 1, 3, S::left), S::left, 3, EventKind::left},
-        // suspect held
+        // currently suspect
         {record("b", 1, 3, S::suspect, "c"),
          record("b", 1, 3, S::alive),
          S::suspect,
          3,
-         {}},  // no refute at the same
+         {}},  // a refutation needs a higher incarnation
         {record("b", 1, 3, S::suspect, "c"), record("b", 1, 4, S::alive), S::alive, 4, EventKind::refute},
         {record("b", 1, 3, S::suspect, "c"), record("b", 1, 3, S::dead, "d"), S::dead, 3, EventKind::dead},
         {record("b", 1, 3, S::suspect, "c"), record("b", 1, 2, S::dead, "d"), S::suspect, 3, {}},
-        // dead held
+        // currently dead
         {record("b", 1, 3, S::dead, "c"), record("b", 1, 3, S::alive), S::dead, 3, {}},
         {record("b", 1, 3, S::dead, "c"), record("b", 1, 4, S::alive), S::alive, 4, EventKind::recovered},
         {record("b", 1, 3, S::dead, "c"), record("b", 1, 9, S::suspect, "d"), S::dead, 3, {}},
         {record("b", 1, 3, S::dead, "c"), record("b", 1, 3, S::left), S::dead, 3, {}},
-        // left held
+        // currently left
         {record("b", 1, 3, S::left), record("b", 1, 3, S::dead, "c"), S::left, 3, {}},
         {record("b", 1, 3, S::left), record("b", 1, 4, S::alive), S::alive, 4, EventKind::recovered},
-        // a later run of the same name is a new member, whatever the old one's incarnation
+        // a later start under the same name is a new member, whatever the incarnation of the old one
         {record("b", 1, 9, S::dead, "c"), record("b", 2, 0, S::alive), S::alive, 0, EventKind::rejoin},
         {record("b", 1, 9, S::alive), record("b", 2, 0, S::alive), S::alive, 0, EventKind::rejoin},
-        // an earlier run is gone for good
+        // records with an earlier start are ignored
         {record("b", 2, 0, S::alive), record("b", 1, 9, S::dead, "c"), S::alive, 0, {}},
         {record("b", 2, 0, S::alive), record("b", 1, 9, S::alive), S::alive, 0, {}},
     };
 }
 
-void a_record_changes_the_view_by_the_table_of_transitions() {
+void records_change_the_view_as_in_the_transition_table() {
     int row = 0;
     for (const auto& expected : transitions()) {
         ++row;
@@ -82,14 +82,14 @@
         if (got.state != expected.state || got.incarnation != expected.incarnation ||
             events.size() != (expected.event ? 1u : 0u) ||
             (expected.event && events.front().kind != *expected.event)) {
-            std::fprintf(stderr, "row %d: %s/%llu, %zu events\n", row, name_of(got.state),
+            std::fprintf(stderr, "transition %d: got %s/%llu and %zu events\n", row, name_of(got.state),
                          static_cast<unsigned long long>(got.incarnation), events.size());
             CHECK(false);
         }
     }
 }
 
-void nobody_joins_by_a_suspicion_or_a_death() {
+void suspect_and_dead_records_add_no_member() {
     auto membership = lone_membership(1);
     receive_records(membership,
                     {record("q", 1, 0, MemberState::suspect, "x"), record("r", 1, 0, MemberState::dead, "x")},
@@ -99,7 +99,7 @@
     CHECK(membership.members().size() == 1 && has_event(membership.take_events(), EventKind::join, "q"));
 }
 
-// The router "a" in its run 5, which has refuted twice.
+// The router "a", started at 5, after two refutations.
 Membership membership_that_refuted_twice() {
     auto membership = lone_membership(5);
     receive_records(membership, {record("a", 5, 0, MemberState::suspect, "x")}, 0ms);
@@ -111,7 +111,7 @@
     return membership;
 }
 
-void a_refutation_goes_out_with_the_next_message() {
+void a_refutation_is_sent_with_the_next_message() {
     auto membership = membership_that_refuted_twice();
     auto ping = message_from("x", Kind::ping, {});
     ping.target = "a";
@@ -123,20 +123,20 @@
     CHECK(refutes);
 }
 
-void a_message_with_a_forged_record_of_ourselves_is_rejected_whole() {
+void a_message_with_a_forged_record_of_its_receiver_is_rejected() {
     auto membership = membership_that_refuted_twice();
     const MemberRecord forged[] = {record("a", 5, 7, MemberState::alive),
                                    record("a", 6, 0, MemberState::alive),
                                    record("a", 5, 9, MemberState::dead, "x")};
-    for (const auto& ahead_of_us : forged) {
+    for (const auto& forged_record : forged) {
         const auto rejected = membership.counters().rejected;
-        receive_records(membership, {record("z", 1, 0, MemberState::alive), ahead_of_us}, 2ms);
+        receive_records(membership, {record("z", 1, 0, MemberState::alive), forged_record}, 2ms);
         CHECK(membership.counters().rejected == rejected + 1);
         CHECK(!membership.members().contains("z") && membership.self().incarnation == 2);
     }
 }
 
-void a_message_out_of_bounds_or_from_ourselves_is_rejected() {
+void a_message_out_of_bounds_or_under_the_own_name_is_rejected() {
     auto membership = lone_membership(5);
     const auto long_name = record(std::string(kMaxNameLength + 1, 'n'), 1, 0, MemberState::alive);
     auto long_zone = record("z", 1, 0, MemberState::alive);
@@ -151,21 +151,22 @@
     CHECK(membership.counters().rejected == rejected + 1 && !membership.members().contains("z"));
 }
 
-void a_record_of_an_earlier_run_of_ourselves_changes_nothing() {
+void a_record_of_the_own_process_before_a_restart_is_ignored() {
     auto membership = membership_that_refuted_twice();
     receive_records(membership, {record("a", 4, 30, MemberState::dead, "x")}, 4ms);
     CHECK(membership.self().start == 5 && membership.self().incarnation == 2 &&
           membership.self().state == MemberState::alive);
 }
 
-// The target of the one probe sent in the first period.
+// The target of the only probe sent in the first probe interval.
 std::string first_probe_target(Membership& membership) {
     const auto pings = of_kind(run_ticks(membership, 0ms, 99ms), Kind::ping);
     CHECK(pings.size() == 1);
     return pings[0].message.target;
 }
 
-// Four members, one of which answered no probe although three helpers tried; its name is in `target`.
+// Four members, one of which has answered neither the direct probe nor those of three helpers. Its name is
+// returned in `target`.
 Membership membership_with_a_suspect(std::string& target) {
     auto membership = membership_with({"b", "c", "d", "e"});
     target = first_probe_target(membership);
@@ -185,7 +186,7 @@
     const auto membership = membership_with_a_suspect(target);
     CHECK(state_of(membership, target) == MemberState::suspect);
     CHECK(membership.members().at(target).record.reported_by == "a");
-    CHECK(membership.local_health() == 1);  // for the failed probe; the helpers' nacks came
+    CHECK(membership.local_health() == 1);  // for the failed probe only, as all helpers sent a nack
     CHECK(membership.min_suspicion_timeout() == 400ms);
     CHECK(membership.max_suspicion_timeout() == 6 * membership.min_suspicion_timeout());
 }
@@ -198,8 +199,8 @@
     CHECK(state_of(membership, "b") != MemberState::dead && membership.counters().acks >= 1);
 }
 
-// Two of three confirmations give most of the way from the longest wait to the shortest.
-void confirmations_shorten_a_suspicion_and_the_dead_are_removed_in_time() {
+// Two of three confirmations reduce the timeout by most of the difference between maximum and minimum.
+void confirmations_shorten_a_suspicion_and_dead_members_are_removed() {
     std::string target;
     auto membership = membership_with_a_suspect(target);
     const auto since = membership.members().at(target).state_since;
@@ -224,7 +225,7 @@
     return request;
 }
 
-void a_helper_passes_the_ack_back_under_the_requesters_number() {
+void a_helper_relays_the_ack_with_the_sequence_number_of_the_ping_req() {
     auto membership = membership_with({"b", "c"});
     auto out = membership.receive(request_to_probe("c"), 10ms);
     CHECK(out.size() == 1 && out[0].address == "c:7946" && out[0].message.kind == Kind::ping);
@@ -246,10 +247,10 @@
     CHECK(nacked);
 }
 
-// As after SIGSTOP: three seconds between two ticks.
-void a_stall_of_our_own_blames_nobody_and_postpones_suspicions() {
+// Three seconds between two ticks, as after SIGSTOP.
+void a_stall_raises_no_suspicions_and_postpones_the_current_ones() {
     auto membership = membership_with({"b", "c", "d"});
-    run_ticks(membership, 0ms, 110ms);  // a probe is under way
+    run_ticks(membership, 0ms, 110ms);  // a probe is pending
     receive_records(membership, {record("d", 1, 0, MemberState::suspect, "c")}, 110ms, "c");
     const auto deadline = membership.members().at("d").deadline;
     membership.tick(3'110ms);
@@ -260,7 +261,7 @@
     CHECK(state_of(membership, "d") == MemberState::suspect);
 }
 
-void a_death_in_a_full_view_is_taken_for_a_suspicion() {
+void a_dead_record_in_a_push_makes_the_member_suspect() {
     auto membership = membership_with({"b", "c"});
     const auto out = membership.receive(
         message_from("b", Kind::push,
@@ -271,7 +272,7 @@
           state_of(membership, "e") == MemberState::alive);
 }
 
-// The members "b" and "e" alive and "c" suspect.
+// With "b" and "e" alive and "c" suspect.
 Membership membership_with_a_suspect_c() {
     auto membership = membership_with({"b", "c"});
     membership.receive(
@@ -298,25 +299,26 @@
 
 void a_push_pull_ends_with_equal_views() {
     auto membership = membership_with_a_suspect_c();
-    auto twin = membership_with({"b", "c", "e"});
-    CHECK(twin.digest() == membership.digest());  // suspect or alive, in another order: the same view
-    receive_records(twin, {record("e", 2, 0, MemberState::alive)}, 7ms);
-    auto out = membership.receive(push_with(twin.digest()), 8ms);
+    auto other = membership_with({"b", "c", "e"});
+    CHECK(other.digest() == membership.digest());  // alive and suspect count as equal, in any order
+    receive_records(other, {record("e", 2, 0, MemberState::alive)}, 7ms);
+    auto out = membership.receive(push_with(other.digest()), 8ms);
     CHECK(out.size() == 1 && !out[0].message.records.empty() && out[0].message.records.size() < 4);
     bool has_e = false;
     for (const auto& sent : out[0].message.records)
         has_e |= sent.identity.name == "e";
     CHECK(has_e);
-    // The twin sends back what the other lacks, once, without a digest.
-    out[0].message.sender = "y";  // both are called "a" here, and nobody takes a message from itself
-    out = twin.receive(out[0].message, 9ms);
+    // `other` sends back the missing records once, without a digest.
+    // Both are named "a", and a message under the receiver's own name is rejected.
+    out[0].message.sender = "y";
+    out = other.receive(out[0].message, 9ms);
     CHECK(out.size() == 1 && out[0].message.kind == Kind::push && !out[0].message.digest);
     out[0].message.sender = "y";
     out = membership.receive(out[0].message, 10ms);
-    CHECK(out.empty() && membership.digest() == twin.digest());
+    CHECK(out.empty() && membership.digest() == other.digest());
 }
 
-void push_pull_also_asks_a_member_held_dead() {
+void push_pull_also_contacts_a_dead_member() {
     auto settings = fast_settings();
     settings.push_pull_interval = 50ms;
     auto membership = membership_with({"b", "c"}, settings);
@@ -327,7 +329,7 @@
     CHECK(pushed.contains("c:7946") && pushed.contains("b:7946"));
 }
 
-void a_lone_member_pushes_to_a_seed_and_soon_again() {
+void a_lone_member_pushes_to_a_seed_and_retries_soon() {
     Membership lone{identity_of("a"), 1, fast_settings(), 3, {"seed:1"}, 0ms};
     const auto first = lone.tick(0ms);
     CHECK(first.size() == 1 && first[0].address == "seed:1" && first[0].message.digest &&
@@ -335,7 +337,7 @@
     CHECK(of_kind(run_ticks(lone, 1ms, 130ms), Kind::push).size() == 1);
 }
 
-void a_full_view_takes_in_nobody_else() {
+void members_beyond_the_maximum_are_rejected() {
     auto settings = fast_settings();
     settings.max_members = 2;
     auto membership = lone_membership(1, settings);
@@ -350,25 +352,23 @@
 }  // namespace
 
 int main() {
-    a_record_changes_the_view_by_the_table_of_transitions();
-    nobody_joins_by_a_suspicion_or_a_death();
-    a_refutation_goes_out_with_the_next_message();
-    a_message_with_a_forged_record_of_ourselves_is_rejected_whole();
-    a_message_out_of_bounds_or_from_ourselves_is_rejected();
-    a_record_of_an_earlier_run_of_ourselves_changes_nothing();
+    records_change_the_view_as_in_the_transition_table();
+    suspect_and_dead_records_add_no_member();
+    a_refutation_is_sent_with_the_next_message();
+    a_message_with_a_forged_record_of_its_receiver_is_rejected();
+    a_message_out_of_bounds_or_under_the_own_name_is_rejected();
+    a_record_of_the_own_process_before_a_restart_is_ignored();
     an_unanswered_probe_leads_to_indirect_probes_and_a_suspicion();
     a_member_that_answers_probes_stays_alive();
-    confirmations_shorten_a_suspicion_and_the_dead_are_removed_in_time();
-    a_helper_passes_the_ack_back_under_the_requesters_number();
+    confirmations_shorten_a_suspicion_and_dead_members_are_removed();
+    a_helper_relays_the_ack_with_the_sequence_number_of_the_ping_req();
     a_helper_without_an_ack_sends_one_nack_at_the_timeout();
-    a_stall_of_our_own_blames_nobody_and_postpones_suspicions();
-    a_death_in_a_full_view_is_taken_for_a_suspicion();
+    a_stall_raises_no_suspicions_and_postpones_the_current_ones();
+    a_dead_record_in_a_push_makes_the_member_suspect();
     a_push_is_answered_with_the_records_that_differ();
     a_push_pull_ends_with_equal_views();
-    push_pull_also_asks_a_member_held_dead();
-    a_lone_member_pushes_to_a_seed_and_soon_again();
-    a_full_view_takes_in_nobody_else();
-    std::puts(
-        "membership: transitions, probes, suspicion, refutations, stalls and push-pull as SWIM and Lifeguard "
-        "say");
+    push_pull_also_contacts_a_dead_member();
+    a_lone_member_pushes_to_a_seed_and_retries_soon();
+    members_beyond_the_maximum_are_rejected();
+    std::puts("membership: transitions, probes, suspicions, refutations, stalls and push-pull as specified");
 }
--- a/tests/cluster/message_codec_test.cpp
+++ b/tests/cluster/message_codec_test.cpp
@@ -1,5 +1,5 @@
-// The peers' messages as bytes: encoded and decoded, and a table of bad input, cut at every offset and
-// flipped at every byte.
+// Encoding and decoding of messages between routers, also of malformed input: a table of cases, truncation at
+// every offset and a flip of every bit.
 #include "cluster/codec/message_codec.h"
 
 #include <cstdio>
@@ -73,7 +73,7 @@
     return bytes;
 }
 
-void a_membership_message_comes_back_as_it_was() {
+void a_membership_message_survives_a_round_trip() {
     for (std::size_t records : {0u, 1u, 6u, 16u}) {
         const auto message = sample(records);
         const auto decoded = codec::decode(codec::encode(message), kDatagram);
@@ -88,7 +88,7 @@
     CHECK(std::get<MembershipMessage>(codec::decode(codec::encode(push), kStream)) == push);
 }
 
-void a_full_view_fits_a_stream_and_not_a_datagram() {
+void a_full_view_fits_a_stream_but_not_a_datagram() {
     const auto view = sample(600);
     const auto bytes = codec::encode(view);
     CHECK(bytes.size() > codec::kMaxDatagramBytes && bytes.size() < codec::kMaxFrameBytes);
@@ -96,13 +96,13 @@
     CHECK(rejected_as(bytes, kDatagram, codec::DecodeError::oversize));
 }
 
-void a_replica_message_comes_back_as_it_was_and_is_rejected_when_cut() {
+void a_replica_message_survives_a_round_trip_and_is_rejected_if_truncated() {
     for (std::uint8_t k = 0; k <= static_cast<std::uint8_t>(ReplicaMessage::Kind::snapshot_page); ++k) {
         const auto message = replica_sample(static_cast<ReplicaMessage::Kind>(k));
         const auto encoded = codec::encode(message);
         CHECK(std::get<ReplicaMessage>(codec::decode(encoded, kStream)) == message);
-        for (std::size_t cut = 0; cut < encoded.size(); ++cut)
-            CHECK(is_rejected(encoded.substr(0, cut), kStream));
+        for (std::size_t length = 0; length < encoded.size(); ++length)
+            CHECK(is_rejected(encoded.substr(0, length), kStream));
         for (std::size_t at = 0; at < encoded.size(); ++at)
             for (int bit = 0; bit < 8; ++bit) {
                 const auto decoded = codec::decode(with_bit_flipped(encoded, at, bit), kStream);
@@ -112,7 +112,7 @@
     }
 }
 
-void a_replica_message_over_a_bound_is_rejected() {
+void a_replica_message_out_of_bounds_is_rejected() {
     auto big = replica_sample(ReplicaMessage::Kind::gossip);
     while (big.updates.size() <= codec::kMaxDatagramRecords)
         big.updates.push_back(big.updates.front());
@@ -146,7 +146,7 @@
 std::vector<BadInput> bad_datagrams() {
     const std::string good = codec::encode(sample(3));
     std::string other_version = good;
-    other_version[1] = 2;  // [10-array, version 1, ...]: the version is the second byte
+    other_version[1] = 2;  // byte 0 is the array header, byte 1 the version
     std::string long_name = codec::encode([] {
         auto m = sample(1);
         m.records[0].identity.name = std::string(65, 'n');
@@ -163,26 +163,26 @@
         {"a number, not a message", "\x2a", codec::DecodeError::undecodable},
         {"another version", other_version, codec::DecodeError::other_version},
         {"trailing bytes", good + std::string(1, '\0'), codec::DecodeError::undecodable},
-        {"a datagram too long", std::string(codec::kMaxDatagramBytes + 1, '\x90'),
+        {"a datagram that is too long", std::string(codec::kMaxDatagramBytes + 1, '\x90'),
          codec::DecodeError::oversize},
         {"an array that claims 2^32-1 items", "\xdd\xff\xff\xff\xff", codec::DecodeError::out_of_bounds},
         {"a string that claims 4 GB", std::string("\x9a\x01\x00\xdb\xff\xff\xff\xff", 8),
          codec::DecodeError::undecodable},
         {"a string longer than any field", std::string("\x9a\x01\x00\xd9\xc8", 5) + std::string(200, 'a'),
          codec::DecodeError::out_of_bounds},
-        {"a name too long", long_name, codec::DecodeError::out_of_bounds},
-        {"an address too long", long_address, codec::DecodeError::out_of_bounds},
+        {"a name that is too long", long_name, codec::DecodeError::out_of_bounds},
+        {"an address that is too long", long_address, codec::DecodeError::out_of_bounds},
         {"too many records for a datagram", codec::encode(sample(17)), codec::DecodeError::out_of_bounds},
-        {"a digest too short", good.substr(0, good.size() - 1) + std::string("\xc4\x02zz"),
+        {"a digest that is too short", good.substr(0, good.size() - 1) + std::string("\xc4\x02zz"),
          codec::DecodeError::undecodable},
-        {"a digest too long",
+        {"a digest that is too long",
          good.substr(0, good.size() - 1) + std::string("\xc5\x02\x09") + std::string(521, 'z'),
          codec::DecodeError::out_of_bounds},
-        {"a state that is none",
+        {"an unknown member state",
          [&] {
              auto m = sample(1);
              std::string b = codec::encode(m);
-             // The record's state sits just before its last string ("" here: 0xa0) and the message's nil.
+             // The record's state precedes its last string (here empty: 0xa0) and the nil digest.
              CHECK(b[b.size() - 3] == static_cast<char>(MemberState::alive));
              b[b.size() - 3] = 9;
              return b;
@@ -191,22 +191,22 @@
     };
 }
 
-void a_bad_datagram_is_rejected_by_kind() {
+void a_bad_datagram_is_rejected_with_the_right_error() {
     for (const auto& bad : bad_datagrams()) {
         if (!rejected_as(bad.bytes, kDatagram, bad.error)) {
-            std::fprintf(stderr, "%s: not rejected as it should be\n", bad.what);
+            std::fprintf(stderr, "%s: not rejected with the expected error\n", bad.what);
             CHECK(false);
         }
     }
 }
 
-void a_cut_datagram_is_rejected() {
+void a_truncated_datagram_is_rejected() {
     const auto good = codec::encode(sample(3));
-    for (std::size_t cut = 0; cut < good.size(); ++cut)
-        CHECK(is_rejected(good.substr(0, cut), kDatagram));
+    for (std::size_t length = 0; length < good.size(); ++length)
+        CHECK(is_rejected(good.substr(0, length), kDatagram));
 }
 
-void a_datagram_with_a_flipped_bit_stays_within_every_bound() {
+void a_datagram_with_a_flipped_bit_is_rejected_or_within_bounds() {
     const auto good = codec::encode(sample(3));
     for (std::size_t at = 0; at < good.size(); ++at)
         for (int bit = 0; bit < 8; ++bit) {
@@ -223,14 +223,13 @@
 }  // namespace
 
 int main() {
-    a_membership_message_comes_back_as_it_was();
-    a_full_view_fits_a_stream_and_not_a_datagram();
-    a_replica_message_comes_back_as_it_was_and_is_rejected_when_cut();
-    a_replica_message_over_a_bound_is_rejected();
+    a_membership_message_survives_a_round_trip();
+    a_full_view_fits_a_stream_but_not_a_datagram();
+    a_replica_message_survives_a_round_trip_and_is_rejected_if_truncated();
+    a_replica_message_out_of_bounds_is_rejected();
     a_frame_header_holds_the_length_big_endian();
-    a_bad_datagram_is_rejected_by_kind();
-    a_cut_datagram_is_rejected();
-    a_datagram_with_a_flipped_bit_stays_within_every_bound();
-    std::puts(
-        "message codec: every message back as it was; bad bytes rejected by kind, at every cut and flip");
+    a_bad_datagram_is_rejected_with_the_right_error();
+    a_truncated_datagram_is_rejected();
+    a_datagram_with_a_flipped_bit_is_rejected_or_within_bounds();
+    std::puts("message codec: round trips, malformed, truncated and bit-flipped messages");
 }
--- a/tests/cluster/outlier_consensus_test.cpp
+++ b/tests/cluster/outlier_consensus_test.cpp
@@ -1,4 +1,4 @@
-// Reports and what routers agree on of servers: when a report is published, and a table of who reports what.
+// Publication of reports, and which servers a set of reports ejects.
 #include "cluster/outliers/outlier_consensus.h"
 
 #include <cstdio>
@@ -20,7 +20,7 @@
     return {{{"o@1", {1, 0, timestamp, value}}}, timestamp};
 }
 
-std::size_t no_others(const std::string&) {
+std::size_t no_other_reporters(const std::string&) {
     return 0;
 }
 
@@ -28,15 +28,15 @@
 
 void a_report_is_published_refreshed_changed_and_withdrawn() {
     ReportPublisher publisher{{.refresh_interval = 4000ms}, 1};
-    CHECK((publisher.tick(0ms, kOutlierA, no_others) == Updates{{"box/a", "out"}}));
-    CHECK(publisher.tick(3999ms, kOutlierA, no_others).empty());
-    CHECK((publisher.tick(4000ms, kOutlierA, no_others) == Updates{{"box/a", "out"}}));
-    CHECK((publisher.tick(4100ms, {{"box/a", "x"}}, no_others) == Updates{{"box/a", "x"}}));
-    CHECK((publisher.tick(4200ms, {}, no_others) == Updates{{"box/a", std::nullopt}}));
-    CHECK(publisher.tick(4300ms, {}, no_others).empty());
+    CHECK((publisher.tick(0ms, kOutlierA, no_other_reporters) == Updates{{"box/a", "out"}}));
+    CHECK(publisher.tick(3999ms, kOutlierA, no_other_reporters).empty());
+    CHECK((publisher.tick(4000ms, kOutlierA, no_other_reporters) == Updates{{"box/a", "out"}}));
+    CHECK((publisher.tick(4100ms, {{"box/a", "x"}}, no_other_reporters) == Updates{{"box/a", "x"}}));
+    CHECK((publisher.tick(4200ms, {}, no_other_reporters) == Updates{{"box/a", std::nullopt}}));
+    CHECK(publisher.tick(4300ms, {}, no_other_reporters).empty());
 }
 
-void nothing_is_published_while_enough_others_report_the_same() {
+void a_report_is_not_published_while_enough_others_report_the_same() {
     ReportPublisher publisher{{.refresh_interval = 1000ms, .enough_reporters = 2, .max_delay = 500ms}, 2};
     std::size_t others = 2;
     const auto count = [&others](const std::string&) {
@@ -50,17 +50,17 @@
     for (Time t = 3100ms; t < 3700ms; t += 50ms)
         published = published || !publisher.tick(t, kOutlierA, count).empty();
     CHECK(published);
-    others = 5;  // whoever has published goes on
+    others = 5;  // a published report is still refreshed
     CHECK((publisher.tick(9000ms, kOutlierA, count) == Updates{{"box/a", "out"}}));
 }
 
-void a_server_report_is_decoded_from_its_stored_form_only() {
+void a_server_report_is_decoded_only_from_its_exact_encoding() {
     CHECK(decode_server_report("out") == ServerReport{});
     CHECK((decode_server_report("drain 7") == ServerReport{ServerReport::Kind::draining, 7}));
     CHECK(encode(ServerReport{}) == "out" && encode(*decode_server_report("drain 7")) == "drain 7");
-    for (const char* text :
+    for (const char* value :
          {"", "x", "out ", "drain", "drain ", "drain x", "drain 07", "drain 7 ", "drain +7"})
-        CHECK(!decode_server_report(text));
+        CHECK(!decode_server_report(value));
 }
 
 struct ConsensusCase {
@@ -73,43 +73,49 @@
 
 std::vector<ConsensusCase> consensus_cases() {
     return {
-        {"nobody reports anything", {}, {{"a", "z"}, {"b", "z"}}, {}},
-        {"one router's report ejects nobody", {{"a", "r1", "out", 0}}, {{"a", "z"}, {"b", "z"}}, {}},
-        {"two reports do", {{"a", "r1", "out", 0}, {"a", "r2", "out", 900}}, {{"a", "z"}, {"b", "z"}}, {"a"}},
-        {"one of them past its age",
+        {"no reports", {}, {{"a", "z"}, {"b", "z"}}, {}},
+        {"the report of one router", {{"a", "r1", "out", 0}}, {{"a", "z"}, {"b", "z"}}, {}},
+        {"reports of two routers",
+         {{"a", "r1", "out", 0}, {"a", "r2", "out", 900}},
+         {{"a", "z"}, {"b", "z"}},
+         {"a"}},
+        {"one of two reports is too old",
          {{"a", "r1", "out", 0}, {"a", "r2", "out", 10'001}},
          {{"a", "z"}, {"b", "z"}},
          {}},
-        {"one of them dead", {{"a", "r1", "out", 0}, {"a", "gone", "out", 0}}, {{"a", "z"}, {"b", "z"}}, {}},
-        {"our own report does not count",
+        {"one of two reporters is dead",
+         {{"a", "r1", "out", 0}, {"a", "gone", "out", 0}},
+         {{"a", "z"}, {"b", "z"}},
+         {}},
+        {"a router's own report does not count",
          {{"a", "r1", "out", 0}, {"a", "me", "out", 0}},
          {{"a", "z"}, {"b", "z"}},
          {}},
-        {"a router that avoids it judges it by itself",
+        {"a server that this router itself has detected as an outlier",
          {{"a", "r1", "out", 0}, {"a", "r2", "out", 0}},
          {{"a", "z", 0, true}, {"b", "z"}},
          {}},
-        {"a server that leaves our list is not ejected",
+        {"a server that is listed as leaving",
          {{"a", "r1", "out", 0}, {"a", "r2", "out", 0}},
          {{"a", "z", 0, false, true}, {"b", "z"}},
          {}},
-        {"a drain of the same process",
+        {"draining reports on the current process",
          {{"a", "r1", "drain 7", 0}, {"a", "r2", "drain 7", 0}},
          {{"a", "z", 7}, {"b", "z"}},
          {"a"}},
-        {"a drain of the process before",
+        {"draining reports on an earlier process",
          {{"a", "r1", "drain 6", 0}, {"a", "r2", "drain 6", 0}},
          {{"a", "z", 7}, {"b", "z"}},
          {}},
-        {"a drain and a failure are not the same report",
+        {"a draining and an outlier report do not add up",
          {{"a", "r1", "drain 0", 0}, {"a", "r2", "out", 0}},
          {{"a", "z"}, {"b", "z"}},
          {}},
-        {"half of a zone may go",
+        {"half of a zone's servers",
          {{"a", "r1", "out", 0}, {"a", "r2", "out", 0}, {"b", "r1", "out", 0}, {"b", "r2", "out", 0}},
          {{"a", "z"}, {"b", "z"}, {"c", "z"}, {"d", "z"}},
          {"a", "b"}},
-        {"more than half: none of it, but another zone's",
+        {"more than half of one zone's servers, and half of another's",
          {{"a", "r1", "out", 0},
           {"a", "r2", "out", 0},
           {"b", "r1", "out", 0},
@@ -118,11 +124,11 @@
           {"y", "r2", "out", 0}},
          {{"a", "z"}, {"b", "z"}, {"c", "z"}, {"x", "w"}, {"y", "w"}},
          {"y"}},
-        {"a server that we do not know", {{"q", "r1", "out", 0}, {"q", "r2", "out", 0}}, {{"a", "z"}}, {}},
+        {"a server that is not listed", {{"q", "r1", "out", 0}, {"q", "r2", "out", 0}}, {{"a", "z"}}, {}},
     };
 }
 
-void a_quorum_of_reports_ejects_by_the_table_and_its_end_restores() {
+void a_quorum_of_reports_ejects_a_server_until_the_reports_end() {
     const std::map<std::string, std::string> alive{{"me", ""}, {"r1", ""}, {"r2", ""}};
     for (const auto& c : consensus_cases()) {
         OutlierConsensus consensus{"me", {}, 3};
@@ -157,8 +163,8 @@
     CHECK(report_key(std::string(kMaxKeyLength, 'k'), "me").empty() && report_key("", "me").empty());
 }
 
-// In a replica whose values age.
-void runs_that_ended_leave_nothing_behind() {
+// In a replica whose values expire.
+void expired_reports_and_their_writers_are_removed() {
     ReplicaSettings s{
         .channel = 1, .tombstone_retention = 120'000, .value_retention = 60'000, .origin_retention = 600'000};
     Replica a{"a", "a", "a@1", s, 1, 0ms}, b{"b", "b", "b@1", s, 2, 0ms};
@@ -179,14 +185,14 @@
     for (Time t = 0ms; t < 5s; t += 500ms)
         round(t);
     CHECK(b.is_set("box/x\ta") && b.origins().contains("a@1") && a.digest() == b.digest());
-    // Aged: gone from both, and from the digest; later the origin goes too.
+    // An expired report is removed from both replicas and the digest; its writer is forgotten later.
     for (Time t = 5s; t < 100s; t += 1s)
         round(t);
     CHECK(!b.is_set("box/x\ta") && b.entries().empty() && b.digest() == ReplicaDigest{});
     for (Time t = 100s; t < 800s; t += 5s)
         round(t);
     CHECK(!b.origins().contains("a@1") && b.heard_versions().empty());
-    // A new report under the same origin is taken.
+    // A later report by the same writer is accepted.
     CHECK(a.set("box/y\ta", "out", kNow + 800'000));
     for (Time t = 800s; t < 805s; t += 500ms)
         round(t);
@@ -197,10 +203,10 @@
 
 int main() {
     a_report_is_published_refreshed_changed_and_withdrawn();
-    nothing_is_published_while_enough_others_report_the_same();
-    a_server_report_is_decoded_from_its_stored_form_only();
-    a_quorum_of_reports_ejects_by_the_table_and_its_end_restores();
+    a_report_is_not_published_while_enough_others_report_the_same();
+    a_server_report_is_decoded_only_from_its_exact_encoding();
+    a_quorum_of_reports_ejects_a_server_until_the_reports_end();
     outliers_and_draining_servers_are_reported_and_withdrawn();
-    runs_that_ended_leave_nothing_behind();
-    std::puts("outlier consensus: reports published in time, a quorum ejects, and nothing stays behind");
+    expired_reports_and_their_writers_are_removed();
+    std::puts("outlier consensus: publication of reports, ejection by a quorum, removal of expired reports");
 }
