--- a/tests/fleet/membership_test.cpp
+++ b/tests/fleet/membership_test.cpp
@@ -1,5 +1,5 @@
-// Membership of a fleet of real processes: joins, a crash, a stall, bad links, a partition and its healing, a
-// restart under the same name, many joining at once, and bad peers.
+// Membership of a fleet of real processes: joins, a crash, a stall, faulty links, a partition and its
+// healing, a restart under the same name, concurrent joins, and malformed messages.
 #include <csignal>
 #include <filesystem>
 #include <iterator>
@@ -15,7 +15,7 @@
 namespace asio = net::asio;
 using udp = asio::ip::udp;
 
-// No member of the fleet has declared anyone dead.
+// True if no running member has logged that it declared another one dead.
 bool no_death(RouterFleet& fleet) {
     for (std::size_t i = 0; i < fleet.members(); ++i)
         if (fleet.running(i) && occurrences(fleet.log(i), "member-dead ") > 0)
@@ -23,7 +23,7 @@
     return true;
 }
 
-// All see each other soon after the start, and a planned leave at once.
+// All members see each other soon after the start, and see that a member leaves.
 void join() {
     RouterFleet fleet{fleet_options(8)};
     const auto began = TestClock::now();
@@ -31,7 +31,7 @@
     CHECK(all_agree(fleet, 3s));
     std::printf("join: 8 agree after %lld ms\n", ms_since(began));
     CHECK(fleet.membership(3).size() == 8);
-    // A planned leave is told, not found out.
+    // A member that shuts down announces that it leaves, and is not declared dead.
     fleet.signal(7, SIGTERM);
     CHECK(fleet.wait_until([&] { return fleet.all_see(7, "left", {7}); }, 3s));
     CHECK(no_death(fleet));
@@ -47,7 +47,7 @@
     CHECK(fleet.agree());
 }
 
-// A member that is stopped for 3 s is suspected, refutes that, and is not declared dead.
+// A member that is stopped for 3 s is suspected, refutes the suspicion, and is not declared dead.
 void stall() {
     RouterFleet fleet{fleet_options(8)};
     start_all(fleet, 0, 8);
@@ -66,19 +66,19 @@
     fleet.signal(2, SIGCONT);
     CHECK(all_agree(fleet, 3s));
     CHECK(fleet.membership(0)["m2"].incarnation >= 1);  // it refuted
-    // Its log comes over a pipe, maybe after the views.
+    // The log is read through a pipe and may arrive later than the views.
     CHECK(fleet.wait_until([&] { return occurrences(fleet.log(2), "member-refute ") >= 1; }, 2s));
-    // Woken, it blamed nobody for the time it did not run, and nobody took it for dead.
+    // The resumed member declares no other dead because of its stall, and is not declared dead either.
     CHECK(no_death(fleet));
 }
 
-// Loss, duplicates, delays and a link that is cut one way: nobody is declared dead.
+// With loss, duplicates, delays and a link that is cut in one direction, no member is declared dead.
 void bad_links() {
     RouterFleet fleet{fleet_options(8)};
     start_all(fleet, 0, 8);
     CHECK(all_agree(fleet, 3s));
     auto& proxy = fleet.proxy();
-    proxy.set_faults(1, 2, {.cut = true});  // one way only
+    proxy.set_faults(1, 2, {.cut = true});  // in one direction only
     for (std::size_t a = 0; a < 8; ++a)
         for (std::size_t b = 0; b < 8; ++b)
             if (a != b && !(a == 1 && b == 2))
@@ -86,7 +86,7 @@
     for (std::size_t b = 0; b < 8; ++b)
         if (b != 3)
             proxy.set_faults_both_ways(3, b, {.loss = 0.2, .delay = 200ms, .jitter = 50ms});
-    // Ten seconds of it: nobody is declared dead, however often suspected.
+    // For ten seconds members may be suspected any number of times, but none is declared dead.
     fleet.wait_for(10s);
     CHECK(no_death(fleet));
     proxy.clear_faults();
@@ -96,13 +96,13 @@
                 static_cast<unsigned long long>(proxy.passed()));
 }
 
-// Each side loses sight of the other; after the healing there is one view again.
+// Each side of a partition stops seeing the other as alive; after the healing all views agree again.
 void partition() {
     RouterFleet fleet{fleet_options(8)};
     start_all(fleet, 0, 8);
     CHECK(all_agree(fleet, 3s));
     partition_at(fleet, 5);
-    // Each side loses sight of the other (suspect, then dead), for 10 s.
+    // For 10 s, each side considers the other first suspect, then dead.
     const auto cut = TestClock::now();
     bool apart = false;
     fleet.wait_until(
@@ -113,15 +113,15 @@
         },
         11s);
     CHECK(apart);
-    std::printf("partition: m0 holds m6 %s, m6 holds m1 %s\n", fleet.membership(0)["m6"].state.c_str(),
+    std::printf("partition: m0 sees m6 as %s, m6 sees m1 as %s\n", fleet.membership(0)["m6"].state.c_str(),
                 fleet.membership(6)["m1"].state.c_str());
     fleet.proxy().clear_faults();
     const auto healed = TestClock::now();
     CHECK(all_agree(fleet, 5s));
-    std::printf("partition: one view %lld ms after healing\n", ms_since(healed));
+    std::printf("partition: views agree %lld ms after healing\n", ms_since(healed));
 }
 
-// A process under the name of one that was killed is a new member.
+// A process started under the name of a killed one is a new member.
 void restart() {
     RouterFleet fleet{fleet_options(8)};
     start_all(fleet, 0, 8);
@@ -129,7 +129,7 @@
     const auto before = fleet.membership(0)["m5"].start;
     fleet.kill(5);
     fleet.start(5);
-    // A new member under the old name: a later start, whatever incarnation the old one had.
+    // It has a later start, which supersedes any incarnation of the old process.
     CHECK(fleet.wait_until(
         [&] {
             for (std::size_t i = 0; i < 8; ++i)
@@ -148,12 +148,12 @@
     CHECK(no_death(fleet));
 }
 
-// Four members that join at once.
-void crowd() {
+// Four members join at the same time.
+void concurrent_joins() {
     RouterFleet fleet{fleet_options(8)};
     start_all(fleet, 0, 4);
     CHECK(all_agree(fleet, 3s));
-    start_all(fleet, 4, 8);  // four at once
+    start_all(fleet, 4, 8);
     CHECK(fleet.wait_until([&] { return fleet.agree() && fleet.membership(0).size() == 8; }, 5s));
 }
 
@@ -162,7 +162,7 @@
     return static_cast<std::size_t>(std::distance(begin(all), end(all)));
 }
 
-// A ping in the name of m1 that claims an incarnation of m0 which m0 has never had.
+// A ping under the name of m1 with a record of m0 whose incarnation m0 has never had.
 cluster::MembershipMessage forged_ping(RouterFleet& fleet, const lab::MemberStatus& m0) {
     cluster::MembershipMessage message;
     message.kind = cluster::MembershipMessage::Kind::ping;
@@ -174,7 +174,7 @@
     return message;
 }
 
-// Garbage, a message that breaks off, one that is too long, a replayed one, and the forged one.
+// Garbage, a truncated message, one that is too long, a replayed one, and the forged one.
 std::vector<std::string> bad_datagrams(const cluster::MembershipMessage& forged) {
     const std::string forged_bytes = cluster::codec::encode(forged);
     cluster::MembershipMessage replay = forged;
@@ -190,8 +190,7 @@
             forged_bytes};
 }
 
-// Datagrams and streams that no peer sends: refused and counted, nothing is applied, no descriptor stays
-// open.
+// Invalid datagrams and streams are rejected and counted, change nothing, and leave no descriptor open.
 void bad_peers() {
     RouterFleet fleet{fleet_options(3)};
     start_all(fleet, 0, 3);
@@ -203,7 +202,7 @@
     const auto descriptors_before = open_descriptors(fleet.pid(0));
     for (const auto& bytes : bad_datagrams(forged_ping(fleet, m0)))
         sender.send_to(asio::buffer(bytes), target);
-    // Streams that stay silent, and one that sends half a frame: closed within their time.
+    // Idle streams, and one with an incomplete frame, are closed after their timeout.
     std::vector<net::tcp::socket> silent;
     for (int i = 0; i < 20; ++i) {
         silent.emplace_back(io);
@@ -219,7 +218,7 @@
                    counters["peers.streams_turned_away"] >= 1;
         },
         3s));
-    // Of the twenty at most eight are held; up to eight of its own to the others may be open in that moment.
+    // At most eight of the twenty are kept open, besides up to eight outgoing streams to other members.
     CHECK(open_descriptors(fleet.pid(0)) <= descriptors_before + 8 + 8 + 1);
     CHECK(fleet.wait_until([&] { return open_descriptors(fleet.pid(0)) <= descriptors_before + 1; }, 4s));
     CHECK(fleet.membership(0)["m0"].incarnation == m0.incarnation);
@@ -237,6 +236,6 @@
                  {"bad_links", bad_links},
                  {"partition", partition},
                  {"restart", restart},
-                 {"crowd", crowd},
+                 {"concurrent_joins", concurrent_joins},
                  {"bad_peers", bad_peers}});
 }
