--- a/src/app/failover_part.cpp
+++ b/src/app/failover_part.cpp
@@ -221,7 +221,7 @@
                    R"({"zone":"%s","epoch":%llu,"out":%d,"before":%d,"to":"%s","by":"%s","flap":%s})",
                    change.zone.c_str(), static_cast<unsigned long long>(change.after.epoch),
                    change.after.percent_leaving(), change.before.percent_leaving(),
-                   cluster::encode(change.after).c_str(), change.after.origin.c_str(),
+                   cluster::encode(change.after).c_str(), change.after.writer.c_str(),
                    change.flap ? "true" : "false");
 }
 
--- a/src/app/replica_part.cpp
+++ b/src/app/replica_part.cpp
@@ -117,7 +117,7 @@
 
 void ReplicaPart::start() {
     with_.log.line("replica-start", R"({"of":"%s","origin":"%s","keys":%zu,"kept":%s})", counter_prefix_,
-                   replica_.origin().c_str(), replica_.entries().size(), store_ ? "true" : "false");
+                   replica_.writer().c_str(), replica_.entries().size(), store_ ? "true" : "false");
     tick();
 }
 
@@ -190,11 +190,11 @@
     const auto& counters = replica_.counters();
     std::uint64_t lag = 0;
     for (const auto& [origin, heard] : replica_.heard_versions()) {
-        const auto log = replica_.origins().find(origin);
-        lag += heard - std::min(heard, log == replica_.origins().end() ? 0 : log->second.version);
+        const auto log = replica_.writer_logs().find(origin);
+        lag += heard - std::min(heard, log == replica_.writer_logs().end() ? 0 : log->second.version);
     }
     return counter_lines(counter_prefix_, {{"keys", replica_.entries().size()},
-                                           {"origins", replica_.origins().size()},
+                                           {"origins", replica_.writer_logs().size()},
                                            {"applied", counters.applied},
                                            {"duplicates", counters.duplicates},
                                            {"ahead", counters.ahead},
--- a/src/app/replica_part.h
+++ b/src/app/replica_part.h
@@ -77,7 +77,7 @@
         bool empty = true;
         std::unique_ptr<store::ReplicaStore> store{};
         cluster::Replica::Entries entries{};
-        cluster::Replica::OriginLogs origins{};
+        cluster::Replica::WriterLogs origins{};
     };
     static Stored open_store(const std::string& file, const std::string& new_origin, Log& log);
     static Stored read_store(const std::string& file, const std::string& new_origin);
--- a/src/cluster/codec/message_codec.cpp
+++ b/src/cluster/codec/message_codec.cpp
@@ -16,7 +16,7 @@
     static_assert(ReplicaMessage::kMaxUpdates <= MembershipMessage::kMaxRecords &&
                   ReplicaMessage::kMaxVersions <= MembershipMessage::kMaxRecords &&
                   kMaxKeyLength >= kMaxAddressLength && kMaxKeyLength >= kMaxValueLength &&
-                  kMaxKeyLength >= kMaxOriginLength);
+                  kMaxKeyLength >= kMaxWriterLength);
     const auto max_records =
         transport == Transport::stream ? MembershipMessage::kMaxRecords : kMaxDatagramRecords;
     return {max_records + kMaxMessageFields, 0, kMaxKeyLength + 1, kDigestBytes, 0, kMaxDepth};
--- a/src/cluster/codec/replica_codec.cpp
+++ b/src/cluster/codec/replica_codec.cpp
@@ -23,14 +23,14 @@
     VersionVector out;
     read_array(object, ReplicaMessage::kMaxVersions, [&out](const msgpack::object& item) {
         require_array_of(item, kVersionFields);
-        out.emplace(read_string(item_at(item, 0), kMaxOriginLength), read_unsigned(item_at(item, 1)));
+        out.emplace(read_string(item_at(item, 0), kMaxWriterLength), read_unsigned(item_at(item, 1)));
     });
     return out;
 }
 
 void pack(Packer& packer, const ReplicaUpdate& update) {
     packer.pack_array(kUpdateFields);
-    packer.pack(update.origin);
+    packer.pack(update.writer);
     packer.pack(update.version);
     packer.pack(update.key);
     pack_entry_fields(packer, update.entry);
@@ -39,14 +39,14 @@
 ReplicaUpdate read_update(const msgpack::object& object) {
     require_array_of(object, kUpdateFields);
     ReplicaUpdate out;
-    out.origin = read_string(item_at(object, 0), kMaxOriginLength);
+    out.writer = read_string(item_at(object, 0), kMaxWriterLength);
     out.version = read_unsigned(item_at(object, 1));
     out.key = read_string(item_at(object, 2), kMaxKeyLength);
     out.entry = read_entry(item_at(object, 3), item_at(object, 4));
     return out;
 }
 
-OriginWrite read_write(const msgpack::object& object) {
+KeyWrite read_write(const msgpack::object& object) {
     return {read_unsigned(item_at(object, 1)), read_unsigned(item_at(object, 2)),
             read_unsigned(item_at(object, 3)), read_string(item_at(object, 4), kMaxValueLength)};
 }
@@ -72,7 +72,7 @@
     out.changed = read_unsigned(changed);
     read_array(writes, kMaxWrites, [&out](const msgpack::object& item) {
         require_array_of(item, kWriteFields);
-        out.writes.emplace(read_string(item_at(item, 0), kMaxOriginLength), read_write(item));
+        out.writes.emplace(read_string(item_at(item, 0), kMaxWriterLength), read_write(item));
     });
     return out;
 }
--- a/src/cluster/failover/failover.cpp
+++ b/src/cluster/failover/failover.cpp
@@ -131,15 +131,15 @@
                       status.override_by_operator == FailoverOverride::none;
     if (status.decision.epoch > 0)
         due = std::max(due, status.decided_at + settings_.hold_down * (back ? status.hold_down_factor : 1));
-    const auto order = writers(zone, proposal.decision.epoch + 1, *input.alive);
+    const auto order = writer_order(zone, proposal.decision.epoch + 1, *input.alive);
     const auto rank =
         static_cast<std::size_t>(std::find(order.begin(), order.end(), router_) - order.begin());
     return input.now >= due + settings_.turn * static_cast<Time::rep>(std::min(rank, kLastTurn));
 }
 
 // By a hash that each epoch deals anew.
-std::vector<std::string> Failover::writers(const std::string& zone, std::uint64_t epoch,
-                                           const std::map<std::string, std::string>& alive) const {
+std::vector<std::string> Failover::writer_order(const std::string& zone, std::uint64_t epoch,
+                                                const std::map<std::string, std::string>& alive) const {
     std::vector<std::pair<std::uint64_t, std::string>> hashed;
     for (const auto& [member, member_zone] : alive)
         if (region_of(settings_, member_zone) == region_of(settings_, zone))
--- a/src/cluster/failover/failover.h
+++ b/src/cluster/failover/failover.h
@@ -79,8 +79,8 @@
         return has_quorum_;
     }
     // The members alive that may write that epoch of the zone, in the order of their turns.
-    std::vector<std::string> writers(const std::string& zone, std::uint64_t epoch,
-                                     const std::map<std::string, std::string>& alive) const;
+    std::vector<std::string> writer_order(const std::string& zone, std::uint64_t epoch,
+                                          const std::map<std::string, std::string>& alive) const;
 
 private:
     struct Proposal {
--- a/src/cluster/failover/failover_codec.h
+++ b/src/cluster/failover/failover_codec.h
@@ -14,7 +14,7 @@
 // The subject of reports on a zone's health.
 std::string zone_subject(const std::string& zone);
 
-// "EPOCH ZONE=PERCENT ...". Decoded: only a valid decision, without timestamp and origin.
+// "EPOCH ZONE=PERCENT ...". Decoded: only a valid decision, without timestamp and writer.
 std::string encode(const FailoverDecision& decision);
 std::optional<FailoverDecision> decode_decision(const std::string& text);
 
--- a/src/cluster/failover/failover_decision.cpp
+++ b/src/cluster/failover/failover_decision.cpp
@@ -16,7 +16,7 @@
     FailoverDecision out;
     if (!entry)
         return out;
-    for (const auto& [origin, write] : entry->writes) {
+    for (const auto& [writer, write] : entry->writes) {
         if (!write.is_live())
             continue;
         auto decision = decode_decision(write.value);
@@ -25,7 +25,7 @@
             continue;
         out = std::move(*decision);
         out.timestamp = write.timestamp;
-        out.origin = origin;
+        out.writer = writer;
     }
     return out;
 }
--- a/src/cluster/failover/failover_decision.h
+++ b/src/cluster/failover/failover_decision.h
@@ -13,7 +13,7 @@
     std::uint64_t epoch = 0;             // 0: never decided, all stay in the zone
     std::map<std::string, int> targets;  // per cent of the requests that leave, by target zone
     HybridTimestamp timestamp = 0;
-    std::string origin;  // who wrote it
+    std::string writer;  // who wrote it
 
     int percent_leaving() const;
 };
--- a/src/cluster/replicated_state/replica.cpp
+++ b/src/cluster/replicated_state/replica.cpp
@@ -5,21 +5,21 @@
 
 namespace silverrail::cluster {
 
-Replica::Replica(std::string name, std::string address, std::string origin, const ReplicaSettings& settings,
+Replica::Replica(std::string name, std::string address, std::string writer, const ReplicaSettings& settings,
                  std::uint64_t random_seed, Time now)
     : name_(std::move(name)),
       address_(std::move(address)),
-      origin_(std::move(origin)),
+      writer_(std::move(writer)),
       settings_(settings),
       random_(random_seed),
       next_exchange_(now + random_delay(random_, settings.exchange_interval)) {
-    origins_[origin_];
+    writer_logs_[writer_];
 }
 
-void Replica::restore(Entries entries, OriginLogs origins) {
+void Replica::restore(Entries entries, WriterLogs writers) {
     entries_ = std::move(entries);
-    origins_ = std::move(origins);
-    origins_[origin_];
+    writer_logs_ = std::move(writers);
+    writer_logs_[writer_];
     recompute_digest();
     for (const auto& [key, entry] : entries_) {
         clock_.observe(entry.changed);
@@ -51,11 +51,11 @@
     ReplicatedEntry entry;
     if (const auto found = entries_.find(key); found != entries_.end())
         entry = found->second;
-    for (auto& [origin, write] : entry.writes)
+    for (auto& [writer, write] : entry.writes)
         write.clear();
     entry.changed = clock_.next(unix_now);
-    auto& own = entry.writes[origin_];
-    own = {origins_[origin_].version + 1, own.cleared_version, entry.changed, value};
+    auto& own = entry.writes[writer_];
+    own = {writer_logs_[writer_].version + 1, own.cleared_version, entry.changed, value};
     return commit_local_change(key, entry);
 }
 
@@ -65,7 +65,7 @@
         return true;  // nothing to clear
     ReplicatedEntry entry = found->second;
     entry.changed = clock_.next(unix_now);
-    for (auto& [origin, write] : entry.writes)
+    for (auto& [writer, write] : entry.writes)
         write.clear();
     return commit_local_change(key, entry);
 }
@@ -73,9 +73,9 @@
 bool Replica::commit_local_change(const std::string& key, const ReplicatedEntry& entry) {
     if (!is_valid(key, entry) || !merge(key, entry).held)
         return false;
-    const auto version = origins_[origin_].version + 1;
-    record_version(origin_, version, key, false);
-    pending_gossip_.push_back({origin_, version, key, entries_.at(key)});
+    const auto version = writer_logs_[writer_].version + 1;
+    record_version(writer_, version, key, false);
+    pending_gossip_.push_back({writer_, version, key, entries_.at(key)});
     return true;
 }
 
@@ -103,20 +103,20 @@
     return out;
 }
 
-// Leaves out what was cleared and collected here: its version was seen, and no write of its origin is held.
+// Leaves out what was cleared and collected here: its version was seen, and no write of its writer is held.
 // True if there was such a write.
 bool Replica::drop_collected_writes(ReplicatedEntry& incoming, const ReplicatedEntry* held) const {
     const auto dropped = std::erase_if(incoming.writes, [&](const auto& item) {
-        const auto& [origin, write] = item;
-        return is_version_held(origin, std::max(write.set_version, write.cleared_version)) &&
-               (!held || !held->writes.contains(origin));
+        const auto& [writer, write] = item;
+        return is_version_held(writer, std::max(write.set_version, write.cleared_version)) &&
+               (!held || !held->writes.contains(writer));
     });
     return dropped > 0;
 }
 
-bool Replica::is_version_held(const std::string& origin, std::uint64_t version) const {
-    const auto found = origins_.find(origin);
-    return found != origins_.end() && version <= found->second.version;
+bool Replica::is_version_held(const std::string& writer, std::uint64_t version) const {
+    const auto found = writer_logs_.find(writer);
+    return found != writer_logs_.end() && version <= found->second.version;
 }
 
 void Replica::touch(const std::string& key) {
@@ -125,49 +125,49 @@
 }
 
 // `partial`: less is held of the key than the change said, so it can't be passed on from here.
-void Replica::record_version(const std::string& origin, std::uint64_t version, const std::string& key,
+void Replica::record_version(const std::string& writer, std::uint64_t version, const std::string& key,
                              bool partial) {
-    auto& log = origins_[origin];
-    auto& bucket = digest_[digest_bucket(origin)];
-    bucket ^= digest_part(origin, log);
-    add_to_log(origin, log, version, key, partial);
-    bucket ^= digest_part(origin, log);
+    auto& log = writer_logs_[writer];
+    auto& bucket = digest_[digest_bucket(writer)];
+    bucket ^= digest_part(writer, log);
+    add_to_log(writer, log, version, key, partial);
+    bucket ^= digest_part(writer, log);
 }
 
-void Replica::add_to_log(const std::string& origin, OriginLog& log, std::uint64_t version,
+void Replica::add_to_log(const std::string& writer, WriterLog& log, std::uint64_t version,
                          const std::string& key, bool partial) {
     const bool removed = !entries_.contains(key);
     if (removed || partial) {
         log.collected_version = std::max(log.collected_version, version);
-        unsaved_.origins.insert(origin);
+        unsaved_.writers.insert(writer);
     }
     if (!removed) {
         if (!log.add(version, key))
             return;
-        unsaved_.log_items.emplace(origin, key);
+        unsaved_.log_items.emplace(writer, key);
     }
-    advance(origin, log, version);
+    advance(writer, log, version);
 }
 
-void Replica::advance(const std::string& origin, OriginLog& log, std::uint64_t version) {
+void Replica::advance(const std::string& writer, WriterLog& log, std::uint64_t version) {
     if (version <= log.version)
         return;
     log.version = version;
     log.advanced = unix_ms_of(clock_.latest());
-    unsaved_.origins.insert(origin);
+    unsaved_.writers.insert(writer);
 }
 
-std::uint64_t Replica::digest_part(const std::string& origin, const OriginLog& log) const {
+std::uint64_t Replica::digest_part(const std::string& writer, const WriterLog& log) const {
     const bool aged_out = settings_.value_retention > 0 && log.empty();
     if (aged_out || log.version == 0)
         return 0;
-    return fnv1a(fnv1a(kFnvOffsetBasis, origin), log.version);
+    return fnv1a(fnv1a(kFnvOffsetBasis, writer), log.version);
 }
 
 void Replica::recompute_digest() {
     digest_ = {};
-    for (const auto& [origin, log] : origins_)
-        digest_[digest_bucket(origin)] ^= digest_part(origin, log);
+    for (const auto& [writer, log] : writer_logs_)
+        digest_[digest_bucket(writer)] ^= digest_part(writer, log);
 }
 
 }  // namespace silverrail::cluster
--- a/src/cluster/replicated_state/replica.h
+++ b/src/cluster/replicated_state/replica.h
@@ -7,10 +7,10 @@
 // acknowledgement.
 //
 // Sources: van Renesse, Dumitriu, Gough, Thomas, "Efficient Reconciliation and Flow Control for Anti-Entropy
-// Protocols" (LADIS 2008): each origin gives its updates versions, peers compare the highest version held of
-// each origin and send what lies above.
+// Protocols" (LADIS 2008): each writer gives its updates versions, peers compare the highest version held of
+// each writer and send what lies above.
 //
-// How copies are merged (docs/design/replication.md): an entry holds one write for each origin that set the
+// How copies are merged (docs/design/replication.md): an entry holds one write for each writer that set the
 // key, with that change's version. Whoever sets or clears a key clears the writes that it has seen, and no
 // other: what was set elsewhere meanwhile stays set, as an operator's ban must. Copies are joined write by
 // write, the higher version of each; of several live writes the one with the highest timestamp counts. So
@@ -29,9 +29,9 @@
 #include <vector>
 
 #include "cluster/replicated_state/hybrid_timestamp.h"
-#include "cluster/replicated_state/origin_log.h"
 #include "cluster/replicated_state/replica_message.h"
 #include "cluster/replicated_state/replicated_entry.h"
+#include "cluster/replicated_state/writer_log.h"
 #include "cluster/time.h"
 
 namespace silverrail::cluster {
@@ -43,15 +43,15 @@
     // faster than ever.
     Time fast_exchange_interval{200};
     UnixMs tombstone_retention = 86'400'000;  // the longest absence that catches up by updates alone
-    // Values set longer ago than this are collected too; 0: never. Above 0 every run of a router is an origin
-    // of its own (nothing is stored), so an origin of which nothing is held any more does not count in the
-    // digest, and is removed after origin_retention.
+    // Values set longer ago than this are collected too; 0: never. Above 0 every run of a router is a writer
+    // of its own (nothing is stored), so a writer of which nothing is held any more does not count in the
+    // digest, and is removed after writer_retention.
     UnixMs value_retention = 0;
-    UnixMs origin_retention = 600'000;
+    UnixMs writer_retention = 600'000;
     UnixMs max_clock_skew = 10'000;             // a timestamp further ahead of our clock is rejected
     std::size_t max_exchange_bytes = 64 << 10;  // of updates in one message
     std::size_t max_entries = 20'000;
-    std::size_t max_origins = 4'096;
+    std::size_t max_writers = 4'096;
     std::size_t gossip_fanout = 3;
 };
 
@@ -70,13 +70,13 @@
 public:
     using Outgoing = std::vector<OutgoingReplicaMessage>;
     using Entries = std::map<std::string, ReplicatedEntry>;  // by key
-    using OriginLogs = std::map<std::string, OriginLog>;     // by origin
+    using WriterLogs = std::map<std::string, WriterLog>;     // by writer
 
-    // `origin`: this router's, never used by another, nor by a run that lost what it had given versions to.
-    Replica(std::string name, std::string address, std::string origin, const ReplicaSettings& settings,
+    // `writer`: this router's, never used by another, nor by a run that lost what it had given versions to.
+    Replica(std::string name, std::string address, std::string writer, const ReplicaSettings& settings,
             std::uint64_t random_seed, Time now);
     // Takes up what was stored, before anything else is called.
-    void restore(Entries entries, OriginLogs origins);
+    void restore(Entries entries, WriterLogs writers);
 
     // A change made here. False: out of bounds, or full; nothing was changed.
     bool set(const std::string& key, const std::string& value, UnixMs unix_now);
@@ -97,17 +97,17 @@
     std::uint64_t revision() const {
         return revision_;
     }
-    const std::string& origin() const {
-        return origin_;
+    const std::string& writer() const {
+        return writer_;
     }
-    const OriginLogs& origins() const {
-        return origins_;
+    const WriterLogs& writer_logs() const {
+        return writer_logs_;
     }
     const ReplicaDigest& digest() const {
         return digest_;
     }
     VersionVector versions() const;
-    // The highest version heard of each origin, held or not: the difference is the lag.
+    // The highest version heard of each writer, held or not: the difference is the lag.
     const VersionVector& heard_versions() const {
         return heard_versions_;
     }
@@ -118,8 +118,8 @@
     // What has to be stored since the last call.
     struct UnsavedChanges {
         std::set<std::string> keys;                               // removed, if no longer held
-        std::set<std::string> origins;                            // versions of
-        std::set<std::pair<std::string, std::string>> log_items;  // origin and key: the version of that key
+        std::set<std::string> writers;                            // versions of
+        std::set<std::pair<std::string, std::string>> log_items;  // writer and key: the version of that key
         bool everything = false;  // a snapshot was installed: what is stored and not held any more is removed
     };
     UnsavedChanges take_unsaved_changes();
@@ -141,20 +141,20 @@
         std::vector<ReplicaUpdate> updates{};
         Time last_page{};
     };
-    struct OriginBehind;
+    struct WriterBehind;
 
     // Changes and their versions (replica.cpp).
     bool commit_local_change(const std::string& key, const ReplicatedEntry& entry);
     MergeResult merge(const std::string& key, const ReplicatedEntry& incoming);
     bool drop_collected_writes(ReplicatedEntry& incoming, const ReplicatedEntry* held) const;
-    void record_version(const std::string& origin, std::uint64_t version, const std::string& key,
+    void record_version(const std::string& writer, std::uint64_t version, const std::string& key,
                         bool partial);
-    void add_to_log(const std::string& origin, OriginLog& log, std::uint64_t version, const std::string& key,
+    void add_to_log(const std::string& writer, WriterLog& log, std::uint64_t version, const std::string& key,
                     bool partial);
-    void advance(const std::string& origin, OriginLog& log, std::uint64_t version);
-    bool is_version_held(const std::string& origin, std::uint64_t version) const;
+    void advance(const std::string& writer, WriterLog& log, std::uint64_t version);
+    bool is_version_held(const std::string& writer, std::uint64_t version) const;
     void touch(const std::string& key);
-    std::uint64_t digest_part(const std::string& origin, const OriginLog& log) const;
+    std::uint64_t digest_part(const std::string& writer, const WriterLog& log) const;
     void recompute_digest();
 
     // Anti-entropy and gossip (replica_exchange.cpp).
@@ -173,8 +173,8 @@
     VersionVector versions_in(std::uint64_t bucket_mask) const;
     // Fills a delta with what the sender of `request` lacks, in the buckets of its mask.
     void add_missing_updates(const ReplicaMessage& request, ReplicaMessage& delta) const;
-    std::vector<OriginBehind> origins_behind(const ReplicaMessage& request, bool& snapshot_needed) const;
-    std::vector<ReplicaUpdate> updates_after(const std::string& origin, const OriginLog& log,
+    std::vector<WriterBehind> writers_behind(const ReplicaMessage& request, bool& snapshot_needed) const;
+    std::vector<ReplicaUpdate> updates_after(const std::string& writer, const WriterLog& log,
                                              std::uint64_t version) const;
 
     // Updates from peers (replica_apply.cpp).
@@ -187,10 +187,10 @@
     // Garbage collection (replica_collect.cpp).
     void collect_garbage_if_due(UnixMs unix_now);
     void collect_garbage(UnixMs unix_now);
-    bool is_collectable(const std::string& origin, const OriginWrite& write, const ReplicatedEntry& entry,
+    bool is_collectable(const std::string& writer, const KeyWrite& write, const ReplicatedEntry& entry,
                         UnixMs unix_now) const;
     void mark_collected(const std::string& key, bool key_removed);
-    void remove_idle_origins(UnixMs unix_now);
+    void remove_idle_writers(UnixMs unix_now);
 
     // Snapshots (replica_snapshot.cpp).
     void request_snapshot_if_needed(const ReplicaMessage& message, Time now, Outgoing& out);
@@ -207,11 +207,11 @@
 
     std::string name_;
     std::string address_;
-    std::string origin_;
+    std::string writer_;
     ReplicaSettings settings_;
     std::mt19937_64 random_;
     Entries entries_;
-    OriginLogs origins_;
+    WriterLogs writer_logs_;
     ReplicaDigest digest_{};
     HybridClock clock_;
     Time next_exchange_;
--- a/src/cluster/replicated_state/replica_apply.cpp
+++ b/src/cluster/replicated_state/replica_apply.cpp
@@ -13,36 +13,36 @@
 
 // A version counts as held only if nothing between it and what is held was left out.
 void Replica::apply_updates(const ReplicaMessage& message, UnixMs unix_now) {
-    std::set<std::string> blocked_origins;  // no further version of these counts as held
+    std::set<std::string> blocked_writers;  // no further version of these counts as held
     std::vector<std::pair<const ReplicaUpdate*, MergeResult>> held;
     for (const auto& update : message.updates) {
-        if (is_rejected_or_duplicate(update) || blocked_origins.contains(update.origin))
+        if (is_rejected_or_duplicate(update) || blocked_writers.contains(update.writer))
             continue;
         const auto result = apply_update(update, unix_now);
         if (!result) {
-            blocked_origins.insert(update.origin);
+            blocked_writers.insert(update.writer);
         } else if (message.kind == ReplicaMessage::Kind::gossip) {
             if (result->changed && pending_gossip_.size() < kMaxPendingGossip)
                 pending_gossip_.push_back(update);
         } else if (follows_held_versions(update, message.base_versions)) {
             held.emplace_back(&update, *result);
         } else {
-            blocked_origins.insert(update.origin);
+            blocked_writers.insert(update.writer);
         }
     }
-    // Only now: until all of an origin's changes are in, its versions vouch for none of them.
+    // Only now: until all of a writer's changes are in, its versions vouch for none of them.
     for (const auto& [update, result] : held)
-        record_version(update->origin, update->version, update->key, result.partial);
+        record_version(update->writer, update->version, update->key, result.partial);
 }
 
 bool Replica::is_rejected_or_duplicate(const ReplicaUpdate& update) {
-    const auto known = origins_.find(update.origin);
-    if (known == origins_.end() && origins_.size() >= settings_.max_origins) {
+    const auto known = writer_logs_.find(update.writer);
+    if (known == writer_logs_.end() && writer_logs_.size() >= settings_.max_writers) {
         ++counters_.rejected;
         return true;
     }
     // A replay: what was held once may have been cleared and collected since.
-    if (known != origins_.end() && update.version <= known->second.version) {
+    if (known != writer_logs_.end() && update.version <= known->second.version) {
         ++counters_.duplicates;
         return true;
     }
@@ -65,11 +65,11 @@
 }
 
 bool Replica::follows_held_versions(const ReplicaUpdate& update, const VersionVector& base_versions) const {
-    const auto base = base_versions.find(update.origin);
+    const auto base = base_versions.find(update.writer);
     if (base == base_versions.end())
         return false;
-    const auto known = origins_.find(update.origin);
-    return base->second <= (known == origins_.end() ? 0 : known->second.version);
+    const auto known = writer_logs_.find(update.writer);
+    return base->second <= (known == writer_logs_.end() ? 0 : known->second.version);
 }
 
 bool Replica::is_too_far_ahead(const ReplicatedEntry& entry, UnixMs unix_now) const {
--- a/src/cluster/replicated_state/replica_collect.cpp
+++ b/src/cluster/replicated_state/replica_collect.cpp
@@ -27,8 +27,8 @@
         bool any_removed = false;
         bool tombstone_removed = false;
         std::erase_if(entry.writes, [&](const auto& item) {
-            const auto& [origin, write] = item;
-            if (!is_collectable(origin, write, entry, unix_now))
+            const auto& [writer, write] = item;
+            if (!is_collectable(writer, write, entry, unix_now))
                 return false;
             any_removed = true;
             tombstone_removed |= !write.is_live();
@@ -45,43 +45,43 @@
         it = key_removed ? entries_.erase(it) : std::next(it);
     }
     if (settings_.value_retention > 0)
-        remove_idle_origins(unix_now);
+        remove_idle_writers(unix_now);
 }
 
 // A value that ages out goes by every router's clock. A tombstone goes only once its set was seen here:
 // coming later, that would be live again; where values age out it would be past its time.
-bool Replica::is_collectable(const std::string& origin, const OriginWrite& write,
-                             const ReplicatedEntry& entry, UnixMs unix_now) const {
+bool Replica::is_collectable(const std::string& writer, const KeyWrite& write, const ReplicatedEntry& entry,
+                             UnixMs unix_now) const {
     const bool values_age = settings_.value_retention > 0;
     if (write.is_live())
         return values_age && unix_now - unix_ms_of(write.timestamp) > settings_.value_retention;
     const auto age = unix_now - unix_ms_of(entry.changed);
-    return age > settings_.tombstone_retention && (is_version_held(origin, write.cleared_version) ||
+    return age > settings_.tombstone_retention && (is_version_held(writer, write.cleared_version) ||
                                                    (values_age && age > settings_.value_retention));
 }
 
 // Whoever has not seen the versions that the key had is given a snapshot instead of a gap.
 void Replica::mark_collected(const std::string& key, bool key_removed) {
-    for (auto& [origin, log] : origins_) {
+    for (auto& [writer, log] : writer_logs_) {
         const auto version = log.versions_by_key.find(key);
         if (version == log.versions_by_key.end())
             continue;
         log.collected_version = std::max(log.collected_version, version->second);
         if (key_removed) {
-            unsaved_.log_items.emplace(origin, key);
+            unsaved_.log_items.emplace(writer, key);
             log.remove(key);
         }
-        unsaved_.origins.insert(origin);
+        unsaved_.writers.insert(writer);
     }
 }
 
 // The runs that ended: nothing else would ever remove them.
-void Replica::remove_idle_origins(UnixMs unix_now) {
-    std::erase_if(origins_, [&](const auto& item) {
-        const auto& [origin, log] = item;
-        return origin != origin_ && log.empty() && unix_now - log.advanced > settings_.origin_retention;
+void Replica::remove_idle_writers(UnixMs unix_now) {
+    std::erase_if(writer_logs_, [&](const auto& item) {
+        const auto& [writer, log] = item;
+        return writer != writer_ && log.empty() && unix_now - log.advanced > settings_.writer_retention;
     });
-    std::erase_if(heard_versions_, [this](const auto& item) { return !origins_.contains(item.first); });
+    std::erase_if(heard_versions_, [this](const auto& item) { return !writer_logs_.contains(item.first); });
     recompute_digest();
 }
 
--- a/src/cluster/replicated_state/replica_exchange.cpp
+++ b/src/cluster/replicated_state/replica_exchange.cpp
@@ -11,41 +11,41 @@
 namespace {
 
 constexpr Time kFastExchangesFor{2000};
-// Of one origin's updates in a message; well below what a frame holds.
-constexpr std::size_t kMaxOriginBytes = 512 << 10;
+// Of one writer's updates in a message; well below what a frame holds.
+constexpr std::size_t kMaxWriterBytes = 512 << 10;
 // A snapshot is given up after so many exchange intervals without a page.
 constexpr int kSnapshotTimeoutIntervals = 10;
 
 bool is_valid_update(const ReplicaUpdate& update, ReplicaMessage::Kind kind) {
-    const bool has_version = !update.origin.empty() && update.version > 0;
-    // In a snapshot a key may stand without an origin.
-    return is_valid(update.key, update.entry) && update.origin.size() <= kMaxOriginLength &&
+    const bool has_version = !update.writer.empty() && update.version > 0;
+    // In a snapshot a key may stand without a writer.
+    return is_valid(update.key, update.entry) && update.writer.size() <= kMaxWriterLength &&
            (has_version || kind == ReplicaMessage::Kind::snapshot_page);
 }
 
 bool are_valid_versions(const VersionVector& versions) {
     return versions.size() <= ReplicaMessage::kMaxVersions &&
            std::all_of(versions.begin(), versions.end(), [](const auto& item) {
-               return !item.first.empty() && item.first.size() <= kMaxOriginLength;
+               return !item.first.empty() && item.first.size() <= kMaxWriterLength;
            });
 }
 
-std::uint64_t version_of(const VersionVector& versions, const std::string& origin) {
-    const auto found = versions.find(origin);
+std::uint64_t version_of(const VersionVector& versions, const std::string& writer) {
+    const auto found = versions.find(writer);
     return found == versions.end() ? 0 : found->second;
 }
 
-bool covers(std::uint64_t bucket_mask, const std::string& origin) {
-    return (bucket_mask >> digest_bucket(origin) & 1) != 0;
+bool covers(std::uint64_t bucket_mask, const std::string& writer) {
+    return (bucket_mask >> digest_bucket(writer) & 1) != 0;
 }
 
 }  // namespace
 
-// An origin of which a peer lacks updates.
-struct Replica::OriginBehind {
+// A writer of which a peer lacks updates.
+struct Replica::WriterBehind {
     HybridTimestamp newest_change = 0;
-    const std::string* origin = nullptr;
-    const OriginLog* log = nullptr;
+    const std::string* writer = nullptr;
+    const WriterLog* log = nullptr;
     std::uint64_t peer_version = 0;
 };
 
@@ -124,10 +124,10 @@
 }
 
 void Replica::note_heard_versions(const VersionVector& versions) {
-    for (const auto& [origin, version] : versions) {
-        if (heard_versions_.size() >= settings_.max_origins && !heard_versions_.contains(origin))
+    for (const auto& [writer, version] : versions) {
+        if (heard_versions_.size() >= settings_.max_writers && !heard_versions_.contains(writer))
             continue;
-        auto& highest = heard_versions_[origin];
+        auto& highest = heard_versions_[writer];
         highest = std::max(highest, version);
     }
 }
@@ -208,23 +208,23 @@
 
 VersionVector Replica::versions_in(std::uint64_t bucket_mask) const {
     VersionVector out;
-    for (const auto& [origin, log] : origins_)
-        if (log.version > 0 && covers(bucket_mask, origin))
-            out.emplace(origin, log.version);
+    for (const auto& [writer, log] : writer_logs_)
+        if (log.version > 0 && covers(bucket_mask, writer))
+            out.emplace(writer, log.version);
     return out;
 }
 
-// The origins with the newest changes first, as many as the message holds, at least one. An origin goes whole
-// or not at all: a change whose key the origin changed again later stands at the later version only, so that
+// The writers with the newest changes first, as many as the message holds, at least one. A writer goes whole
+// or not at all: a change whose key the writer changed again later stands at the later version only, so that
 // half of the versions would claim what was not sent.
 void Replica::add_missing_updates(const ReplicaMessage& request, ReplicaMessage& delta) const {
     std::size_t delta_bytes = 0;
-    for (const auto& behind : origins_behind(request, delta.snapshot_needed)) {
-        auto updates = updates_after(*behind.origin, *behind.log, behind.peer_version);
+    for (const auto& behind : writers_behind(request, delta.snapshot_needed)) {
+        auto updates = updates_after(*behind.writer, *behind.log, behind.peer_version);
         std::size_t bytes = 0;
         for (const auto& update : updates)
             bytes += approximate_size(update);
-        if (updates.size() > ReplicaMessage::kMaxUpdates || bytes > kMaxOriginBytes) {
+        if (updates.size() > ReplicaMessage::kMaxUpdates || bytes > kMaxWriterBytes) {
             delta.snapshot_needed = true;
             continue;
         }
@@ -235,18 +235,18 @@
             return;
         }
         delta_bytes += bytes;
-        delta.base_versions[*behind.origin] = behind.peer_version;
+        delta.base_versions[*behind.writer] = behind.peer_version;
         std::move(updates.begin(), updates.end(), std::back_inserter(delta.updates));
     }
 }
 
-std::vector<Replica::OriginBehind> Replica::origins_behind(const ReplicaMessage& request,
+std::vector<Replica::WriterBehind> Replica::writers_behind(const ReplicaMessage& request,
                                                            bool& snapshot_needed) const {
-    std::vector<OriginBehind> out;
-    for (const auto& [origin, log] : origins_) {
-        if (!covers(request.bucket_mask, origin))
+    std::vector<WriterBehind> out;
+    for (const auto& [writer, log] : writer_logs_) {
+        if (!covers(request.bucket_mask, writer))
             continue;
-        const auto peer_version = version_of(request.versions, origin);
+        const auto peer_version = version_of(request.versions, writer);
         if (peer_version >= log.version)
             continue;
         // Where values age out, the peer's copies of what is gone here end by the clock.
@@ -256,19 +256,19 @@
             snapshot_needed = true;
         else if (!log.empty())
             out.push_back(
-                {entries_.at(log.keys_by_version.rbegin()->second).changed, &origin, &log, peer_version});
+                {entries_.at(log.keys_by_version.rbegin()->second).changed, &writer, &log, peer_version});
     }
-    std::sort(out.begin(), out.end(), [](const OriginBehind& a, const OriginBehind& b) {
-        return a.newest_change != b.newest_change ? a.newest_change > b.newest_change : *a.origin < *b.origin;
+    std::sort(out.begin(), out.end(), [](const WriterBehind& a, const WriterBehind& b) {
+        return a.newest_change != b.newest_change ? a.newest_change > b.newest_change : *a.writer < *b.writer;
     });
     return out;
 }
 
-std::vector<ReplicaUpdate> Replica::updates_after(const std::string& origin, const OriginLog& log,
+std::vector<ReplicaUpdate> Replica::updates_after(const std::string& writer, const WriterLog& log,
                                                   std::uint64_t version) const {
     std::vector<ReplicaUpdate> out;
     for (auto it = log.keys_by_version.upper_bound(version); it != log.keys_by_version.end(); ++it)
-        out.push_back({origin, it->first, it->second, entries_.at(it->second)});
+        out.push_back({writer, it->first, it->second, entries_.at(it->second)});
     return out;
 }
 
--- a/src/cluster/replicated_state/replica_message.h
+++ b/src/cluster/replicated_state/replica_message.h
@@ -12,10 +12,10 @@
 
 namespace silverrail::cluster {
 
-// The change to which an origin gave a version, with the key's entry as the sender holds it now (at least as
+// The change to which a writer gave a version, with the key's entry as the sender holds it now (at least as
 // new).
 struct ReplicaUpdate {
-    std::string origin;
+    std::string writer;
     std::uint64_t version = 0;
     std::string key;
     ReplicatedEntry entry;
@@ -25,10 +25,10 @@
 // About as many bytes as the message codec takes for it.
 std::size_t approximate_size(const ReplicaUpdate& update);
 
-// What a replica holds of each origin: XOR of hashes of (origin, version), by bucket of origins.
+// What a replica holds of each writer: XOR of hashes of (writer, version), by bucket of writers.
 using ReplicaDigest = std::array<std::uint64_t, kDigestBuckets>;
 
-// By origin the highest version held: all below it are held or superseded.
+// By writer the highest version held: all below it are held or superseded.
 using VersionVector = std::map<std::string, std::uint64_t>;
 
 struct ReplicaMessage {
@@ -51,7 +51,7 @@
     ReplicaDigest digest{};              // digest
     std::uint64_t bucket_mask = 0;       // a bit for each bucket that `versions` covers
     VersionVector versions;              // the sender's; snapshot_page: those that the snapshot stands for
-    std::vector<ReplicaUpdate> updates;  // of each origin in the order of its versions
+    std::vector<ReplicaUpdate> updates;  // of each writer in the order of its versions
     // delta_exchange, delta: the versions that the receiver was taken to hold. snapshot_page: up to where the
     // sender collected updates.
     VersionVector base_versions;
--- a/src/cluster/replicated_state/replica_snapshot.cpp
+++ b/src/cluster/replicated_state/replica_snapshot.cpp
@@ -22,9 +22,9 @@
     if (cursor.empty())
         page.versions = versions();
     // With each page: the receiver begins anew if it changed meanwhile.
-    for (const auto& [origin, log] : origins_)
+    for (const auto& [writer, log] : writer_logs_)
         if (log.collected_version > 0)
-            page.base_versions.emplace(origin, log.collected_version);
+            page.base_versions.emplace(writer, log.collected_version);
     std::size_t bytes = 0;
     for (auto it = entries_.upper_bound(cursor); it != entries_.end(); ++it) {
         auto updates = snapshot_updates(it->first, it->second);
@@ -41,13 +41,13 @@
     return page;
 }
 
-// The key under every origin whose log has it; without any, under none.
+// The key under every writer whose log has it; without any, under none.
 std::vector<ReplicaUpdate> Replica::snapshot_updates(const std::string& key,
                                                      const ReplicatedEntry& entry) const {
     std::vector<ReplicaUpdate> out;
-    for (const auto& [origin, log] : origins_)
+    for (const auto& [writer, log] : writer_logs_)
         if (const auto version = log.versions_by_key.find(key); version != log.versions_by_key.end())
-            out.push_back({origin, version->second, key, entry});
+            out.push_back({writer, version->second, key, entry});
     if (out.empty())
         out.push_back({{}, 0, key, entry});
     return out;
@@ -123,9 +123,9 @@
     for (auto it = entries_.begin(); it != entries_.end();) {
         const auto there = theirs.find(it->first);
         std::erase_if(it->second.writes, [&](const auto& item) {
-            const auto& [origin, write] = item;
-            const auto seen = snapshot.versions.find(origin);
-            return (there == theirs.end() || !there->second->writes.contains(origin)) &&
+            const auto& [writer, write] = item;
+            const auto seen = snapshot.versions.find(writer);
+            return (there == theirs.end() || !there->second->writes.contains(writer)) &&
                    seen != snapshot.versions.end() && write.set_version <= seen->second;
         });
         touch(it->first);
@@ -134,10 +134,10 @@
 }
 
 void Replica::raise_versions(const VersionVector& versions) {
-    for (const auto& [origin, version] : versions) {
-        if (origins_.size() >= settings_.max_origins && !origins_.contains(origin))
+    for (const auto& [writer, version] : versions) {
+        if (writer_logs_.size() >= settings_.max_writers && !writer_logs_.contains(writer))
             continue;
-        auto& log = origins_[origin];
+        auto& log = writer_logs_[writer];
         if (version <= log.version)
             continue;
         log.version = version;
@@ -149,13 +149,13 @@
 void Replica::record_snapshot_versions(const SnapshotTransfer& snapshot,
                                        const std::set<std::string>& partial) {
     for (const auto& update : snapshot.updates)
-        if (is_version_held(update.origin, update.version) && entries_.contains(update.key))
-            record_version(update.origin, update.version, update.key, partial.contains(update.key));
+        if (is_version_held(update.writer, update.version) && entries_.contains(update.key))
+            record_version(update.writer, update.version, update.key, partial.contains(update.key));
 }
 
 void Replica::remove_log_items_without_entry(const VersionVector& collected_versions) {
-    for (auto& [origin, log] : origins_) {
-        if (const auto theirs = collected_versions.find(origin); theirs != collected_versions.end())
+    for (auto& [writer, log] : writer_logs_) {
+        if (const auto theirs = collected_versions.find(writer); theirs != collected_versions.end())
             log.collected_version = std::max(log.collected_version, theirs->second);
         for (const auto& [version, key] : log.keys_by_version)
             if (!entries_.contains(key))
--- a/src/cluster/replicated_state/replicated_entry.cpp
+++ b/src/cluster/replicated_state/replicated_entry.cpp
@@ -4,13 +4,13 @@
 
 namespace silverrail::cluster {
 
-void OriginWrite::clear() {
+void KeyWrite::clear() {
     *this = {set_version, std::max(set_version, cleared_version), 0, {}};
 }
 
-const OriginWrite* ReplicatedEntry::winner() const {
-    const OriginWrite* out = nullptr;
-    for (const auto& [origin, write] : writes)
+const KeyWrite* ReplicatedEntry::winner() const {
+    const KeyWrite* out = nullptr;
+    for (const auto& [writer, write] : writes)
         if (write.is_live() && (!out || write.timestamp >= out->timestamp))
             out = &write;
     return out;
@@ -19,8 +19,8 @@
 ReplicatedEntry join(const ReplicatedEntry& a, const ReplicatedEntry& b) {
     ReplicatedEntry out = a;
     out.changed = std::max(a.changed, b.changed);
-    for (const auto& [origin, theirs] : b.writes) {
-        auto& write = out.writes[origin];
+    for (const auto& [writer, theirs] : b.writes) {
+        auto& write = out.writes[writer];
         const auto cleared = std::max(write.cleared_version, theirs.cleared_version);
         if (theirs.set_version > write.set_version)
             write = theirs;
@@ -33,8 +33,8 @@
 
 namespace {
 
-bool is_valid(const std::string& origin, const OriginWrite& write, HybridTimestamp entry_changed) {
-    if (origin.empty() || origin.size() > kMaxOriginLength || write.value.size() > kMaxValueLength)
+bool is_valid(const std::string& writer, const KeyWrite& write, HybridTimestamp entry_changed) {
+    if (writer.empty() || writer.size() > kMaxWriterLength || write.value.size() > kMaxValueLength)
         return false;
     if (write.timestamp > entry_changed || (write.set_version == 0 && write.cleared_version == 0))
         return false;
--- a/src/cluster/replicated_state/replicated_entry.h
+++ b/src/cluster/replicated_state/replicated_entry.h
@@ -13,10 +13,10 @@
 inline constexpr std::size_t kMaxKeyLength = 192;
 inline constexpr std::size_t kMaxValueLength = 128;
 inline constexpr std::size_t kMaxWrites = 32;  // of one key
-inline constexpr std::size_t kMaxOriginLength = kMaxNameLength + 24;
+inline constexpr std::size_t kMaxWriterLength = kMaxNameLength + 24;
 
-// The last write of one origin to a key, by the versions that the origin gave its changes.
-struct OriginWrite {
+// The last write of one writer to a key, by the versions that the writer gave its changes.
+struct KeyWrite {
     std::uint64_t set_version = 0;      // of its last set
     std::uint64_t cleared_version = 0;  // its sets up to this one are cleared
     HybridTimestamp timestamp = 0;      // of the set
@@ -27,15 +27,15 @@
     }
     // Clears the set; only the versions are left, as a tombstone.
     void clear();
-    bool operator==(const OriginWrite&) const = default;
+    bool operator==(const KeyWrite&) const = default;
 };
 
 struct ReplicatedEntry {
-    std::map<std::string, OriginWrite> writes;  // by origin
-    HybridTimestamp changed = 0;                // the last change of any kind
+    std::map<std::string, KeyWrite> writes;  // by writer
+    HybridTimestamp changed = 0;             // the last change of any kind
 
-    // The live write with the highest timestamp, then origin; null: the key is not set.
-    const OriginWrite* winner() const;
+    // The live write with the highest timestamp, then writer; null: the key is not set.
+    const KeyWrite* winner() const;
     bool is_set() const {
         return winner() != nullptr;
     }
--- a/src/cluster/replicated_state/origin_log.cpp
+++ b/src/cluster/replicated_state/writer_log.cpp
@@ -1,8 +1,8 @@
-#include "cluster/replicated_state/origin_log.h"
+#include "cluster/replicated_state/writer_log.h"
 
 namespace silverrail::cluster {
 
-bool OriginLog::add(std::uint64_t change_version, const std::string& key) {
+bool WriterLog::add(std::uint64_t change_version, const std::string& key) {
     const auto [entry, inserted] = versions_by_key.try_emplace(key, change_version);
     if (!inserted) {
         if (entry->second >= change_version)
@@ -14,7 +14,7 @@
     return true;
 }
 
-void OriginLog::remove(const std::string& key) {
+void WriterLog::remove(const std::string& key) {
     const auto entry = versions_by_key.find(key);
     if (entry == versions_by_key.end())
         return;
--- a/src/cluster/replicated_state/origin_log.h
+++ b/src/cluster/replicated_state/writer_log.h
@@ -1,4 +1,4 @@
-// What a replica holds of one origin: which key each of its versions changed.
+// What a replica holds of one writer: which key each of its versions changed.
 #pragma once
 
 #include <cstdint>
@@ -9,10 +9,10 @@
 
 namespace silverrail::cluster {
 
-struct OriginLog {
+struct WriterLog {
     std::uint64_t version = 0;                             // the highest held
     std::uint64_t collected_version = 0;                   // the highest whose key was garbage-collected here
-    std::map<std::uint64_t, std::string> keys_by_version;  // the last change of each key by this origin
+    std::map<std::uint64_t, std::string> keys_by_version;  // the last change of each key by this writer
     std::map<std::string, std::uint64_t> versions_by_key;  // the same, by key
     UnixMs advanced = 0;                                   // about when `version` last rose here; not stored
 
--- a/src/lab/failover_simulation.cpp
+++ b/src/lab/failover_simulation.cpp
@@ -113,7 +113,7 @@
     // The router whose turn it would be to write the zone's next decision.
     std::size_t next_writer(std::size_t zone) const {
         const auto epoch = decision(nodes[0], zone).epoch + 1;
-        return std::stoul(nodes[0].failover->writers(zone_name(zone), epoch, alive_).front());
+        return std::stoul(nodes[0].failover->writer_order(zone_name(zone), epoch, alive_).front());
     }
 
     cluster::FailoverSettings settings;
--- a/src/lab/replication_simulation.cpp
+++ b/src/lab/replication_simulation.cpp
@@ -24,7 +24,7 @@
 
 struct StoredState {
     cluster::Replica::Entries entries;
-    cluster::Replica::OriginLogs origins;
+    cluster::Replica::WriterLogs origins;
 };
 
 // Replicas on a simulated network, each ticked in its own place of the period.
@@ -65,7 +65,7 @@
     void store_changes(Node& node) {
         const auto changes = node.replica->take_unsaved_changes();
         if (changes.everything) {
-            node.stored = {node.replica->entries(), node.replica->origins()};
+            node.stored = {node.replica->entries(), node.replica->writer_logs()};
             return;
         }
         const auto& entries = node.replica->entries();
@@ -76,8 +76,8 @@
             else
                 node.stored.entries[key] = entry->second;
         }
-        for (const auto& origin : changes.origins)
-            node.stored.origins[origin] = node.replica->origins().at(origin);
+        for (const auto& origin : changes.writers)
+            node.stored.origins[origin] = node.replica->writer_logs().at(origin);
     }
 
     void run(milliseconds span) {
@@ -157,14 +157,14 @@
     }
 
     // What is set, by key and origin: each replica collects the rest in its own time.
-    static std::map<std::string, std::map<std::string, cluster::OriginWrite>> live_writes(
+    static std::map<std::string, std::map<std::string, cluster::KeyWrite>> live_writes(
         const cluster::Replica& replica) {
-        std::map<std::string, std::map<std::string, cluster::OriginWrite>> out;
+        std::map<std::string, std::map<std::string, cluster::KeyWrite>> out;
         for (const auto& [key, entry] : replica.entries())
             for (const auto& [origin, write] : entry.writes)
                 if (write.is_live())
-                    out[key].emplace(
-                        origin, cluster::OriginWrite{write.set_version, 0, write.timestamp, write.value});
+                    out[key].emplace(origin,
+                                     cluster::KeyWrite{write.set_version, 0, write.timestamp, write.value});
         return out;
     }
 
@@ -269,8 +269,8 @@
                 verify_write(key, write, find_write(replica, key, origin));
     }
 
-    static const cluster::OriginWrite* find_write(const cluster::Replica& replica, const std::string& key,
-                                                  const std::string& origin) {
+    static const cluster::KeyWrite* find_write(const cluster::Replica& replica, const std::string& key,
+                                               const std::string& origin) {
         const auto entry = replica.entries().find(key);
         if (entry == replica.entries().end())
             return nullptr;
@@ -279,8 +279,8 @@
     }
 
     // What nobody cleared is set, and nothing that somebody cleared. `held` may be null.
-    void verify_write(const std::string& key, const cluster::OriginWrite& acknowledged,
-                      const cluster::OriginWrite* held) {
+    void verify_write(const std::string& key, const cluster::KeyWrite& acknowledged,
+                      const cluster::KeyWrite* held) {
         const bool held_live = held && held->is_live();
         if (acknowledged.is_live() && !may_have_aged_out(acknowledged) &&
             (!held_live || held->set_version < acknowledged.set_version))
@@ -289,7 +289,7 @@
             verdict_.violation = key + " came back after it was cleared";
     }
 
-    bool may_have_aged_out(const cluster::OriginWrite& write) const {
+    bool may_have_aged_out(const cluster::KeyWrite& write) const {
         return check_.reports && cluster::unix_ms_of(write.timestamp) + check_.tombstone_retention <
                                      kEpoch + fleet_.now.count() + 2 * kMaxClockSkewMs;
     }
--- a/src/store/replica_store.cpp
+++ b/src/store/replica_store.cpp
@@ -81,7 +81,7 @@
 public:
     Writer(const ReplicaStore& store, const cluster::Replica& replica)
         : entries_(replica.entries()),
-          origins_(replica.origins()),
+          origins_(replica.writer_logs()),
           put_entry_(store, "INSERT OR REPLACE INTO entries VALUES(?, ?)"),
           delete_entry_(store, "DELETE FROM entries WHERE key = ?"),
           put_origin_(store, "INSERT OR REPLACE INTO origins VALUES(?, ?, ?)"),
@@ -100,7 +100,7 @@
     void write(const cluster::Replica::UnsavedChanges& changes) {
         for (const auto& key : changes.keys)
             write_entry(key);
-        for (const auto& origin : changes.origins)
+        for (const auto& origin : changes.writers)
             write_origin(origin);
         for (const auto& [origin, key] : changes.log_items)
             write_log_item(origin, key);
@@ -130,7 +130,7 @@
     }
 
     const cluster::Replica::Entries& entries_;
-    const cluster::Replica::OriginLogs& origins_;
+    const cluster::Replica::WriterLogs& origins_;
     Statement put_entry_;
     Statement delete_entry_;
     Statement put_origin_;
@@ -162,7 +162,7 @@
     if (empty)
         initialise(origin);
     origin_ = query("SELECT origin FROM meta");
-    if (origin_.empty() || origin_.size() > cluster::kMaxOriginLength)
+    if (origin_.empty() || origin_.size() > cluster::kMaxWriterLength)
         fail("damaged: no origin");
 }
 
@@ -212,8 +212,8 @@
     return out;
 }
 
-cluster::Replica::OriginLogs ReplicaStore::origins() {
-    cluster::Replica::OriginLogs out;
+cluster::Replica::WriterLogs ReplicaStore::origins() {
+    cluster::Replica::WriterLogs out;
     Statement origins{*this, "SELECT name, number, forgotten FROM origins"};
     while (origins.step()) {
         auto& log = out[origins.text(0)];
@@ -235,7 +235,7 @@
 }
 
 void ReplicaStore::write(const cluster::Replica& replica, const cluster::Replica::UnsavedChanges& changes) {
-    if (!changes.everything && changes.keys.empty() && changes.origins.empty())
+    if (!changes.everything && changes.keys.empty() && changes.writers.empty())
         return;
     Writer writer{*this, replica};
     run("BEGIN IMMEDIATE;");
--- a/tests/cluster/failover_test.cpp
+++ b/tests/cluster/failover_test.cpp
@@ -38,10 +38,10 @@
         for (const char* zone : {"a", "b", "c"})
             health(zone, 100);
     }
-    void put(std::map<std::string, ReplicatedEntry>& in, const std::string& key, const std::string& origin,
+    void put(std::map<std::string, ReplicatedEntry>& in, const std::string& key, const std::string& writer,
              const std::string& value) {
         const auto timestamp = hybrid_timestamp(unix_now) | (last_version & 0xffff);
-        ReplicatedEntry entry{{{origin, {++last_version, 0, timestamp, value}}}, timestamp};
+        ReplicatedEntry entry{{{writer, {++last_version, 0, timestamp, value}}}, timestamp};
         in[key] = entry;
     }
     void report(const std::string& router, int health, int warm = 100) {
@@ -91,11 +91,11 @@
 void of_decisions_side_by_side_the_highest_epoch_and_the_earliest_write_counts() {
     ReplicatedEntry e{
         {{"x@1", {1, 0, 20, "4 b=100"}}, {"y@1", {1, 0, 10, "4 c=100"}}, {"z@1", {1, 0, 30, "3"}}}, 30};
-    CHECK(effective_decision(&e).epoch == 4 && effective_decision(&e).origin == "y@1" &&
+    CHECK(effective_decision(&e).epoch == 4 && effective_decision(&e).writer == "y@1" &&
           targets(effective_decision(&e)) == "c=100");
     e.writes["q@1"] = {2, 2, 0, ""};  // cleared
     e.writes["r@1"] = {1, 0, 5, "no decision"};
-    CHECK(effective_decision(&e).origin == "y@1" && effective_decision(nullptr).epoch == 0);
+    CHECK(effective_decision(&e).writer == "y@1" && effective_decision(nullptr).epoch == 0);
 }
 
 void the_health_of_a_zone_follows_its_servers_by_the_table() {
@@ -377,7 +377,7 @@
         for (int i = 0; i < many; ++i) {
             Region copy = r;
             copy.run(5s);
-            const auto by = effective_decision(&copy.w.state.at("failover/a")).origin;
+            const auto by = effective_decision(&copy.w.state.at("failover/a")).writer;
             r.stopped.insert(by);
         }
         r.run(2500ms);
--- a/tests/cluster/outlier_consensus_test.cpp
+++ b/tests/cluster/outlier_consensus_test.cpp
@@ -166,7 +166,7 @@
 // In a replica whose values expire.
 void expired_reports_and_their_writers_are_removed() {
     ReplicaSettings s{
-        .channel = 1, .tombstone_retention = 120'000, .value_retention = 60'000, .origin_retention = 600'000};
+        .channel = 1, .tombstone_retention = 120'000, .value_retention = 60'000, .writer_retention = 600'000};
     Replica a{"a", "a", "a@1", s, 1, 0ms}, b{"b", "b", "b@1", s, 2, 0ms};
     const auto round = [&](Time at) {
         const auto unix_now = kNow + at.count();
--- a/tests/cluster/replica_test.cpp
+++ b/tests/cluster/replica_test.cpp
@@ -40,10 +40,10 @@
     }
 }
 
-OriginWrite set(std::uint64_t n, HybridTimestamp timestamp, std::string value = "") {
+KeyWrite set(std::uint64_t n, HybridTimestamp timestamp, std::string value = "") {
     return {n, 0, timestamp, std::move(value)};
 }
-OriginWrite cleared(std::uint64_t n) {
+KeyWrite cleared(std::uint64_t n) {
     return {n, n, 0, {}};
 }
 
@@ -127,9 +127,9 @@
     CHECK(a.digest() == b.digest() && a.versions() == b.versions());
 }
 
-ReplicaUpdate update(const std::string& origin, std::uint64_t number, const std::string& key, UnixMs at) {
+ReplicaUpdate update(const std::string& writer, std::uint64_t number, const std::string& key, UnixMs at) {
     const auto timestamp = hybrid_timestamp(at);
-    return {origin, number, key, {{{origin, set(number, timestamp, "v")}}, timestamp}};
+    return {writer, number, key, {{{writer, set(number, timestamp, "v")}}, timestamp}};
 }
 
 ReplicaMessage delta(std::vector<ReplicaUpdate> updates, VersionVector base_versions) {
@@ -141,7 +141,7 @@
     return message;
 }
 
-// The replica "a", that holds the first change of the origin "x@1".
+// The replica "a", that holds the first change of the writer "x@1".
 Replica replica_with_first_change() {
     auto replica = make_replica("a");
     replica.receive(delta({update("x@1", 1, "k1", kNow)}, {{"x@1", 0}}), 0ms, kNow);
@@ -173,14 +173,14 @@
     auto long_key = update("x@1", 4, std::string(kMaxKeyLength + 1, 'k'), kNow);
     auto long_value = update("x@1", 4, "k4", kNow);
     long_value.entry.writes.at("x@1").value = std::string(kMaxValueLength + 1, 'v');
-    auto no_origin = update("", 4, "k4", kNow);
+    auto no_writer = update("", 4, "k4", kNow);
     auto no_version = update("x@1", 0, "k4", kNow);
     auto write_after_last_change = update("x@1", 4, "k4", kNow);
     write_after_last_change.entry.writes.at("x@1").timestamp += 1;
     auto too_many_writes = update("x@1", 4, "k4", kNow);
     for (std::size_t i = 0; i <= kMaxWrites; ++i)
         too_many_writes.entry.writes[std::string{"o"}.append(std::to_string(i))] = set(1, 1);
-    return {long_key, long_value, no_origin, no_version, write_after_last_change, too_many_writes};
+    return {long_key, long_value, no_writer, no_version, write_after_last_change, too_many_writes};
 }
 
 void a_message_with_a_malformed_update_is_rejected_whole() {
@@ -289,7 +289,7 @@
     CHECK(changes >= 5 && seen.empty() && values(b).empty());
     auto again = make_replica("a");
     const auto before = again.revision();
-    again.restore(a.entries(), a.origins());
+    again.restore(a.entries(), a.writer_logs());
     CHECK(again.revision() != before);
 }
 
@@ -299,9 +299,9 @@
         CHECK(a.set(std::string{"k"}.append(std::to_string(i % 7)), std::to_string(i), kNow));
     CHECK(a.clear("k3", kNow));
     const auto changes = a.take_unsaved_changes();
-    CHECK(changes.keys.size() == 7 && changes.origins.contains("a@1") && !changes.everything);
+    CHECK(changes.keys.size() == 7 && changes.writers.contains("a@1") && !changes.everything);
     auto again = make_replica("a");
-    again.restore(a.entries(), a.origins());
+    again.restore(a.entries(), a.writer_logs());
     CHECK(again.digest() == a.digest() && again.take_touched_keys().size() == 7);
     CHECK(again.set("k9", "", kNow) && again.versions().at("a@1") == 22);
     exchange(again, b);
--- a/tests/fleet/common.h
+++ b/tests/fleet/common.h
@@ -81,8 +81,8 @@
 }
 
 // Every running member but those below `first` has `value` in the counter.
-inline bool all_count(RouterFleet& fleet, const std::string& counter, std::uint64_t value,
-                      std::size_t first = 0) {
+inline bool all_counters_equal(RouterFleet& fleet, const std::string& counter, std::uint64_t value,
+                               std::size_t first = 0) {
     for (std::size_t member = first; member < fleet.members(); ++member) {
         if (!fleet.running(member))
             continue;
@@ -100,7 +100,7 @@
 };
 
 // Plays the scenario that the first argument names. Returns the exit code.
-inline int play(int argc, char** argv, const std::vector<Scenario>& scenarios) {
+inline int run_scenario(int argc, char** argv, const std::vector<Scenario>& scenarios) {
     for (const Scenario& scenario : scenarios)
         if (argc > 1 && std::strcmp(argv[1], scenario.name) == 0) {
             scenario.run();
--- a/tests/fleet/failover_test.cpp
+++ b/tests/fleet/failover_test.cpp
@@ -358,7 +358,7 @@
     std::map<std::string, std::string> alive;
     for (std::size_t router = 0; router < kRouters; ++router)
         alive[lab::member_name(router)] = zone_name(router / kRoutersPerZone);
-    const auto name = cluster::Failover{"m0", "z1", settings}.writers("z1", 1, alive).front();
+    const auto name = cluster::Failover{"m0", "z1", settings}.writer_order("z1", 1, alive).front();
     return static_cast<std::size_t>(std::stoul(name.substr(1)));
 }
 
@@ -458,12 +458,12 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-    return play(argc, argv,
-                {{"zone_lost", zone_lost},
-                 {"flaky_link", flaky_link},
-                 {"cut_off", cut_off},
-                 {"decider_killed", decider_killed},
-                 {"decider_stopped", decider_stopped},
-                 {"flapping", flapping},
-                 {"pinned", pinned}});
+    return run_scenario(argc, argv,
+                        {{"zone_lost", zone_lost},
+                         {"flaky_link", flaky_link},
+                         {"cut_off", cut_off},
+                         {"decider_killed", decider_killed},
+                         {"decider_stopped", decider_stopped},
+                         {"flapping", flapping},
+                         {"pinned", pinned}});
 }
--- a/tests/fleet/outlier_test.cpp
+++ b/tests/fleet/outlier_test.cpp
@@ -43,7 +43,7 @@
 
 // True if each router but the first two ejects `count` servers because of the others' reports.
 bool others_have_ejected(RouterFleet& fleet, std::uint64_t count) {
-    return all_count(fleet, "hearsay.out", count, 2);
+    return all_counters_equal(fleet, "hearsay.out", count, 2);
 }
 
 // If one router loses its link to a server, it stops using the server, and the other routers continue.
--- a/tests/fleet/replication_test.cpp
+++ b/tests/fleet/replication_test.cpp
@@ -16,9 +16,9 @@
 using udp = asio::ip::udp;
 
 // Every running member has `offline` servers taken offline by hand, and all hold the same versions of every
-// origin.
+// writer.
 bool all_offline(RouterFleet& fleet, std::size_t offline) {
-    if (!all_count(fleet, "bans.out", offline))
+    if (!all_counters_equal(fleet, "bans.out", offline))
         return false;
     std::optional<lab::CounterValues> first;
     for (std::size_t member = 0; member < fleet.members(); ++member) {
@@ -135,23 +135,23 @@
     CHECK(accepted(fleet.control(2, "HEALTH")));
 }
 
-cluster::ReplicaMessage update_message(const std::string& origin, std::uint64_t version,
+cluster::ReplicaMessage update_message(const std::string& writer, std::uint64_t version,
                                        const std::string& key, std::int64_t changed_ms) {
     cluster::ReplicaMessage message;
     message.kind = cluster::ReplicaMessage::Kind::gossip;
     message.sender = "x";
     message.sender_address = "127.0.0.1:9";
     const auto changed = cluster::hybrid_timestamp(changed_ms);
-    message.updates.push_back({origin, version, key, {{{origin, {version, 0, changed, ""}}}, changed}});
+    message.updates.push_back({writer, version, key, {{{writer, {version, 0, changed, ""}}}, changed}});
     return message;
 }
 
-// Stale, from the future, malformed and oversize. `origin`: one of the fleet that has changed something.
-std::vector<cluster::ReplicaMessage> bad_update_messages(const std::string& origin) {
+// Stale, from the future, malformed and oversize. `writer`: one of the fleet that has changed something.
+std::vector<cluster::ReplicaMessage> bad_update_messages(const std::string& writer) {
     const std::int64_t now_ms = std::chrono::duration_cast<std::chrono::milliseconds>(
                                     std::chrono::system_clock::now().time_since_epoch())
                                     .count();
-    const auto stale = update_message(origin, 1, "ban/b-2", now_ms);
+    const auto stale = update_message(writer, 1, "ban/b-2", now_ms);
     const auto future = update_message("x@1", 1, "ban/b-3", now_ms + 3'600'000);
     auto malformed = update_message("x@1", 1, "ban/b-4", now_ms);
     malformed.updates.front().entry.changed = 0;
@@ -168,13 +168,13 @@
     CHECK(accepted(fleet.control(1, "OFFLINE b-1")));
     CHECK(fleet.wait_until([&] { return all_offline(fleet, 1); }, 2s));
     const auto digest = fleet.replica_digest(0);
-    const auto origin =
+    const auto writer =
         std::find_if(digest.begin(), digest.end(), [](const auto& entry) { return entry.second > 0; });
-    CHECK(origin != digest.end());
+    CHECK(writer != digest.end());
     asio::io_context io;
     const auto target = *net::PeerTransport::endpoint_of(fleet.peer_address(0));
     udp::socket sender{io, udp::endpoint{asio::ip::make_address("127.0.0.1"), 0}};
-    for (const auto& message : bad_update_messages(origin->first))
+    for (const auto& message : bad_update_messages(writer->first))
         sender.send_to(asio::buffer(cluster::codec::encode(message)), target);
     CHECK(fleet.wait_until(
         [&] {
@@ -190,10 +190,10 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-    return play(argc, argv,
-                {{"bans", bans},
-                 {"catch_up", catch_up},
-                 {"split_bans", split_bans},
-                 {"damaged_store", damaged_store},
-                 {"bad_updates", bad_updates}});
+    return run_scenario(argc, argv,
+                        {{"bans", bans},
+                         {"catch_up", catch_up},
+                         {"split_bans", split_bans},
+                         {"damaged_store", damaged_store},
+                         {"bad_updates", bad_updates}});
 }
--- a/tests/store/replica_store_test.cpp
+++ b/tests/store/replica_store_test.cpp
@@ -44,14 +44,14 @@
     std::ofstream{file, std::ios::binary} << bytes;
 }
 
-bool same(const OriginLog& a, const OriginLog& b) {
+bool same(const WriterLog& a, const WriterLog& b) {
     return a.version == b.version && a.collected_version == b.collected_version &&
            a.keys_by_version == b.keys_by_version && a.versions_by_key == b.versions_by_key;
 }
 
 bool holds(ReplicaStore& store, const Replica& replica) {
     const auto origins = store.origins();
-    for (const auto& [origin, log] : replica.origins()) {
+    for (const auto& [origin, log] : replica.writer_logs()) {
         const auto found = origins.find(origin);
         if (found == origins.end() ? log.version > 0 : !same(found->second, log))
             return false;
