--- a/src/app/replica_part.cpp
+++ b/src/app/replica_part.cpp
@@ -53,8 +53,8 @@
     Stored out;
     out.store = std::make_unique<store::ReplicaStore>(file, new_origin);
     out.entries = out.store->entries();
-    out.origins = out.store->origins();
-    out.origin = out.store->origin();
+    out.origins = out.store->writer_logs();
+    out.origin = out.store->writer();
     out.empty = out.origin == new_origin;
     return out;
 }
--- a/src/cache/response_cache.cpp
+++ b/src/cache/response_cache.cpp
@@ -19,7 +19,7 @@
 }
 
 std::int64_t age_ms(const StoredResponse& response, std::int64_t unix_ms) {
-    return unix_ms + kAgeMarginMs - response.made_ms;
+    return unix_ms + kAgeMarginMs - response.generated_ms;
 }
 
 bool is_current(const Lookup& request, const StoredResponse& response) {
@@ -45,17 +45,17 @@
 }
 
 void ResponseCache::store(const Lookup& request, std::string_view body, std::string_view tag,
-                          std::int64_t made_ms, std::int64_t purged_ms) {
+                          std::int64_t generated_ms, std::int64_t purged_ms) {
     if (!enabled_ || !request.group_known || classes_[request.key.class_index].uncached)
         return;
     // Without its age nothing says how long it may be used. One
     // made before a purge was under way when that came.
-    if (made_ms <= 0 || made_ms <= purged_ms || tag.empty())
+    if (generated_ms <= 0 || generated_ms <= purged_ms || tag.empty())
         return;
     store_.put(request.key, StoredResponse{.body = std::make_shared<const std::string>(body),
                                            .tag = std::string{tag},
                                            .group = request.group,
-                                           .made_ms = made_ms});
+                                           .generated_ms = generated_ms});
 }
 
 const StoredResponse* ResponseCache::find(const Lookup& request) {
@@ -66,7 +66,7 @@
     uplink_.reserve(bytes_to_send(request, response), now);
     return {.body = is_current(request, response) ? nullptr : response.body,
             .tag = response.tag,
-            .made_ms = response.made_ms,
+            .generated_ms = response.generated_ms,
             .stale = stale};
 }
 
--- a/src/cache/response_cache.h
+++ b/src/cache/response_cache.h
@@ -33,7 +33,7 @@
 struct Hit {
     std::shared_ptr<const std::string> body;  // absent: the client's copy is current
     std::string tag;
-    std::int64_t made_ms = 0;
+    std::int64_t generated_ms = 0;
     bool stale = false;  // past its max_age, within its grace
 };
 
@@ -50,7 +50,7 @@
 
     // Stores a server's response. `purged_ms`: when its object or group was last purged, as Unix time in ms;
     // 0: never.
-    void store(const Lookup& request, std::string_view body, std::string_view tag, std::int64_t made_ms,
+    void store(const Lookup& request, std::string_view body, std::string_view tag, std::int64_t generated_ms,
                std::int64_t purged_ms);
     // A fresh response that is sent within the class's latency objective. A hit reserves its part of the
     // uplink.
--- a/src/cache/response_store.cpp
+++ b/src/cache/response_store.cpp
@@ -30,7 +30,7 @@
     if (!response.body)
         return;
     if (const auto stored = entries_.find(key); stored != entries_.end()) {
-        if (stored->second.response.made_ms > response.made_ms)
+        if (stored->second.response.generated_ms > response.generated_ms)
             return;
         erase(stored);
     }
@@ -63,7 +63,7 @@
 void ResponseStore::purge_object(ObjectId object, std::int64_t issued_ms) {
     auto entry = entries_.lower_bound(ResponseKey{.object = object});
     while (entry != entries_.end() && entry->first.object == object)
-        entry = entry->second.response.made_ms <= issued_ms ? erase(entry) : std::next(entry);
+        entry = entry->second.response.generated_ms <= issued_ms ? erase(entry) : std::next(entry);
 }
 
 void ResponseStore::purge_group(GroupId group, std::int64_t issued_ms) {
@@ -73,7 +73,7 @@
     const std::set<ResponseKey> keys = of_group->second;  // a copy, as erasing changes the original
     for (const ResponseKey& key : keys) {
         const auto entry = entries_.find(key);
-        if (entry->second.response.made_ms <= issued_ms)
+        if (entry->second.response.generated_ms <= issued_ms)
             erase(entry);
     }
 }
--- a/src/cache/response_store.h
+++ b/src/cache/response_store.h
@@ -28,7 +28,7 @@
     std::shared_ptr<const std::string> body;
     std::string tag;
     GroupId group{};
-    std::int64_t made_ms = 0;  // Unix time in ms at which the origin made it
+    std::int64_t generated_ms = 0;  // Unix time in ms at which the origin made it
 };
 
 class ResponseStore {
--- a/src/core/active_request.h
+++ b/src/core/active_request.h
@@ -23,7 +23,7 @@
     std::shared_ptr<const ClientRequest> client_request;
     std::size_t class_index = kNoClass;
     Time received{};
-    std::shared_ptr<ReplySink> sink;  // absent once the final answer is given or the client has closed
+    std::shared_ptr<ResponseSink> sink;  // absent once the final answer is given or the client has closed
     Timers::Handle deadline_timer = 0;
     std::vector<ActiveAttempt> attempts;
     std::optional<AttemptStatus> last_attempt_status{};
--- a/src/core/completion.h
+++ b/src/core/completion.h
@@ -6,19 +6,19 @@
 namespace silverrail::core {
 
 // Answers by kind. `timed_out`: the deadline has passed.
-Answer served(AttemptResult result);
-Answer rejected(Span retry_after, bool timed_out);
-Answer failed(bool timed_out);
-Answer redirected(std::string server_address);
+ClientResponse served(AttemptResult result);
+ClientResponse rejected(Span retry_after, bool timed_out);
+ClientResponse failed(bool timed_out);
+ClientResponse redirected(std::string server_address);
 
 class Completion {
 public:
     explicit Completion(EngineState& state) : state_(state) {}
     // Does nothing where the request has had its answer, or its client has closed.
-    void complete(ActiveRequest& request, Answer answer);
+    void complete(ActiveRequest& request, ClientResponse answer);
 
 private:
-    void count(std::size_t class_index, Answer::Kind kind);
+    void count(std::size_t class_index, ClientResponse::Kind kind);
 
     EngineState& state_;
 };
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -25,7 +25,7 @@
 
 // ---- intake, admission and response cache --------------------------------------------------------------
 
-std::optional<RequestId> Engine::submit(ClientRequest request, std::shared_ptr<ReplySink> sink) {
+std::optional<RequestId> Engine::submit(ClientRequest request, std::shared_ptr<ResponseSink> sink) {
     ++state_.counters.taken;
     const Time now = state_.clock.now();
     const auto class_index = intake_.class_index(request.class_name);
@@ -40,8 +40,8 @@
 }
 
 // Absent: the request goes on to the decision module.
-std::optional<Answer> Engine::answer_at_intake(const ClientRequest& request,
-                                               std::optional<std::size_t> class_index, Time now) {
+std::optional<ClientResponse> Engine::answer_at_intake(const ClientRequest& request,
+                                                       std::optional<std::size_t> class_index, Time now) {
     if (!class_index || request.deadline <= now)
         return failed(class_index.has_value());
     // Guards rule 1 (one final answer): a second request under an open id could be given the first one's.
@@ -58,7 +58,7 @@
 }
 
 void Engine::complete_at_intake(const ClientRequest& request, std::optional<std::size_t> class_index,
-                                std::shared_ptr<ReplySink> sink, Answer answer) {
+                                std::shared_ptr<ResponseSink> sink, ClientResponse answer) {
     ActiveRequest never_open;
     never_open.sink = std::move(sink);
     never_open.class_index = class_index.value_or(ActiveRequest::kNoClass);
@@ -70,7 +70,7 @@
 }
 
 ActiveRequest& Engine::open_request(ClientRequest client_request, std::size_t class_index,
-                                    std::shared_ptr<ReplySink> sink, Time now) {
+                                    std::shared_ptr<ResponseSink> sink, Time now) {
     const RequestId id = intake_.next_id();
     intake_.claim(client_request.trace_id);
     state_.guard.received(id, class_index);
@@ -132,11 +132,11 @@
 
 // ---- the end of a request ------------------------------------------------------------------------------
 
-void Engine::complete(ActiveRequest& request, Answer answer) {
+void Engine::complete(ActiveRequest& request, ClientResponse answer) {
     const RequestId id = request.id;
-    if (!request.answered() && answer.kind == Answer::Kind::rejected)
+    if (!request.answered() && answer.kind == ClientResponse::Kind::rejected)
         state_.log_request("request-rejected", request);
-    if (!request.answered() && answer.kind == Answer::Kind::failed)
+    if (!request.answered() && answer.kind == ClientResponse::Kind::failed)
         state_.log_request("request-failed", request);
     completion_.complete(request, std::move(answer));
     forget_if_done(id);
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -45,7 +45,7 @@
 
     // The sink gets exactly one answer, now or later, unless the client closes first. Absent: it has been
     // answered already.
-    std::optional<RequestId> submit(ClientRequest request, std::shared_ptr<ReplySink> sink);
+    std::optional<RequestId> submit(ClientRequest request, std::shared_ptr<ResponseSink> sink);
     // The client has closed and gets no answer.
     void client_closed(RequestId id);
     // The process ends before they could: every open request is failed now.
@@ -132,15 +132,15 @@
     void act(const routing::Fail& fail);
     void act(const routing::SetTimer& timer);
 
-    std::optional<Answer> answer_at_intake(const ClientRequest& request,
-                                           std::optional<std::size_t> class_index, Time now);
+    std::optional<ClientResponse> answer_at_intake(const ClientRequest& request,
+                                                   std::optional<std::size_t> class_index, Time now);
     void complete_at_intake(const ClientRequest& request, std::optional<std::size_t> class_index,
-                            std::shared_ptr<ReplySink> sink, Answer answer);
+                            std::shared_ptr<ResponseSink> sink, ClientResponse answer);
     ActiveRequest& open_request(ClientRequest client_request, std::size_t class_index,
-                                std::shared_ptr<ReplySink> sink, Time now);
+                                std::shared_ptr<ResponseSink> sink, Time now);
     void deadline_passed(RequestId id);
     void fail_unasked(ActiveRequest& request, bool timed_out);
-    void complete(ActiveRequest& request, Answer answer);
+    void complete(ActiveRequest& request, ClientResponse answer);
     void release(RequestId id);
     void forget_if_done(RequestId id);
 
--- a/src/core/forwarding.cpp
+++ b/src/core/forwarding.cpp
@@ -131,7 +131,7 @@
     // Guards rule 2 (no repeated effect): the wait for a connection may have outlasted the window of repeats.
     facts.retry_window_end = attempt.retry_window_end;
     // The event loop may learn of it only with its next turn. Within the request's own turn it was just read.
-    facts.client_closed = now > request.received + kSameTurn && request.sink->client_left();
+    facts.client_closed = now > request.received + kSameTurn && request.sink->client_closed();
     // Guards rule 3 (drains): a server may have begun to drain during the wait.
     facts.target_usable = state_.servers.is_usable(attempt.target);
     facts.source_usable = !attempt.source || state_.servers.is_usable(*attempt.source);
@@ -159,8 +159,8 @@
     const bool success = result.attempt_status == AttemptStatus::success;
     const Time now = state_.clock.now();
     (void)state_.read_unix_time(now);
-    if (result.made_ms > 0)
-        state_.unix_time.observe_stamp(now, result.made_ms, UnixTime::Source::any);
+    if (result.generated_ms > 0)
+        state_.unix_time.observe_stamp(now, result.generated_ms, UnixTime::Source::any);
     cache_.store(request, result, now, state_.unix_time.latest_ms(now));
     const auto outcome = accounting_.record(key, result, *attempt, success || request.answered(), now);
     if (success)
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -23,12 +23,12 @@
 };
 
 // Receives the one final answer of a request.
-class ReplySink {
+class ResponseSink {
 public:
-    virtual ~ReplySink() = default;
-    virtual void reply(Answer answer) = 0;
+    virtual ~ResponseSink() = default;
+    virtual void reply(ClientResponse answer) = 0;
     // Whether the operating system knows that the client has closed, even if the event loop does not yet.
-    virtual bool client_left() const {
+    virtual bool client_closed() const {
         return false;
     }
 };
--- a/src/core/response_cache_stage.cpp
+++ b/src/core/response_cache_stage.cpp
@@ -29,28 +29,29 @@
                          request.client_tag};
 }
 
-std::optional<Answer> ResponseCacheStage::answer_from(std::optional<cache::Hit> response) {
+std::optional<ClientResponse> ResponseCacheStage::answer_from(std::optional<cache::Hit> response) {
     if (!response)
         return std::nullopt;
     ++(response->stale ? counters_.own_stale : counters_.own_fresh);
-    Answer answer;
-    answer.kind = response->body ? Answer::Kind::served : Answer::Kind::not_modified;
+    ClientResponse answer;
+    answer.kind = response->body ? ClientResponse::Kind::served : ClientResponse::Kind::not_modified;
     if (response->body)
         answer.body = *response->body;
     answer.tag = std::move(response->tag);
-    answer.made_ms = response->made_ms;
+    answer.generated_ms = response->generated_ms;
     return answer;
 }
 
-std::optional<Answer> ResponseCacheStage::fresh_answer(const ClientRequest& request, std::size_t class_index,
-                                                       Time now, std::int64_t unix_ms) {
+std::optional<ClientResponse> ResponseCacheStage::fresh_answer(const ClientRequest& request,
+                                                               std::size_t class_index, Time now,
+                                                               std::int64_t unix_ms) {
     const auto lookup = lookup_of(request, class_index);
     return lookup ? answer_from(cache_->find_fresh(*lookup, now, unix_ms)) : std::nullopt;
 }
 
-std::optional<Answer> ResponseCacheStage::last_resort_answer(const ClientRequest& request,
-                                                             std::size_t class_index, Time now,
-                                                             std::int64_t unix_ms) {
+std::optional<ClientResponse> ResponseCacheStage::last_resort_answer(const ClientRequest& request,
+                                                                     std::size_t class_index, Time now,
+                                                                     std::int64_t unix_ms) {
     const auto lookup = lookup_of(request, class_index);
     return lookup ? answer_from(cache_->find_last_resort(*lookup, now, unix_ms, request.deadline))
                   : std::nullopt;
@@ -65,13 +66,13 @@
         return;
     // Made later than it can be now: one of the clocks is wrong, and the response would count as too young
     // for good.
-    if (result.made_ms > unix_ms + kClockToleranceMs)
+    if (result.generated_ms > unix_ms + kClockToleranceMs)
         return;
     const auto lookup = lookup_of(*request.client_request, request.class_index);
     if (!lookup)
         return;
     const std::int64_t purged_ms = purges_.last_issued_ms(*request.client_request, now).value_or(0);
-    cache_->store(*lookup, result.body, result.tag, result.made_ms, purged_ms);
+    cache_->store(*lookup, result.body, result.tag, result.generated_ms, purged_ms);
 }
 
 void ResponseCacheStage::purge(const PurgeNotice& purge) {
--- a/src/core/response_cache_stage.h
+++ b/src/core/response_cache_stage.h
@@ -25,17 +25,17 @@
     void set_capacity(std::size_t bytes);
 
     // `unix_ms`: the latest Unix time in ms that it may be, so that no response counts as younger than it is.
-    std::optional<Answer> fresh_answer(const ClientRequest& request, std::size_t class_index, Time now,
-                                       std::int64_t unix_ms);
-    std::optional<Answer> last_resort_answer(const ClientRequest& request, std::size_t class_index, Time now,
-                                             std::int64_t unix_ms);
+    std::optional<ClientResponse> fresh_answer(const ClientRequest& request, std::size_t class_index,
+                                               Time now, std::int64_t unix_ms);
+    std::optional<ClientResponse> last_resort_answer(const ClientRequest& request, std::size_t class_index,
+                                                     Time now, std::int64_t unix_ms);
     void store(const ActiveRequest& request, const AttemptResult& result, Time now, std::int64_t unix_ms);
     void purge(const PurgeNotice& purge);
 
 private:
     // Absent: no cached response may answer the request.
     std::optional<cache::Lookup> lookup_of(const ClientRequest& request, std::size_t class_index) const;
-    std::optional<Answer> answer_from(std::optional<cache::Hit> response);
+    std::optional<ClientResponse> answer_from(std::optional<cache::Hit> response);
 
     const routing::Settings& settings_;
     const Span longest_request_;
--- a/src/core/routing_stage.cpp
+++ b/src/core/routing_stage.cpp
@@ -30,7 +30,7 @@
     handling_ = false;
 }
 
-void RoutingStage::notify(routing::Event event, const EventOrigin& origin) {
+void RoutingStage::notify(routing::Event event, const EventCause& origin) {
     origin_ = origin;
     notify(std::move(event));
     origin_ = {};
@@ -40,7 +40,7 @@
     last_event_time_ = std::max(last_event_time_, state_.clock.now());
     const auto actions = router_.on(event, last_event_time_);
     if (state_.observer) {
-        EventOrigin origin = origin_;
+        EventCause origin = origin_;
         origin.requests = &state_.requests;
         state_.observer->event_handled(event, last_event_time_, actions, origin);
     }
--- a/src/core/routing_stage.h
+++ b/src/core/routing_stage.h
@@ -24,7 +24,7 @@
     // Events that arise while an earlier one is handled wait for their turn.
     void notify(routing::Event event);
     // The same, with what the event was made from, for the observer.
-    void notify(routing::Event event, const EventOrigin& origin);
+    void notify(routing::Event event, const EventCause& origin);
 
     void set_process_count(std::size_t processes) {
         router_.set_process_count(static_cast<int>(processes));
@@ -43,7 +43,7 @@
     ActionHandler& handler_;
     routing::Router router_;
     Time last_event_time_{};  // time must not run backwards for the module
-    EventOrigin origin_;
+    EventCause origin_;
     std::deque<routing::Event> waiting_;
     bool handling_ = false;
 };
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -20,7 +20,7 @@
 using routing::Time;
 
 // The protocol through which a request came.
-enum class Front : std::uint8_t { platform, dns };
+enum class FrontEnd : std::uint8_t { platform, dns };
 
 // A client's address as bytes in network order: 4, 16, or none where the front does not know it.
 struct ClientAddress {
@@ -44,12 +44,12 @@
     std::string client_tag;                   // entity tag of the client's copy, without quotes; empty: none
     std::string idempotency_key;              // lets servers recognise a retry; empty: none
     bool redirected = false;  // the client connects to the server itself and wants its name only
-    Front front = Front::platform;
+    FrontEnd front_end = FrontEnd::platform;
     ClientAddress client;
 };
 
 // The one final answer to a client request.
-struct Answer {
+struct ClientResponse {
     enum class Kind { served, not_modified, redirected, rejected, failed };
     Kind kind = Kind::failed;
     std::string body;            // served
@@ -57,7 +57,8 @@
     Span retry_after{};          // rejected: how long the client should wait; 0: unspecified
     std::string server_address;  // redirected
     bool timed_out = false;      // rejected, failed: the deadline has passed
-    std::int64_t made_ms = 0;    // served, not_modified: Unix time in ms at the origin's response; 0: unknown
+    std::int64_t generated_ms =
+        0;  // served, not_modified: Unix time in ms at the origin's response; 0: unknown
 };
 
 // Names one attempt: its request, and its number among the request's attempts.
@@ -90,10 +91,10 @@
     CacheStatus cache_status = CacheStatus::none;
     Span source_wait{};
     routing::LoadReport load{};
-    bool not_modified = false;  // success: the client's copy is current
-    std::string body{};         // success
-    std::string tag{};          // success
-    std::int64_t made_ms = 0;   // success: see Answer
+    bool not_modified = false;      // success: the client's copy is current
+    std::string body{};             // success
+    std::string tag{};              // success
+    std::int64_t generated_ms = 0;  // success: see ClientResponse
 };
 
 // The longest client timeout of any class.
--- a/src/front/dns/dns_front_end.cpp
+++ b/src/front/dns/dns_front_end.cpp
@@ -35,10 +35,10 @@
     return response;
 }
 
-Response failure_of(const core::Answer& answer) {
+Response failure_of(const core::ClientResponse& answer) {
     if (answer.timed_out)
         return failure(Rcode::server_failure, ExtendedError::network_error, "the deadline has passed");
-    if (answer.kind != core::Answer::Kind::rejected)
+    if (answer.kind != core::ClientResponse::Kind::rejected)
         return failure(Rcode::server_failure, ExtendedError::other, "failed");
     std::string text = "refused for now";
     if (answer.retry_after > core::Span{})
@@ -48,11 +48,11 @@
 
 }  // namespace
 
-class DnsFrontEnd::Sink : public core::ReplySink {
+class DnsFrontEnd::Sink : public core::ResponseSink {
 public:
     Sink(const DnsFrontEnd& front_end, Query query, std::size_t max_bytes, net::DnsReplyHandler reply)
         : front_end_(front_end), query_(std::move(query)), max_bytes_(max_bytes), reply_(std::move(reply)) {}
-    void reply(core::Answer answer) override {
+    void reply(core::ClientResponse answer) override {
         reply_(front_end_.reply_of(query_, answer, max_bytes_));
     }
 
@@ -90,7 +90,7 @@
     ZoneEntry entry = find_entry(query.name, zone_, classes_, texts_);
     if (const auto response = local_response(query, entry))
         return reply({.bytes = encode(query, *response, max_bytes)});
-    entry.request.front = core::Front::dns;
+    entry.request.front_end = core::FrontEnd::dns;
     entry.request.client = source.client;
     submit(query, std::move(entry.request), max_bytes, std::move(reply));
 }
@@ -173,9 +173,9 @@
     engine_.submit(std::move(request), std::make_shared<Sink>(*this, query, max_bytes, std::move(reply)));
 }
 
-net::DnsReply DnsFrontEnd::reply_of(const Query& query, const core::Answer& answer,
+net::DnsReply DnsFrontEnd::reply_of(const Query& query, const core::ClientResponse& answer,
                                     std::size_t max_bytes) const {
-    if (answer.kind == core::Answer::Kind::redirected)
+    if (answer.kind == core::ClientResponse::Kind::redirected)
         return redirect(query, answer.server_address, max_bytes);
     return {.bytes = encode(query, failure_of(answer), max_bytes)};
 }
--- a/src/front/dns/dns_front_end.h
+++ b/src/front/dns/dns_front_end.h
@@ -38,7 +38,8 @@
     std::vector<Record> zone_records(const Query& query, const ZoneEntry& entry) const;
     void submit(const Query& query, core::ClientRequest request, std::size_t max_bytes,
                 net::DnsReplyHandler reply);
-    net::DnsReply reply_of(const Query& query, const core::Answer& answer, std::size_t max_bytes) const;
+    net::DnsReply reply_of(const Query& query, const core::ClientResponse& answer,
+                           std::size_t max_bytes) const;
     net::DnsReply redirect(const Query& query, const std::string& server_address,
                            std::size_t max_bytes) const;
     std::string encode(const Query& query, const Response& response, std::size_t max_bytes) const;
--- a/src/front/platform/platform.cpp
+++ b/src/front/platform/platform.cpp
@@ -128,14 +128,14 @@
     return true;
 }
 
-class Reply : public core::ReplySink {
+class Reply : public core::ResponseSink {
 public:
     explicit Reply(std::shared_ptr<net::HttpSession> session) : session_(std::move(session)) {}
-    void reply(core::Answer answer) override {
+    void reply(core::ClientResponse answer) override {
         if (const auto session = std::exchange(session_, nullptr))
             session->respond(response_of(std::move(answer)));
     }
-    bool client_left() const override {
+    bool client_closed() const override {
         return session_ && session_->client_left();
     }
 
@@ -173,8 +173,8 @@
     return client_request;
 }
 
-net::HttpResponse response_of(core::Answer answer) {
-    using Kind = core::Answer::Kind;
+net::HttpResponse response_of(core::ClientResponse answer) {
+    using Kind = core::ClientResponse::Kind;
     net::HttpResponse response{http::status::bad_gateway, kHttp11};
     switch (answer.kind) {
         case Kind::served:
--- a/src/front/platform/platform.h
+++ b/src/front/platform/platform.h
@@ -20,7 +20,7 @@
 // `arrived`: when the request's last byte came; its deadline counts from then.
 std::variant<core::ClientRequest, RequestError> parse_request(net::HttpRequest request, core::Time arrived);
 // The response that stands for an answer.
-net::HttpResponse response_of(core::Answer answer);
+net::HttpResponse response_of(core::ClientResponse answer);
 
 // Answers the platform's requests: health, counters, and everything else by the engine.
 class Platform {
--- a/src/lab/synthetic_trace/router_simulation.cpp
+++ b/src/lab/synthetic_trace/router_simulation.cpp
@@ -22,9 +22,9 @@
 constexpr auto kMaxClientPatience = 300ms;    // of clients that close early
 constexpr std::uint64_t kRequestSeedSalt = 0xc0ffee;
 
-class DiscardedReply : public core::ReplySink {
+class DiscardedReply : public core::ResponseSink {
 public:
-    void reply(core::Answer) override {}
+    void reply(core::ClientResponse) override {}
 };
 
 }  // namespace
--- a/src/lab/synthetic_trace/server_model.cpp
+++ b/src/lab/synthetic_trace/server_model.cpp
@@ -191,7 +191,7 @@
     const Duration age = fresh ? Duration{0} : random_.below(kMaxCopyAge);
     result.body.assign(static_cast<std::size_t>(size_kb * kBodyBytesPerKb), 'x');
     result.tag = kEntityTag;
-    result.made_ms = (clock_.true_unix_ns() - age.count()) / kNsPerMs;
+    result.generated_ms = (clock_.true_unix_ns() - age.count()) / kNsPerMs;
 }
 
 // A copy is there once its object was asked for at that server, and may have been evicted since.
--- a/src/limits/connection_eviction.cpp
+++ b/src/limits/connection_eviction.cpp
@@ -10,17 +10,17 @@
 constexpr auto kStallTime = 1s;
 }  // namespace
 
-std::optional<EvictionClass> eviction_class(const ConnectionActivity& activity) {
+std::optional<EvictionPriority> eviction_priority(const ConnectionActivity& activity) {
     using Phase = ConnectionActivity::Phase;
     if (activity.phase == Phase::answering)
         return std::nullopt;
     if (activity.phase == Phase::closing)
-        return EvictionClass::closing;
+        return EvictionPriority::closing;
     if (activity.request_begun)
-        return activity.idle_for > kStallTime ? std::optional{EvictionClass::stalled} : std::nullopt;
+        return activity.idle_for > kStallTime ? std::optional{EvictionPriority::stalled} : std::nullopt;
     if (activity.has_sent_request)
-        return EvictionClass::idle;
-    return activity.idle_for < kNewcomerTime ? EvictionClass::newcomer : EvictionClass::silent;
+        return EvictionPriority::idle;
+    return activity.idle_for < kNewcomerTime ? EvictionPriority::newcomer : EvictionPriority::silent;
 }
 
 }  // namespace silverrail::limits
--- a/src/limits/connection_eviction.h
+++ b/src/limits/connection_eviction.h
@@ -19,7 +19,7 @@
 };
 
 // In the order of eviction; within a class, the connection that is idle for longest goes first.
-enum class EvictionClass {
+enum class EvictionPriority {
     closing,
     silent,    // no request since it connected
     stalled,   // part of a request has come, and then nothing
@@ -28,6 +28,6 @@
 };
 
 // Absent: the connection is never evicted, as it has a request in flight.
-std::optional<EvictionClass> eviction_class(const ConnectionActivity& activity);
+std::optional<EvictionPriority> eviction_priority(const ConnectionActivity& activity);
 
 }  // namespace silverrail::limits
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -393,11 +393,11 @@
 // Returns false if all have a request open.
 bool HttpServer::evict_connection() {
     std::shared_ptr<HttpSession> victim;
-    std::optional<limits::EvictionClass> kind;
+    std::optional<limits::EvictionPriority> kind;
     const auto now = std::chrono::steady_clock::now();
     for (const auto& [session, weak] : sessions_) {
         const auto alive = weak.lock();
-        const auto gives = alive ? limits::eviction_class(alive->activity(now)) : std::nullopt;
+        const auto gives = alive ? limits::eviction_priority(alive->activity(now)) : std::nullopt;
         if (!gives || (victim && std::pair{*kind, victim->since()} <= std::pair{*gives, alive->since()}))
             continue;
         victim = alive;
--- a/src/net/server_protocol.cpp
+++ b/src/net/server_protocol.cpp
@@ -181,7 +181,7 @@
     if (end.attempt_status == AttemptStatus::success) {
         end.not_modified = response.result() == http::status::not_modified;
         end.tag = to_string_view(response[kTag]);
-        end.made_ms = parse_unix_ms(to_string_view(response[kMadeAtUnixMs]));
+        end.generated_ms = parse_unix_ms(to_string_view(response[kMadeAtUnixMs]));
         end.body = std::move(response.body());
     }
     return end;
--- a/src/store/replica_store.cpp
+++ b/src/store/replica_store.cpp
@@ -77,9 +77,9 @@
 };
 
 // The statements of one commit.
-class ReplicaStore::Writer {
+class ReplicaStore::Commit {
 public:
-    Writer(const ReplicaStore& store, const cluster::Replica& replica)
+    Commit(const ReplicaStore& store, const cluster::Replica& replica)
         : entries_(replica.entries()),
           origins_(replica.writer_logs()),
           put_entry_(store, "INSERT OR REPLACE INTO entries VALUES(?, ?)"),
@@ -212,8 +212,8 @@
     return out;
 }
 
-cluster::Replica::WriterLogs ReplicaStore::origins() {
-    cluster::Replica::WriterLogs out;
+cluster::Replica::OriginLogs ReplicaStore::writer_logs() {
+    cluster::Replica::OriginLogs out;
     Statement origins{*this, "SELECT name, number, forgotten FROM origins"};
     while (origins.step()) {
         auto& log = out[origins.text(0)];
@@ -237,14 +237,14 @@
 void ReplicaStore::write(const cluster::Replica& replica, const cluster::Replica::UnsavedChanges& changes) {
     if (!changes.everything && changes.keys.empty() && changes.writers.empty())
         return;
-    Writer writer{*this, replica};
+    Commit commit{*this, replica};
     run("BEGIN IMMEDIATE;");
     try {
         if (changes.everything) {
             run("DELETE FROM entries; DELETE FROM origins; DELETE FROM log;");
-            writer.write_everything();
+            commit.write_everything();
         } else {
-            writer.write(changes);
+            commit.write(changes);
         }
         run("COMMIT;");
     } catch (...) {
--- a/src/store/replica_store.h
+++ b/src/store/replica_store.h
@@ -32,19 +32,19 @@
     ReplicaStore& operator=(const ReplicaStore&) = delete;
 
     // The origin under which this store's changes have their versions.
-    const std::string& origin() const {
+    const std::string& writer() const {
         return origin_;
     }
     // The whole stored state. Throw as the constructor does.
     cluster::Replica::Entries entries();
-    cluster::Replica::WriterLogs origins();
+    cluster::Replica::OriginLogs writer_logs();
     // Writes the changes in one commit; on return they are stored. Throws std::runtime_error, with the file's
     // name, if it is not.
     void write(const cluster::Replica& replica, const cluster::Replica::UnsavedChanges& changes);
 
 private:
     class Statement;
-    class Writer;
+    class Commit;
     void open_and_lock();
     void verify();
     void initialise(const std::string& origin);
--- a/src/trace/model/enum_names.h
+++ b/src/trace/model/enum_names.h
@@ -17,12 +17,12 @@
     "none",         "hit",           "filled",         "filled_by_origin",
     "joined",       "stale",         "source_refused", "source_unreached",
     "source_lacks", "no_fill_place", "origin_failed"};
-// By core::Answer::Kind.
+// By core::ClientResponse::Kind.
 inline constexpr std::array<std::string_view, 5> kResponseKindNames{"served", "unchanged", "referred",
                                                                     "refused", "failed"};
 // By routing::Condition.
 inline constexpr std::array<std::string_view, 3> kConditionNames{"ready", "draining", "gone"};
-// By core::Front.
+// By core::FrontEnd.
 inline constexpr std::array<std::string_view, 2> kFrontNames{"platform", "dns"};
 // By FirstByteDue::Verdict.
 inline constexpr std::array<std::string_view, 3> kVerdictNames{"written", "held", "tightened"};
--- a/src/trace/model/records.h
+++ b/src/trace/model/records.h
@@ -127,7 +127,7 @@
     Text client_request_id;                   // the client's id, if it is not 16 hex digits
     std::uint64_t client_request_number = 0;  // the client's id, if it is 16 hex digits
     Text client;                              // address: 4 or 16 bytes, or empty
-    std::uint8_t front = 0;                   // core::Front
+    std::uint8_t front = 0;                   // core::FrontEnd
     std::uint64_t class_index = 0;            // into the settings' classes; past the end: unknown class
     std::uint64_t object = 0;
     std::uint64_t group = 0;
@@ -304,7 +304,7 @@
 struct ResponseSent {
     static constexpr const char* kName = "answered";
     std::uint64_t request = 0;
-    std::uint8_t kind = 0;  // core::Answer::Kind
+    std::uint8_t kind = 0;  // core::ClientResponse::Kind
     bool timed_out = false;
     std::int64_t retry_after = 0;
     std::uint64_t bytes = 0;
--- a/src/trace/model/request_summary.h
+++ b/src/trace/model/request_summary.h
@@ -13,7 +13,7 @@
 
 namespace silverrail::trace::model {
 
-// How a request ended. The first five are the kinds of responses, in the order of core::Answer::Kind.
+// How a request ended. The first five are the kinds of responses, in the order of core::ClientResponse::Kind.
 // `not_admitted` ones are counted under their response too.
 enum class Outcome : std::uint8_t {
     served,
--- a/src/trace/recorder/recorder.cpp
+++ b/src/trace/recorder/recorder.cpp
@@ -68,7 +68,7 @@
 
 void Recorder::add(const model::Record& record) {
     if (const auto* response = std::get_if<model::ResponseSent>(&record.body)) {
-        const bool failed = response->kind == static_cast<std::uint8_t>(core::Answer::Kind::failed);
+        const bool failed = response->kind == static_cast<std::uint8_t>(core::ClientResponse::Kind::failed);
         if (trigger_.add_response(failed, record.at))
             request_dump();
     }
--- a/src/trace/recorder/trace_observer.cpp
+++ b/src/trace/recorder/trace_observer.cpp
@@ -67,7 +67,7 @@
 
 class TraceObserver::EventRecorder {
 public:
-    EventRecorder(TraceObserver& observer, core::Time now, const core::EventOrigin& origin)
+    EventRecorder(TraceObserver& observer, core::Time now, const core::EventCause& origin)
         : observer_(observer), now_(now), origin_(origin) {}
 
     void operator()(const routing::Request& request) const {
@@ -124,14 +124,14 @@
 private:
     TraceObserver& observer_;
     core::Time now_;
-    const core::EventOrigin& origin_;
+    const core::EventCause& origin_;
 };
 
 // ---- actions of the decision module --------------------------------------------------------------------
 
 class TraceObserver::ActionRecorder {
 public:
-    ActionRecorder(TraceObserver& observer, core::Time now, const core::EventOrigin& origin)
+    ActionRecorder(TraceObserver& observer, core::Time now, const core::EventCause& origin)
         : observer_(observer), now_(now), origin_(origin) {}
 
     void operator()(const routing::Send& send) const {
@@ -153,10 +153,10 @@
 private:
     TraceObserver& observer_;
     core::Time now_;
-    const core::EventOrigin& origin_;
+    const core::EventCause& origin_;
 };
 
-std::uint64_t TraceObserver::next_attempt_number(core::RequestId request, const core::EventOrigin& origin) {
+std::uint64_t TraceObserver::next_attempt_number(core::RequestId request, const core::EventCause& origin) {
     if (request != latest_sent_request_) {
         latest_sent_request_ = request;
         attempts_since_event_ = 0;
@@ -172,7 +172,7 @@
 
 void TraceObserver::event_handled(const routing::Event& event, core::Time now,
                                   const std::vector<routing::Action>& actions,
-                                  const core::EventOrigin& origin) {
+                                  const core::EventCause& origin) {
     std::visit(EventRecorder{*this, now, origin}, event);
     latest_sent_request_ = {};
     for (const auto& action : actions)
@@ -194,7 +194,7 @@
         received.client_request_id = request.trace_id;
     if (!omitted_.client_addresses)
         received.client = {reinterpret_cast<const char*>(request.client.bytes.data()), request.client.size};
-    received.front = static_cast<std::uint8_t>(request.front);
+    received.front = static_cast<std::uint8_t>(request.front_end);
     received.class_index = class_index;
     received.object = static_cast<std::uint64_t>(request.object_id);
     received.group = static_cast<std::uint64_t>(request.group);
@@ -223,14 +223,14 @@
     add(now, due);
 }
 
-void TraceObserver::answered(core::RequestId id, const core::Answer& answer, core::Time now) {
+void TraceObserver::answered(core::RequestId id, const core::ClientResponse& answer, core::Time now) {
     model::ResponseSent sent;
     sent.request = number(id);
     sent.kind = static_cast<std::uint8_t>(answer.kind);
     sent.timed_out = answer.timed_out;
     sent.retry_after = answer.retry_after.count();
     sent.bytes = answer.body.size();
-    sent.generated_unix_ms = answer.made_ms;
+    sent.generated_unix_ms = answer.generated_ms;
     if (!omitted_.entity_tags)
         sent.entity_tag = answer.tag;
     sent.server = answer.server_address;
--- a/src/trace/recorder/trace_observer.h
+++ b/src/trace/recorder/trace_observer.h
@@ -21,12 +21,12 @@
     // The sink must outlive the observer.
     explicit TraceObserver(RecordSink& sink, OmittedFields omitted = {}) : sink_(sink), omitted_(omitted) {}
     void event_handled(const routing::Event& event, core::Time now,
-                       const std::vector<routing::Action>& actions, const core::EventOrigin& origin) override;
+                       const std::vector<routing::Action>& actions, const core::EventCause& origin) override;
     void answered_at_intake(const core::ClientRequest& request, std::size_t class_index,
                             core::Time now) override;
     void first_byte(const core::AttemptKey& key, std::optional<core::Span> max_age, bool tightened,
                     core::Time now) override;
-    void answered(core::RequestId id, const core::Answer& answer, core::Time now) override;
+    void answered(core::RequestId id, const core::ClientResponse& answer, core::Time now) override;
 
 private:
     // Each overload records one type of event or action.
@@ -39,7 +39,7 @@
     }
     void add_request(const core::ClientRequest& request, std::uint64_t id, std::size_t class_index,
                      core::Time now);
-    std::uint64_t next_attempt_number(core::RequestId request, const core::EventOrigin& origin);
+    std::uint64_t next_attempt_number(core::RequestId request, const core::EventCause& origin);
 
     RecordSink& sink_;
     OmittedFields omitted_;
--- a/tests/cache/response_cache_test.cpp
+++ b/tests/cache/response_cache_test.cpp
@@ -134,7 +134,8 @@
 void the_store_matches_a_model_within_its_capacity() {
     std::mt19937_64 random{3};
     ResponseStore store{20'000};
-    std::map<std::uint64_t, std::int64_t> newest;  // object -> made_ms of the response last put, 0: purged
+    std::map<std::uint64_t, std::int64_t>
+        newest;  // object -> generated_ms of the response last put, 0: purged
     for (int step = 0; step < 20'000; ++step) {
         const std::uint64_t object = random() % 200;
         const auto now = kNowMs + step;
@@ -154,7 +155,7 @@
         }
         CHECK(store.bytes() <= 20'000);
         const StoredResponse* found = store.find({ObjectId{object}, 0, 0});
-        CHECK(!found || found->made_ms == newest[object]);
+        CHECK(!found || found->generated_ms == newest[object]);
     }
     CHECK(store.size() > 5);
     for (std::uint64_t group = 0; group < 7; ++group)
--- a/tests/core/first_byte_test.cpp
+++ b/tests/core/first_byte_test.cpp
@@ -37,7 +37,7 @@
         CHECK(f.sender.first_byte(0).has_value() == (waited == 800ms));
         f.sender.end(0, {.attempt_status = AttemptStatus::not_sent});
         if (waited == 900ms)
-            CHECK(f.sender.in_flight.empty() && reply->answer.kind == Answer::Kind::rejected);
+            CHECK(f.sender.in_flight.empty() && reply->answer.kind == ClientResponse::Kind::rejected);
     }
 }
 
--- a/tests/core/fixture.h
+++ b/tests/core/fixture.h
@@ -91,16 +91,16 @@
     int cancelled = 0;
 };
 
-struct RecordedReply : ReplySink {
-    void reply(Answer a) override {
+struct RecordedReply : ResponseSink {
+    void reply(ClientResponse a) override {
         ++count;
         answer = std::move(a);
     }
-    bool has(Answer::Kind kind) const {
+    bool has(ClientResponse::Kind kind) const {
         return count == 1 && answer.kind == kind;
     }
     int count = 0;
-    Answer answer;
+    ClientResponse answer;
 };
 
 // An engine with two servers of its zone, s-a and s-b, a parent and an origin.
@@ -136,10 +136,12 @@
             {.bytes = 1 << 20, .uplink = {.per_response_bytes_per_s = 1e6, .total_bytes_per_s = 1e6}});
         engine.set_purges_reliable(true);
     }
-    // Ends the first attempt in flight with a response that the origin made at `made_ms`.
-    void respond(std::int64_t made_ms, const char* body = "bytes") {
-        sender.end(
-            0, {.attempt_status = AttemptStatus::success, .body = body, .tag = "tag", .made_ms = made_ms});
+    // Ends the first attempt in flight with a response that the origin made at `generated_ms`.
+    void respond(std::int64_t generated_ms, const char* body = "bytes") {
+        sender.end(0, {.attempt_status = AttemptStatus::success,
+                       .body = body,
+                       .tag = "tag",
+                       .generated_ms = generated_ms});
     }
     // Ends the first attempt in flight with a hit.
     void respond_with_hit() {
--- a/tests/core/requests_test.cpp
+++ b/tests/core/requests_test.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-using Kind = Answer::Kind;
+using Kind = ClientResponse::Kind;
 
 void each_result_leads_to_one_answer() {
     struct Case {
--- a/tests/core/response_cache_test.cpp
+++ b/tests/core/response_cache_test.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-using Kind = Answer::Kind;
+using Kind = ClientResponse::Kind;
 
 void a_fresh_response_answers_without_an_attempt() {
     Fixture f;
--- a/tests/core/servers_test.cpp
+++ b/tests/core/servers_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-using Kind = Answer::Kind;
+using Kind = ClientResponse::Kind;
 
 void connections_are_dropped_when_a_server_is_gone_or_restarted() {
     Fixture f;
--- a/tests/core/wall_clock_test.cpp
+++ b/tests/core/wall_clock_test.cpp
@@ -111,7 +111,7 @@
         const auto late = f.submit();
         CHECK(late->count == 0 && f.sender.in_flight.size() == 1);
         f.sender.end_all(AttemptStatus::connect_failed);
-        CHECK(late->answer.kind == Answer::Kind::rejected);
+        CHECK(late->answer.kind == ClientResponse::Kind::rejected);
     }
 }
 
@@ -120,9 +120,9 @@
     Fixture f;
     f.enable_response_cache();
     const std::int64_t far_ahead = f.clock.unix_ms() + 100 * 24 * 3'600'000LL;
-    for (const std::int64_t made_ms : {f.clock.unix_ms(), far_ahead}) {
+    for (const std::int64_t generated_ms : {f.clock.unix_ms(), far_ahead}) {
         const auto reply = f.submit("lodge");
-        f.respond(made_ms);
+        f.respond(generated_ms);
         CHECK(reply->count == 1);
     }
     (void)f.submit();
--- a/tests/limits/connection_eviction_test.cpp
+++ b/tests/limits/connection_eviction_test.cpp
@@ -10,33 +10,35 @@
 
 void each_activity_has_its_class() {
     using Phase = ConnectionActivity::Phase;
-    const std::optional<EvictionClass> never;
+    const std::optional<EvictionPriority> never;
     struct Row {
         ConnectionActivity activity;
-        std::optional<EvictionClass> expected;
+        std::optional<EvictionPriority> expected;
     };
     const Row rows[] = {
         {{Phase::answering, false, false, 60s}, never},  // a request in flight
         {{Phase::answering, true, true, 60s}, never},
-        {{Phase::closing, true, false, 0s}, EvictionClass::closing},  // it has had its last answer
-        {{Phase::awaiting_request, false, false, 1s}, EvictionClass::silent},
-        {{Phase::awaiting_request, false, false, 999ms}, EvictionClass::newcomer},
-        {{Phase::awaiting_request, false, false, 0s}, EvictionClass::newcomer},
+        {{Phase::closing, true, false, 0s}, EvictionPriority::closing},  // it has had its last answer
+        {{Phase::awaiting_request, false, false, 1s}, EvictionPriority::silent},
+        {{Phase::awaiting_request, false, false, 999ms}, EvictionPriority::newcomer},
+        {{Phase::awaiting_request, false, false, 0s}, EvictionPriority::newcomer},
         {{Phase::awaiting_request, false, true, 0s}, never},  // a slow writer that makes progress
         {{Phase::awaiting_request, false, true, 1s}, never},
-        {{Phase::awaiting_request, false, true, 1001ms}, EvictionClass::stalled},
+        {{Phase::awaiting_request, false, true, 1001ms}, EvictionPriority::stalled},
         {{Phase::awaiting_request, true, true, 1s}, never},
-        {{Phase::awaiting_request, true, true, 2s}, EvictionClass::stalled},
-        {{Phase::awaiting_request, true, false, 0s}, EvictionClass::idle},  // kept alive
-        {{Phase::awaiting_request, true, false, 60s}, EvictionClass::idle},
+        {{Phase::awaiting_request, true, true, 2s}, EvictionPriority::stalled},
+        {{Phase::awaiting_request, true, false, 0s}, EvictionPriority::idle},  // kept alive
+        {{Phase::awaiting_request, true, false, 60s}, EvictionPriority::idle},
     };
     for (const Row& row : rows)
-        CHECK(eviction_class(row.activity) == row.expected);
+        CHECK(eviction_priority(row.activity) == row.expected);
 }
 
 void newcomers_go_last() {
-    CHECK(EvictionClass::closing < EvictionClass::silent && EvictionClass::silent < EvictionClass::stalled);
-    CHECK(EvictionClass::stalled < EvictionClass::idle && EvictionClass::idle < EvictionClass::newcomer);
+    CHECK(EvictionPriority::closing < EvictionPriority::silent &&
+          EvictionPriority::silent < EvictionPriority::stalled);
+    CHECK(EvictionPriority::stalled < EvictionPriority::idle &&
+          EvictionPriority::idle < EvictionPriority::newcomer);
 }
 
 }  // namespace
--- a/tests/store/replica_store_test.cpp
+++ b/tests/store/replica_store_test.cpp
@@ -50,8 +50,8 @@
 }
 
 bool holds(ReplicaStore& store, const Replica& replica) {
-    const auto origins = store.origins();
-    for (const auto& [origin, log] : replica.writer_logs()) {
+    const auto origins = store.writer_logs();
+    for (const auto& [origin, log] : replica.origins()) {
         const auto found = origins.find(origin);
         if (found == origins.end() ? log.version > 0 : !same(found->second, log))
             return false;
@@ -63,7 +63,7 @@
     try {
         ReplicaStore store{file, "new@1"};
         (void)store.entries();
-        (void)store.origins();
+        (void)store.writer_logs();
     } catch (const std::runtime_error& e) {
         return e.what();
     }
@@ -75,7 +75,7 @@
     Replica a{"a", "a", "a@1", {}, 1, 0ms};
     {
         ReplicaStore store{file, "a@1"};
-        CHECK(store.origin() == "a@1" && store.entries().empty());
+        CHECK(store.writer() == "a@1" && store.entries().empty());
         for (int i = 0; i < 30; ++i) {
             CHECK(a.set("ban/" + std::to_string(i % 9), std::to_string(i), kNow + i));
             if (i % 4 == 3)
@@ -94,9 +94,9 @@
     }
     // The origin is the store's, whoever opens it, and numbers go on from there.
     ReplicaStore store{file, "later@2"};
-    CHECK(store.origin() == "a@1" && holds(store, a));
-    Replica again{"a", "a", store.origin(), {}, 1, 0ms};
-    again.restore(store.entries(), store.origins());
+    CHECK(store.writer() == "a@1" && holds(store, a));
+    Replica again{"a", "a", store.writer(), {}, 1, 0ms};
+    again.restore(store.entries(), store.writer_logs());
     CHECK(again.digest() == a.digest());
     CHECK(again.set("ban/new", "", kNow) && again.versions().at("a@1") == a.versions().at("a@1") + 1);
     // Forgotten, and replaced by a full copy: what is gone is gone from the file too.
@@ -128,8 +128,8 @@
             {
                 ReplicaStore opened{copy, "x@9"};
                 const auto entries = opened.entries();
-                (void)opened.origins();
-                CHECK(opened.origin() == "a@1");
+                (void)opened.writer_logs();
+                CHECK(opened.writer() == "a@1");
                 CHECK(at == log.size() ? entries == a.entries()
                                        : entries == a.entries() || entries == entries_before);
             }
--- a/tests/trace/recorder_test.cpp
+++ b/tests/trace/recorder_test.cpp
@@ -295,7 +295,7 @@
     add_answered_request(recorder, ++request);
     for (int i = 0; i < 60; ++i) {
         model::ResponseSent a;
-        a.kind = static_cast<std::uint8_t>(core::Answer::Kind::failed);
+        a.kind = static_cast<std::uint8_t>(core::ClientResponse::Kind::failed);
         a.request = static_cast<std::uint64_t>(i) + 1;
         recorder.add({5'000'000'000 + i, 0, a});
     }
