--- a/adapter/settings.cpp
+++ b/adapter/settings.cpp
@@ -137,7 +137,7 @@
     ClassSettings parsed;
     parsed.name = pairs.required_text(prefix + "name");
     parsed.latency_objective = pairs.required_span(prefix + "aim");
-    parsed.objective_stretch = pairs.number_or(prefix + "aim-stretch", 0);
+    parsed.objective_transfer_factor = pairs.number_or(prefix + "aim-stretch", 0);
     parsed.client_timeout = pairs.required_span(prefix + "give-up");
     parsed.priority_weight = pairs.number_or(prefix + "worth", 1);
     parsed.late_weight = pairs.number_or(prefix + "late-worth", 0);
--- a/include/silverrail/routing/router.h
+++ b/include/silverrail/routing/router.h
@@ -56,7 +56,7 @@
     std::string name{};
     Span latency_objective{};  // an answer within this earns its full weight
     // Multiple of the time that sending the response takes at the top rate; it is added to the objective.
-    double objective_stretch = 0;
+    double objective_transfer_factor = 0;
     Span client_timeout{};       // the longest that a client waits for its answer
     double priority_weight = 1;  // of an answer within the objective
     double late_weight = 0;      // of a later answer
--- a/src/cache/response_cache.cpp
+++ b/src/cache/response_cache.cpp
@@ -78,8 +78,8 @@
     if (settings.max_age > Span{} && age_ms(*response, unix_ms) >= to_ms(settings.max_age))
         return std::nullopt;
     const double bytes = bytes_to_send(request, *response);
-    const auto stretch =
-        std::chrono::duration_cast<Span>(settings.objective_stretch * uplink_.time_to_send_alone(bytes));
+    const auto stretch = std::chrono::duration_cast<Span>(settings.objective_transfer_factor *
+                                                          uplink_.time_to_send_alone(bytes));
     if (uplink_.time_to_send(bytes, now) > kObjectiveShare * (settings.latency_objective + stretch))
         return std::nullopt;
     return use(request, *response, now, false);
--- a/src/config/routing_settings.cpp
+++ b/src/config/routing_settings.cpp
@@ -35,7 +35,7 @@
     routing::ClassSettings c;
     c.name = json.text("name");
     c.latency_objective = json.required_duration("aim");
-    c.objective_stretch = json.number_or("aim-stretch", 0);
+    c.objective_transfer_factor = json.number_or("aim-stretch", 0);
     c.client_timeout = json.required_duration("give-up");
     c.priority_weight = json.number_or("worth", 1);
     c.late_weight = json.number_or("late-worth", 0);
--- a/src/lab/sample_deployment.cpp
+++ b/src/lab/sample_deployment.cpp
@@ -32,7 +32,7 @@
 struct RequestClass {
     const char* name;
     int latency_objective_ms;
-    double objective_stretch;
+    double objective_transfer_factor;
     int timeout_ms;
     double priority_weight;
     const char* effect;
@@ -42,7 +42,7 @@
     Json::Value json;
     json["name"] = request_class.name;
     json["aim"] = milliseconds(request_class.latency_objective_ms);
-    json["aim-stretch"] = request_class.objective_stretch;
+    json["aim-stretch"] = request_class.objective_transfer_factor;
     json["give-up"] = milliseconds(request_class.timeout_ms);
     json["worth"] = request_class.priority_weight;
     json["effect"] = request_class.effect;
--- a/src/routing/work_estimate.cpp
+++ b/src/routing/work_estimate.cpp
@@ -47,7 +47,8 @@
 
 Span WorkEstimator::latency_objective(const Request& request) const {
     const ClassSettings& request_class = settings_.classes[request.class_index];
-    return request_class.latency_objective + to_span(request_class.objective_stretch * of_request(request));
+    return request_class.latency_objective +
+           to_span(request_class.objective_transfer_factor * of_request(request));
 }
 
 double WorkEstimator::relative_latency(const Request& request, Span latency) const {
--- a/src/trace/tools/tool.cpp
+++ b/src/trace/tools/tool.cpp
@@ -86,7 +86,7 @@
     const double transfer_ns =
         settings.max_response_kb_per_s > 0 ? size_kb / settings.max_response_kb_per_s * kNsPerSecond : 0;
     return class_settings.latency_objective.count() +
-           static_cast<std::int64_t>(class_settings.objective_stretch * transfer_ns);
+           static_cast<std::int64_t>(class_settings.objective_transfer_factor * transfer_ns);
 }
 
 }  // namespace silverrail::trace
--- a/tests/cache/response_cache_test.cpp
+++ b/tests/cache/response_cache_test.cpp
@@ -15,7 +15,7 @@
 constexpr std::int64_t kNowMs = 1'764'576'000'000;
 const Time kNow{1000s};
 const std::vector<silverrail::routing::ClassSettings> kClasses{
-    {.name = "files", .latency_objective = 200ms, .objective_stretch = 1.5, .client_timeout = 2s},
+    {.name = "files", .latency_objective = 200ms, .objective_transfer_factor = 1.5, .client_timeout = 2s},
     {.name = "pages", .latency_objective = 200ms, .client_timeout = 2s, .max_age = 8s, .stale_grace = 20s},
     {.name = "lodge", .latency_objective = 200ms, .client_timeout = 2s, .uncached = true},
 };
--- a/tests/routing/settings_test.cpp
+++ b/tests/routing/settings_test.cpp
@@ -75,7 +75,7 @@
     auto settings = plain_settings();
     settings.cancellation_supported = false;
     settings.max_response_kb_per_s = 1000;
-    settings.classes[0].objective_stretch = 1.5;
+    settings.classes[0].objective_transfer_factor = 1.5;
     for (const double size_kb : {200.0, 2000.0, 0.0}) {
         TestRouter g{settings};
         g.notify(Request{.id = RequestId{1},
--- a/tests/routing/size_share_test.cpp
+++ b/tests/routing/size_share_test.cpp
@@ -94,7 +94,7 @@
             s.zone_link_kb_per_s = kFlow * kZoneLink;
         }
         s.classes[0].latency_objective = 400ms;
-        s.classes[0].objective_stretch = 1.6;
+        s.classes[0].objective_transfer_factor = 1.6;
         s.classes[0].client_timeout = 5s;
         return s;
     }
