--- a/src/app/membership_part.cpp
+++ b/src/app/membership_part.cpp
@@ -165,7 +165,7 @@
         const std::string name = std::string{"refused_"} + cluster::codec::name_of(reason);
         out += counter_lines("peers", {{name.c_str(), transport.refused[i]}});
     }
-    return out + counter_lines("peers", {{"streams_turned_away", transport.streams_turned_away},
+    return out + counter_lines("peers", {{"streams_turned_away", transport.streams_rejected},
                                          {"streams_timed_out", transport.streams_timed_out}});
 }
 
--- a/src/app/network_counters.cpp
+++ b/src/app/network_counters.cpp
@@ -9,9 +9,9 @@
     const auto& listener = server.listener_counters();
     std::string out = counter_lines("clients", {{"violations", counters.violations()},
                                                 {"closed_unanswered", counters.closed_unanswered},
-                                                {"second_answers", counters.second_answers},
-                                                {"left_before_taken", counters.left_before_taken},
-                                                {"full_of_early_bytes", counters.full_of_early_bytes},
+                                                {"second_answers", counters.duplicate_responses},
+                                                {"left_before_taken", counters.disconnected_before_handling},
+                                                {"full_of_early_bytes", counters.read_ahead_full},
                                                 {"accepted", listener.accepted},
                                                 {"accept_aborted", listener.aborted},
                                                 {"accept_pauses", listener.pauses}});
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -122,7 +122,7 @@
     buffered_since_ = arrived_;  // bytes behind it may have come along
     // No work may begin for a client that left while its request waited unread.
     if (client_left()) {
-        ++server_.counters_.left_before_taken;
+        ++server_.counters_.disconnected_before_handling;
         return close(CloseReason::client_left);
     }
     ++timeouts_set_;
@@ -192,7 +192,7 @@
 // the end of the stream would not be seen behind it.
 void HttpSession::watch_for_disconnect() {
     if (buffer_.size() >= server_.limits_.read_ahead) {
-        ++server_.counters_.full_of_early_bytes;
+        ++server_.counters_.read_ahead_full;
         if (!unread_since_)
             unread_since_ = server_.loop_monitor_.earliest_arrival();
         return set_timeout(server_.limits_.disconnect_check_interval, &HttpSession::check_for_disconnect);
@@ -251,7 +251,7 @@
 
 void HttpSession::respond(HttpResponse response) {
     if (state_ == State::writing)
-        ++server_.counters_.second_answers;
+        ++server_.counters_.duplicate_responses;
     if (state_ != State::open)
         return;
     state_ = State::writing;
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -59,14 +59,14 @@
 
 struct HttpCounters {
     std::array<std::uint64_t, kCloseReasons> closed{};
-    std::uint64_t full_of_early_bytes = 0;  // open requests with the whole read-ahead behind them
-    std::uint64_t left_before_taken = 0;    // requests whose client had gone when they were complete
+    std::uint64_t read_ahead_full = 0;               // open requests with the whole read-ahead behind them
+    std::uint64_t disconnected_before_handling = 0;  // requests whose client had gone when they were complete
     // Violations: an open request whose connection was closed unanswered while its client was there; a second
     // response to one request.
     std::uint64_t closed_unanswered = 0;
-    std::uint64_t second_answers = 0;
+    std::uint64_t duplicate_responses = 0;
     std::uint64_t violations() const {
-        return closed_unanswered + second_answers;
+        return closed_unanswered + duplicate_responses;
     }
 };
 
--- a/src/net/peer_transport.cpp
+++ b/src/net/peer_transport.cpp
@@ -217,7 +217,7 @@
 
 void PeerTransport::on_accept(tcp::socket socket) {
     if (incoming_.size() >= limits_.streams) {
-        ++counters_.streams_turned_away;
+        ++counters_.streams_rejected;
         error_code ignored;
         socket.close(ignored);
         return;
--- a/src/net/peer_transport.h
+++ b/src/net/peer_transport.h
@@ -27,7 +27,7 @@
     std::uint64_t datagrams_in = 0, datagrams_out = 0, streams_in = 0, streams_out = 0;
     std::uint64_t bytes_in = 0, bytes_out = 0;
     std::array<std::uint64_t, 4> refused{};  // by cluster::codec::DecodeError
-    std::uint64_t streams_turned_away = 0, streams_timed_out = 0, unsendable = 0;
+    std::uint64_t streams_rejected = 0, streams_timed_out = 0, unsendable = 0;
 };
 
 class PeerTransport {
--- a/tests/endings/client_left_test.cpp
+++ b/tests/connections/client_disconnect_test.cpp
@@ -23,7 +23,7 @@
 void go(asio::io_context& io, Router& router, RawClient& client, Way way) {
     const std::size_t open = router.engine.open();
     if (way == Way::closes_behind_bytes || way == Way::resets_behind_bytes) {
-        client.say("GET /early");
+        client.send("GET /early");
         run_until(io, [&] { return io.poll() == 0; });
     }
     if (way == Way::closes || way == Way::closes_behind_bytes)
@@ -52,20 +52,20 @@
         auto limits = patient();
         limits.connections = 1;
         Router router{io, {}, 1000, limits};
-        server.act = Server::Act::stay_silent;
+        server.behaviour = Server::Behaviour::never_respond;
         router.list_with_sources({listed("s-a", server.address())});
         Client holds{io, router.server.local()};  // the only socket to servers
-        holds.send(ask("pages", kObject));
+        holds.send(make_request("pages", kObject));
         run_until(io, [&] { return server.seen.size() == 1; });
-        RawClient leaves{io, router.server.local(), text_of(ask("pages", "00000000000000aa"))};
+        RawClient leaves{io, router.server.local(), text_of(make_request("pages", "00000000000000aa"))};
         run_until(io, [&] { return router.engine.open() == 2; });
         go(io, router, leaves, way);
-        server.act = Server::Act::answer;
+        server.behaviour = Server::Behaviour::answer;
         holds.leave();
         run_until(io, [&] { return router.engine.open() == 0; });
         // The socket is free; the next who asks gets it.
         Client next{io, router.server.local()};
-        next.send(ask("pages", "00000000000000bb"));
+        next.send(make_request("pages", "00000000000000bb"));
         run_until(io, [&] { return next.done; });
         CHECK(server.seen.size() == 2);
         CHECK(server.seen[1].request.target().find("bb") != net::beast::string_view::npos);
@@ -80,14 +80,14 @@
             Server server{io};
             HeldServer held{io};
             Router router{io, {}, 1000, patient()};
-            server.act = Server::Act::stay_silent;
+            server.behaviour = Server::Behaviour::never_respond;
             router.list_with_sources({listed("s-a", retry ? server.address() : held.address())});
-            RawClient leaves{io, router.server.local(), text_of(ask("pages", kObject))};
+            RawClient leaves{io, router.server.local(), text_of(make_request("pages", kObject))};
             run_until(io, [&] { return router.engine.counters().sent == 1; });
             if (retry) {
                 run_until(io, [&] { return server.seen.size() == 1; });
                 router.list({listed("s-b", held.address())}, false);
-                server.reset_all();
+                server.reset_connections();
                 run_until(io, [&] { return router.engine.counters().sent == 2; });
             }
             go(io, router, leaves, way);
@@ -104,11 +104,11 @@
           std::optional{kWays[3]}}) {
         asio::io_context io;
         Server one{io}, other{io};
-        one.act = other.act = Server::Act::stay_silent;
+        one.behaviour = other.behaviour = Server::Behaviour::never_respond;
         Router router{io};
         router.list_with_sources({listed("s-a", one.address()), listed("s-b", other.address())});
         const auto begin = router.clock.now();
-        RawClient client{io, router.server.local(), text_of(ask("pages", kObject))};
+        RawClient client{io, router.server.local(), text_of(make_request("pages", kObject))};
         const auto seen = [&] {
             return one.seen.size() + other.seen.size();
         };
@@ -130,14 +130,14 @@
     Server server{io};
     HeldServer held{io};
     Router router{io, {}, 1000, patient()};
-    server.act = Server::Act::stay_silent;
+    server.behaviour = Server::Behaviour::never_respond;
     router.list_with_sources({listed("s-a", server.address())});
     Client client{io, router.server.local()};
     const auto begin = router.clock.now();
-    client.send(ask("order", kObject));
+    client.send(make_request("order", kObject));
     run_until(io, [&] { return server.seen.size() == 1; });
     router.list({listed("s-b", held.address())}, false);
-    server.reset_all();
+    server.reset_connections();
     run_until(io, [&] { return router.engine.counters().sent == 2; });
     run_until(io, [&] { return router.clock.now() >= begin + 900ms; });
     held.open();
@@ -156,7 +156,7 @@
     auto draining = listed("s-a", held.address());
     router.list_with_sources({draining});
     Client client{io, router.server.local()};
-    client.send(ask("lodge", kObject));
+    client.send(make_request("lodge", kObject));
     run_until(io, [&] { return router.engine.counters().sent == 1; });
     draining.entry.condition = Condition::draining;
     router.list({listed("s-b", server.address()), draining}, false);
--- a/tests/endings/connection_reuse_test.cpp
+++ b/tests/connections/connection_reuse_test.cpp
@@ -26,7 +26,7 @@
     accept();
     Router router{io};
     router.list_with_sources({listed("s-a", test::text_of(acceptor.local_endpoint()))});
-    Request large = ask("lodge", kObject);
+    Request large = make_request("lodge", kObject);
     large.body() = std::string(60'000, 'x');
     Client client{io, router.server.local()};
     client.send(large);
@@ -49,15 +49,15 @@
     Router router{io};
     router.list_with_sources({listed("s-a", server.address())});
     Client client{io, router.server.local()};
-    client.send(ask("pages", kObject));
+    client.send(make_request("pages", kObject));
     run_until(io, [&] { return client.done; });
-    client.send(ask("pages", "00000000000000aa"));
+    client.send(make_request("pages", "00000000000000aa"));
     run_until(io, [&] { return server.seen.size() == 2; });
     CHECK(server.seen[0].connection != server.seen[1].connection);
     run_until(io, [&] { return client.done; });
     // Rested, it is used.
     rest(io, router);
-    client.send(ask("pages", "00000000000000bb"));
+    client.send(make_request("pages", "00000000000000bb"));
     run_until(io, [&] { return client.done; });
     CHECK(server.connections == 2 && server.seen.size() == 3 && client.status() == 200);
 }
--- a/tests/endings/shutdown_test.cpp
+++ b/tests/connections/shutdown_test.cpp
@@ -37,18 +37,18 @@
     Server server{io};
     Router router{io};
     router.list_with_sources({listed("s-a", server.address())});
-    RawClient rests{io, router.server.local(), text_of(ask("pages", kObject))};
+    RawClient rests{io, router.server.local(), text_of(make_request("pages", kObject))};
     run_until(io, [&] { return rests.heard.find("bytes of the object") != std::string::npos; });
     const std::size_t answer = rests.heard.size();
     // Does not read its answer yet, so the router is still writing when it is told to end.
     server.response = Server::hit(std::string(240'000, 'b'));
     tcp::socket reader{io};
-    ask_narrowly(io, router, reader, ask("pages", "00000000000000aa"));
+    ask_narrowly(io, router, reader, make_request("pages", "00000000000000aa"));
     CHECK(router.server.connections() == 2);
     run_until(io, [&] { return router.engine.counters().served == 2 && reader.available() > 0; });
     router.server.stop();
-    rests.say(text_of(ask("pages", "00000000000000bb")));
-    asio::write(reader, asio::buffer(text_of(ask("pages", "00000000000000cc"))));
+    rests.send(text_of(make_request("pages", "00000000000000bb")));
+    asio::write(reader, asio::buffer(text_of(make_request("pages", "00000000000000cc"))));
     run_until(io, [&] { return rests.ended; });
     // Its connection was not reset: more would still be taken and thrown away.
     CHECK(rests.clean && rests.heard.size() == answer && rests.takes_more());
@@ -72,19 +72,19 @@
             Server server{io};
             Router router{io};
             router.list_with_sources({listed("s-a", server.address())});
-            server.act = Server::Act::stay_silent;
-            Request behind = ask("lodge", kObject);
+            server.behaviour = Server::Behaviour::never_respond;
+            Request behind = make_request("lodge", kObject);
             behind.body() = std::string(length, 'w');
-            RawClient client{
-                io, router.server.local(),
-                text_of(ask("pages", kObject)) + text_of(behind) + text_of(ask("pages", "00000000000000aa"))};
+            RawClient client{io, router.server.local(),
+                             text_of(make_request("pages", kObject)) + text_of(behind) +
+                                 text_of(make_request("pages", "00000000000000aa"))};
             run_until(io, [&] { return server.seen.size() == 1; });
             run_until(io, [&] { return io.poll() == 0; });
             if (retires_first)
                 router.server.stop_accepting();
             router.server.stop();
-            server.act = Server::Act::answer;
-            server.reset_all();  // the first one's attempt ends, and the next is answered
+            server.behaviour = Server::Behaviour::answer;
+            server.reset_connections();  // the first one's attempt ends, and the next is answered
             run_until(io, [&] { return client.ended; });
             std::size_t answers = 0;
             for (auto at = client.heard.find("HTTP/1.1 "); at != std::string::npos;
--- a/tests/endings/slow_clients_test.cpp
+++ b/tests/connections/slow_clients_test.cpp
@@ -18,7 +18,7 @@
     run_until(io, [&] { return router.server.connections() == 1; });
     const auto due = std::chrono::steady_clock::now() + 100ms;
     asio::steady_timer before{io, 50ms};
-    before.async_wait([&](const net::error_code&) { client.say(text_of(ask("pages", kObject))); });
+    before.async_wait([&](const net::error_code&) { client.send(text_of(make_request("pages", kObject))); });
     while (std::chrono::steady_clock::now() <= due) {}
     io.restart();
     io.poll_one();  // both are due, and only the first has run
@@ -36,7 +36,7 @@
     RawClient silent{io, router.server.local()};
     RawClient half{io, router.server.local(), "PUT /ops/pages/x HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"};
     run_until(io, [&] { return silent.ended && half.heard.find("\r\n\r\n") != std::string::npos; });
-    half.say("and more of it than was told");
+    half.send("and more of it than was told");
     run_until(io, [&] { return half.ended; });
     CHECK(silent.clean && silent.heard.empty());
     CHECK(half.clean && half.heard.starts_with("HTTP/1.1 408"));
@@ -50,13 +50,13 @@
         Server server{io};
         Router router{io};
         router.list_with_sources({listed("s-a", server.address())});
-        server.act = Server::Act::stay_silent;
-        RawClient client{io, router.server.local(), text_of(ask("pages", kObject))};
+        server.behaviour = Server::Behaviour::never_respond;
+        RawClient client{io, router.server.local(), text_of(make_request("pages", kObject))};
         run_until(io, [&] { return server.seen.size() == 1; });
         // Past what is read early: it is bounded, and its end is seen behind it all the same.
         const std::size_t most = net::HttpLimits{}.read_ahead;
-        client.say(std::string(most + 1, 'x'));
-        run_until(io, [&] { return router.server.counters().full_of_early_bytes == 1; });
+        client.send(std::string(most + 1, 'x'));
+        run_until(io, [&] { return router.server.counters().read_ahead_full == 1; });
         CHECK(!client.ended && router.engine.open() == 1);
         if (resets)
             client.reset();
@@ -72,11 +72,11 @@
     Server server{io};
     Router router{io};
     router.list_with_sources({listed("s-a", server.address())});
-    Request large = ask("lodge", kObject);
+    Request large = make_request("lodge", kObject);
     large.body() = std::string(40'000, 'w');
-    RawClient client{
-        io, router.server.local(),
-        text_of(ask("pages", kObject)) + text_of(large) + text_of(ask("pages", "00000000000000aa"))};
+    RawClient client{io, router.server.local(),
+                     text_of(make_request("pages", kObject)) + text_of(large) +
+                         text_of(make_request("pages", "00000000000000aa"))};
     const auto answers = [&] {
         std::size_t count = 0;
         for (auto at = client.heard.find("HTTP/1.1 200"); at != std::string::npos;
@@ -98,8 +98,8 @@
     Router router{io, limits};
     router.list_with_sources({listed("s-a", server.address())});
     tcp::socket moves{io}, stopped{io};
-    ask_narrowly(io, router, moves, ask("pages", kObject));
-    ask_narrowly(io, router, stopped, ask("pages", kObject));
+    ask_narrowly(io, router, moves, make_request("pages", kObject));
+    ask_narrowly(io, router, stopped, make_request("pages", kObject));
     std::string heard;
     char part[20'000];
     asio::steady_timer pace{io};
--- a/tests/silverrail/admin_test.cpp
+++ b/tests/silverrail/admin_test.cpp
@@ -98,38 +98,38 @@
     Router router{io};
     Control control{io, router, {.connections = 8, .line = 32}};
     const auto at = control.server.local();
-    CHECK(call(io, at, "HEALTH") == "ACK takes clients\n");
+    CHECK(send_command(io, at, "HEALTH") == "ACK takes clients\n");
     // Silent ones and ones with half a call, far more than there are places: a new caller is served all the
     // same, and no more are held than the bound.
-    std::vector<std::unique_ptr<Caller>> crowd;
+    std::vector<std::unique_ptr<ControlClient>> crowd;
     for (int i = 0; i < 200; ++i) {
-        crowd.push_back(std::make_unique<Caller>(io, at, i % 2 == 0 ? "" : "HEA"));
+        crowd.push_back(std::make_unique<ControlClient>(io, at, i % 2 == 0 ? "" : "HEA"));
         if (i % 50 == 49)
-            CHECK(call(io, at, "HEALTH").starts_with("ACK"));
+            CHECK(send_command(io, at, "HEALTH").starts_with("ACK"));
         CHECK(control.server.connections() <= 8);
     }
     // One of the last of them finishes its call, in pieces, and gets its answer.
-    crowd.back()->say("L");
-    crowd.back()->say("TH\n");
+    crowd.back()->send("L");
+    crowd.back()->send("TH\n");
     run_until(io, [&] { return crowd.back()->done; });
     CHECK(crowd.back()->answer == "ACK takes clients\n" && crowd.back()->clean);
     // A half-closed caller still gets its answer; half a line and an end gets a no, nothing at all a close.
     for (const auto& [says, wants] : {std::pair{"HEALTH\n", "ACK"}, {"HEALTH", "NAK"}, {"", ""}}) {
-        Caller caller{io, at, says};
+        ControlClient caller{io, at, says};
         caller.half_close();
         run_until(io, [&] { return caller.done; });
         CHECK(caller.clean && caller.answer.starts_with(wants) && caller.answer.empty() == !*wants);
     }
     // A line over the bound, without end: a no, and nothing more is kept of it.
-    Caller endless{io, at, std::string(20'000, 'x')};
+    ControlClient endless{io, at, std::string(20'000, 'x')};
     run_until(io, [&] { return endless.done; });
     CHECK(endless.answer.starts_with("NAK"));
     // A second line with the first: one answer.
-    CHECK(call(io, at, "HEALTH\nDUMP") == "ACK takes clients\n");
-    CHECK(call(io, at, "OFFLINE s-1") == "ACK out s-1\n" &&
-          call(io, at, "ONLINE s-1") == "NAK no such box\n");
+    CHECK(send_command(io, at, "HEALTH\nDUMP") == "ACK takes clients\n");
+    CHECK(send_command(io, at, "OFFLINE s-1") == "ACK out s-1\n" &&
+          send_command(io, at, "ONLINE s-1") == "NAK no such box\n");
     router.lifecycle.enter(Lifecycle::Phase::draining);
-    CHECK(call(io, at, "HEALTH") == "NAK draining\n");
+    CHECK(send_command(io, at, "HEALTH") == "NAK draining\n");
 }
 
 std::uint64_t figure(const std::string& dump, const std::string& name) {
@@ -144,7 +144,7 @@
     Router router{io, {}, 2};
     Control control{io, router};
     const auto dump = [&] {
-        return call(io, control.server.local(), "DUMP");
+        return send_command(io, control.server.local(), "DUMP");
     };
     const auto is = [&](const std::string& name, std::uint64_t wanted) {
         const std::string text = dump();
@@ -162,16 +162,16 @@
         return client.status();
     };
     // Refused by the module: there is no server yet.
-    CHECK(done(ask("pages", kObject)) == 503);
+    CHECK(done(make_request("pages", kObject)) == 503);
     is("busy.pages", 1);
     router.list_with_sources({listed("s-a", server.address()), listed("s-far", "127.0.0.1:9", "other")});
     is("hosts_listed", 4);
     is("hosts_down", 0);
     // Served, then told that the client's copy holds.
-    CHECK(done(ask("pages", kObject)) == 200);
+    CHECK(done(make_request("pages", kObject)) == 200);
     server.response = Server::hit("");
     server.response.result(net::http::status::not_modified);
-    Request has = ask("pages", kObject);
+    Request has = make_request("pages", kObject);
     has.set(net::http::field::if_none_match, "\"4be0c1927d55a6f3\"");
     CHECK(done(has) == 304);
     is("success.pages", 2);
@@ -181,25 +181,25 @@
     router.engine.set_purges_reliable(true);
     server.response = Server::hit("bytes");
     server.response.set("Made-At", std::to_string(router.clock.unix_ms()));
-    CHECK(done(ask("pages", kObject)) == 200 && done(ask("pages", kObject)) == 200);
+    CHECK(done(make_request("pages", kObject)) == 200 && done(make_request("pages", kObject)) == 200);
     is("success.pages", 4);
     is("backend_calls", 3);
     // Failed: cut off after it may have run, and never to be run twice.
-    server.act = Server::Act::reset_after_reading;
-    CHECK(done(ask("lodge", "00000000000000a1")) == 502);
+    server.behaviour = Server::Behaviour::reset_after_reading;
+    CHECK(done(make_request("lodge", "00000000000000a1")) == 502);
     is("failure.lodge", 1);
     is("backend_calls", 4);
     // Unfit: a read of a class that writes. An unknown class counts nowhere.
-    Request unfit = ask("lodge", kObject);
+    Request unfit = make_request("lodge", kObject);
     unfit.method(net::http::verb::get);
     CHECK(done(unfit) == 502);
     is("failure.lodge", 2);
-    Request unknown = ask("pages", kObject);
+    Request unknown = make_request("pages", kObject);
     unknown.target("/ops/nothing/" + kObject + "/piece-0");
     CHECK(done(unknown) == 502);
     // Past its deadline: one that no other server may be asked for.
-    server.act = Server::Act::stay_silent;
-    CHECK(done(ask("lodge", "00000000000000a2", 300)) == 504);
+    server.behaviour = Server::Behaviour::never_respond;
+    CHECK(done(make_request("lodge", "00000000000000a2", 300)) == 504);
     is("failure.lodge", 3);
     is("failure.pages", 0);
     is("inflight", 0);
@@ -207,11 +207,11 @@
     const std::size_t seen = server.seen.size();
     Client one{io, router.server.local()};
     Client two{io, router.server.local()};
-    one.send(ask("pages", "00000000000000b1", 9'000));
-    two.send(ask("lodge", "00000000000000b2", 9'000));
+    one.send(make_request("pages", "00000000000000b1", 9'000));
+    two.send(make_request("lodge", "00000000000000b2", 9'000));
     run_until(io, [&] { return server.seen.size() == seen + 2; });
     is("inflight", 2);
-    CHECK(done(ask("pages", "00000000000000b3")) == 503);
+    CHECK(done(make_request("pages", "00000000000000b3")) == 503);
     is("busy.pages", 2);
     one.leave();
     two.leave();
@@ -231,7 +231,7 @@
     server.stop_listening();
     router.list({listed("s-a", "127.0.0.1:9")}, false);
     for (int i = 0; i < 4; ++i)
-        done(ask("pages", "00000000000000c" + std::to_string(i)));
+        done(make_request("pages", "00000000000000c" + std::to_string(i)));
     is("hosts_down", 1);
 }
 
--- a/tests/silverrail/faults_test.cpp
+++ b/tests/silverrail/faults_test.cpp
@@ -70,9 +70,9 @@
     world.server.response = Server::hit(std::string(120'000, 'x'));
     for (int calls = 1; calls <= 6; ++calls) {
         world.faults.fail_next(CallFault::write_short, static_cast<std::uint32_t>(calls));
-        CHECK(world.status_within(ask("pages", kObject, 1500), 2000ms) == 200);
+        CHECK(world.status_within(make_request("pages", kObject, 1500), 2000ms) == 200);
         world.faults.fail_next(CallFault::write_short, static_cast<std::uint32_t>(calls));
-        Request write = ask("lodge", kObject, 1500);
+        Request write = make_request("lodge", kObject, 1500);
         write.body() = std::string(40'000, 'w');
         CHECK(world.status_within(std::move(write), 2000ms) == 200);
     }
@@ -84,7 +84,7 @@
     World world;
     for (int calls = 1; calls <= 3; ++calls) {
         world.faults.fail_next(CallFault::accept_aborted, static_cast<std::uint32_t>(calls));
-        CHECK(world.status_within(ask("pages", kObject, 1000), 1500ms) == 200);
+        CHECK(world.status_within(make_request("pages", kObject, 1000), 1500ms) == 200);
     }
     CHECK(world.faults.delivered(CallFault::accept_aborted) == 6);
 }
@@ -138,14 +138,14 @@
 // A purge that is told after the clock has stepped: copies from before it are not asked for.
 void purge_after_step(std::int64_t step_ms) {
     World world;
-    CHECK(world.status_within(ask("pages", kObject), 2000ms) == 200);
+    CHECK(world.status_within(make_request("pages", kObject), 2000ms) == 200);
     world.faults.step_wall_clock(step_ms);
-    CHECK(world.status_within(ask("pages", "00000000000000aa"), 2000ms) == 200);
+    CHECK(world.status_within(make_request("pages", "00000000000000aa"), 2000ms) == 200);
     const auto issued = unix_ms();
     world.tell("2", R"("recall":{"lot":17,"issued":)" + std::to_string(issued) + "}");
     run_until(world.io, [&] { return world.counter("purges") == "1"; });
     world.wait(10ms);  // the least that can be asked for is 1 ms
-    CHECK(world.status_within(ask("pages", "00000000000000bb"), 2000ms) == 200);
+    CHECK(world.status_within(make_request("pages", "00000000000000bb"), 2000ms) == 200);
     const auto& request = world.server.seen.back().request;
     CHECK(request.target().find("bb") != net::beast::string_view::npos);
     const auto oldest = std::atoll(std::string{request["No-Older-Than"]}.c_str());
@@ -153,7 +153,7 @@
     // by.
     CHECK(oldest >= 1 && oldest <= unix_ms() - issued);
     world.wait(1s);
-    CHECK(world.status_within(ask("pages", "00000000000000cc"), 2000ms) == 200);
+    CHECK(world.status_within(make_request("pages", "00000000000000cc"), 2000ms) == 200);
     const auto then = std::atoll(std::string{world.server.seen.back().request["No-Older-Than"]}.c_str());
     CHECK(then >= 900 && then <= unix_ms() - issued);
 }
@@ -173,9 +173,9 @@
     for (const CallFault fault : {CallFault::socket_no_files, CallFault::socket_no_buffers,
                                   CallFault::connect_no_address, CallFault::connect_unreachable})
         for (const char* kind : {"pages", "lodge"}) {
-            world.server.reset_all();
+            world.server.reset_connections();
             world.faults.fail_next(fault, 2);
-            CHECK(world.status_within(ask(kind, kObject, 1500), 2000ms) == 200);
+            CHECK(world.status_within(make_request(kind, kObject, 1500), 2000ms) == 200);
         }
     CHECK(world.counter("ending_no_connection") == "0");
 }
@@ -209,19 +209,19 @@
         for (const bool early_bytes : {false, true}) {
             World world;
             Client waits{world.io, world.program.at};  // a connection that is open already
-            const Request request = ask("pages", kObject, 1500);
+            const Request request = make_request("pages", kObject, 1500);
             std::optional<RawClient> leaves;
             {
                 const Stopped stopped{world};
                 leaves.emplace(world.io, world.program.at);
-                leaves->say(text_of_request(request) + (early_bytes ? "GET /early" : ""));
+                leaves->send(text_of_request(request) + (early_bytes ? "GET /early" : ""));
                 if (resets)
                     leaves->reset();
                 else
                     leaves->half_close();
                 world.wait(200ms);
             }
-            CHECK(world.status_within(ask("pages", "00000000000000aa", 1500), 2000ms) == 200);
+            CHECK(world.status_within(make_request("pages", "00000000000000aa", 1500), 2000ms) == 200);
             CHECK(!reached(world, request));
         }
 }
@@ -242,7 +242,8 @@
         if (!on_a_new_connection)
             client.emplace(world.io, world.program.at);
         world.wait(100ms);
-        const Request request = ask("pages", on_a_new_connection ? kObject : "00000000000000aa", 1500);
+        const Request request =
+            make_request("pages", on_a_new_connection ? kObject : "00000000000000aa", 1500);
         const auto sent = std::chrono::steady_clock::now();
         {
             const Stopped stopped{world};
@@ -263,9 +264,9 @@
 void deadline_of_a_pipelined_request() {
     for (const std::size_t length : {std::size_t{9}, std::size_t{40'000}}) {
         World world;
-        world.server.act = Server::Act::stay_silent;
-        const Request first = ask("lodge", kObject, 500);
-        Request second = ask("lodge", "00000000000000aa", 1000);
+        world.server.behaviour = Server::Behaviour::never_respond;
+        const Request first = make_request("lodge", kObject, 500);
+        Request second = make_request("lodge", "00000000000000aa", 1000);
         second.body() = std::string(length, 'w');
         RawClient client{world.io, world.program.at, text_of_request(first) + text_of_request(second)};
         CHECK(told_ms(world, first) <= 500);
@@ -288,21 +289,22 @@
         }
         return false;
     };
-    CHECK(call(world.io, at, "OFFLINE s-a").starts_with("ACK") && kept("s-a"));
+    CHECK(send_command(world.io, at, "OFFLINE s-a").starts_with("ACK") && kept("s-a"));
     for (const CallFault fault : {CallFault::file_full, CallFault::file_sync, CallFault::file_rename}) {
         world.faults.set_chance(fault, lab::kFaultParts);
-        CHECK(call(world.io, at, "OFFLINE s-a").starts_with("ACK"));
-        CHECK(call(world.io, at, "OFFLINE s-p").starts_with("NAK") && !kept("s-p") && kept("s-a"));
+        CHECK(send_command(world.io, at, "OFFLINE s-a").starts_with("ACK"));
+        CHECK(send_command(world.io, at, "OFFLINE s-p").starts_with("NAK") && !kept("s-p") && kept("s-a"));
         world.faults.clear_chances();
         run_until(world.io, [&] { return kept("s-p") && kept("s-a"); });
-        CHECK(call(world.io, at, "ONLINE s-p").starts_with("ACK") && !kept("s-p"));
+        CHECK(send_command(world.io, at, "ONLINE s-p").starts_with("ACK") && !kept("s-p"));
     }
     // A process that can't read them at its start for a moment knows them soon.
     CHECK(::kill(world.program.pid(), SIGKILL) == 0 && ::waitpid(world.program.pid(), nullptr, 0) > 0);
     world.faults.fail_next(CallFault::file_read, 4);
     const pid_t second = world.program.start(text_of(at));
     run_until(world.io, [&] { return world.program.listens(); });
-    run_until(world.io, [&] { return call(world.io, at, "DUMP").find("hosts_down=1") != std::string::npos; });
+    run_until(world.io,
+              [&] { return send_command(world.io, at, "DUMP").find("hosts_down=1") != std::string::npos; });
     CHECK(::kill(second, SIGKILL) == 0 && ::waitpid(second, nullptr, 0) == second);
 }
 
--- a/tests/silverrail/rough_test.cpp
+++ b/tests/silverrail/misbehaving_endpoints_test.cpp
@@ -57,12 +57,12 @@
     Router router{io, limits};
     router.list_with_sources({listed("s-a", server.address())});
     Client usual{io, router.server.local()};
-    usual.send(ask("pages", kObject));
+    usual.send(make_request("pages", kObject));
     run_until(io, [&] { return usual.done; });
     RawClient silent{io, router.server.local()};
     RawClient half{io, router.server.local(), "GET /ops/pages/" + kObject};
     run_until(io, [&] { return silent.ended && half.ended; });
-    usual.send(ask("pages", kObject));
+    usual.send(make_request("pages", kObject));
     run_until(io, [&] { return usual.done; });
     CHECK(!usual.broken && usual.status() == 200);
     // Also once a request has been read: half of a further one does not hold its connection.
@@ -80,11 +80,11 @@
     Router router{io, limits};
     router.list_with_sources({listed("s-a", server.address())});
     Client idle{io, router.server.local()};
-    idle.send(ask("pages", kObject));
+    idle.send(make_request("pages", kObject));
     run_until(io, [&] { return idle.done; });
-    server.act = Server::Act::stay_silent;
+    server.behaviour = Server::Behaviour::never_respond;
     Client asking{io, router.server.local()};
-    asking.send(ask("pages", kObject));
+    asking.send(make_request("pages", kObject));
     run_until(io, [&] { return server.seen.size() == 2; });
     std::vector<std::unique_ptr<RawClient>> silent;
     for (int i = 0; i < 2; ++i) {
@@ -98,10 +98,10 @@
     silent.push_back(std::make_unique<RawClient>(io, router.server.local()));
     run_until(io, [&] { return silent[0]->ended; });
     CHECK(!silent[1]->ended && !silent[2]->ended);
-    server.act = Server::Act::answer;
+    server.behaviour = Server::Behaviour::answer;
     for (Client* usual : {&idle, &asking}) {
         if (usual == &idle)
-            usual->send(ask("pages", "00000000000000aa", 5000));
+            usual->send(make_request("pages", "00000000000000aa", 5000));
         run_until(io, [&] { return usual->done; });
         CHECK(!usual->broken);
     }
@@ -113,18 +113,18 @@
     Server server{io};
     Router router{io};
     router.list_with_sources({listed("s-a", server.address())});
-    server.act = Server::Act::stay_silent;
+    server.behaviour = Server::Behaviour::never_respond;
     Client first{io, router.server.local()};
-    Request request = ask("pages", kObject);
+    Request request = make_request("pages", kObject);
     first.send(request);
     run_until(io, [&] { return server.seen.size() == 1; });
-    Request same_id = ask("pages", "00000000000000aa");
+    Request same_id = make_request("pages", "00000000000000aa");
     same_id.set("Trace-Id", request["Trace-Id"]);
-    Request as_write = ask("pages", kObject);
+    Request as_write = make_request("pages", kObject);
     as_write.method(net::http::verb::put);
-    Request as_read = ask("lodge", kObject);
+    Request as_read = make_request("lodge", kObject);
     as_read.method(net::http::verb::get);
-    Request too_long = ask("pages", kObject, 500'000);
+    Request too_long = make_request("pages", kObject, 500'000);
     for (const Request* r : {&same_id, &as_write, &as_read, &too_long}) {
         Client client{io, router.server.local()};
         client.send(*r);
@@ -135,7 +135,7 @@
     first.leave();
     run_until(io, [&] { return router.engine.open() == 0; });
     // Its id is free again.
-    server.act = Server::Act::answer;
+    server.behaviour = Server::Behaviour::answer;
     Client again{io, router.server.local()};
     again.send(request);
     run_until(io, [&] { return again.done; });
@@ -170,10 +170,10 @@
         Router router{io};
         router.list_with_sources(
             {listed("s-o", server.address(), "origin"), listed("s-a", server.address())});
-        server.act = Server::Act::say_raw;
+        server.behaviour = Server::Behaviour::say_raw;
         server.raw = c.bytes;
         Client client{io, router.server.local()};
-        client.send(ask("pages", kObject, 10'000));
+        client.send(make_request("pages", kObject, 10'000));
         const auto begin = std::chrono::steady_clock::now();
         run_until(io, [&] { return client.done; });
         CHECK(!client.broken && (client.status() == 200) == c.served);
--- a/tests/silverrail/program_test.cpp
+++ b/tests/silverrail/program_test.cpp
@@ -16,11 +16,11 @@
     asio::io_context io;
     DiscoveryServer discovery{io};
     Server server{io};
-    server.act = Server::Act::stay_silent;
+    server.behaviour = Server::Behaviour::never_respond;
     RouterProcess program{discovery.address(), server.address()};
     run_until(io, [&] { return program.listens(); });
     Client waits{io, program.at};
-    waits.send(ask("lodge", kObject, 9000));
+    waits.send(make_request("lodge", kObject, 9000));
     run_until(io, [&] { return server.seen.size() == 1; });
     program.end();
     const auto killed = std::chrono::steady_clock::now() + 3700ms;
@@ -71,7 +71,7 @@
 // The list of the start serves before discovery has said anything; then it resumes after that.
 void listed_servers_serve_before_discovery(ProgramFixture& f) {
     CHECK(f.get("/alive") == 200);
-    CHECK(f.request(ask("pages", kObject)) == 200 && f.server.seen.size() == 1);
+    CHECK(f.request(make_request("pages", kObject)) == 200 && f.server.seen.size() == 1);
     run_until(f.io, [&] { return f.discovery.resumed_after.size() == 1; });
     CHECK(f.discovery.resumed_after[0] == "1");
 }
@@ -81,7 +81,7 @@
     const int before = f.cached_responses();
     run_until(f.io, [&] {
         f.discovery.say(": here\n\n");
-        CHECK(f.request(ask("pages", kObject)) == 200);
+        CHECK(f.request(make_request("pages", kObject)) == 200);
         CHECK(f.client->response.body() == f.server.response.body());
         return f.cached_responses() > before;
     });
@@ -96,7 +96,7 @@
     CHECK(f.discovery.resumed_after[1] == "2");
     // Right after a break a purge may have been missed: the server is asked.
     const std::size_t asked_before = f.server.seen.size();
-    CHECK(f.request(ask("pages", kObject)) == 200 && f.server.seen.size() == asked_before + 1);
+    CHECK(f.request(make_request("pages", kObject)) == 200 && f.server.seen.size() == asked_before + 1);
     f.discovery.say(
         "id: 2\ndata: {\"no\":2,\"recall\":{\"lot\":3,\"issued\":1}}\n\n"
         "id: 3\ndata: {\"no\":3,\"roster\":{\"version\":2,\"full\":false,\"servers\":[" +
@@ -104,7 +104,7 @@
         server_json("s-b", f.second.address(), "small-box", "active") + "]}}\n\n");
     run_until(f.io, [&] { return f.server.closed == 1; });  // the old server's connection is dropped
     f.wait_for_counter("\npurges 1\n");
-    CHECK(f.request(ask("pages", kObject)) == 200 && f.second.seen.size() == 1);
+    CHECK(f.request(make_request("pages", kObject)) == 200 && f.second.seen.size() == 1);
 }
 
 // Silence without an end: no comment comes, so the connection is taken for dead.
@@ -119,9 +119,9 @@
     f.program.spoil_configuration();
     f.program.hang_up();
     run_until(f.io, [&] { return f.program.logged("reload-failed"); });
-    f.second.act = Server::Act::stay_silent;
+    f.second.behaviour = Server::Behaviour::never_respond;
     Client open{f.io, f.program.at};
-    open.send(ask("pages", "00000000000000bb", 4000));
+    open.send(make_request("pages", "00000000000000bb", 4000));
     run_until(f.io, [&] { return f.second.seen.size() == 2; });
     DiscoveryServer moved{f.io};
     f.program.configure(moved.address(), "2");
@@ -132,7 +132,7 @@
     moved.say("id: 4\ndata: {\"no\":4,\"recall\":{\"lot\":3,\"issued\":1}}\n\n");
     f.wait_for_counter("\npurges 2\n");
     CHECK(f.get("/alive") == 200);
-    f.second.act = Server::Act::answer;
+    f.second.behaviour = Server::Behaviour::answer;
     run_until(f.io, [&] { return open.done; });  // its one answer, from another attempt or a refusal
     CHECK(!open.broken && open.status() >= 200);
     // And again, back to the first.
@@ -166,17 +166,17 @@
 
 // SIGTERM: open requests are finished, new connections are still accepted for a while, then it exits with 0.
 void shutdown_finishes_open_requests(ProgramFixture& f) {
-    f.second.act = Server::Act::stay_silent;
+    f.second.behaviour = Server::Behaviour::never_respond;
     Client slow{f.io, f.program.at};
     const std::size_t seen = f.second.seen.size();
-    slow.send(ask("pages", kObject, 1800));
+    slow.send(make_request("pages", kObject, 1800));
     run_until(f.io, [&] { return f.second.seen.size() > seen; });
     f.program.end();
     run_until(f.io, [&] { return f.get("/alive") == 503; });
     CHECK(f.client->response.body() == "draining");
-    f.second.act = Server::Act::answer;
+    f.second.behaviour = Server::Behaviour::answer;
     Client late{f.io, f.program.at};
-    late.send(ask("pages", "00000000000000aa"));
+    late.send(make_request("pages", "00000000000000aa"));
     run_until(f.io, [&] { return late.done; });
     CHECK(late.status() == 200 && !slow.done);
     run_until(f.io, [&] { return slow.done; });
--- a/tests/silverrail/sockets_test.cpp
+++ b/tests/silverrail/sockets_test.cpp
@@ -29,7 +29,7 @@
     for (std::size_t i = 0; i < server.response.body().size(); ++i)
         server.response.body()[i] = static_cast<char>(i * 31);
     Client client{io, router.server.local()};
-    Request request = ask("pages", kObject);
+    Request request = make_request("pages", kObject);
     request.set(net::http::field::if_none_match, "\"aa11\"");
     client.send(request);
     run_until(io, [&] { return client.done; });
@@ -56,16 +56,17 @@
 
 // Rule 1: one final answer by the deadline, whatever the servers do.
 void every_request_is_answered() {
-    for (const Server::Act act :
-         {Server::Act::stay_silent, Server::Act::reset_after_reading, Server::Act::break_off}) {
+    for (const Server::Behaviour behaviour :
+         {Server::Behaviour::never_respond, Server::Behaviour::reset_after_reading,
+          Server::Behaviour::break_off}) {
         net::asio::io_context io;
         Server server{io};
         Router router{io};
         router.list_with_sources({listed("s-a", server.address())});
-        server.act = act;
+        server.behaviour = behaviour;
         Client client{io, router.server.local()};
         const auto begin = std::chrono::steady_clock::now();
-        client.send(ask("pages", kObject, 400));
+        client.send(make_request("pages", kObject, 400));
         run_until(io, [&] { return client.done; });
         CHECK(std::chrono::steady_clock::now() - begin < 400ms + 5ms + 50ms + 400ms);  // a slow test machine
         CHECK(!client.broken && client.status() >= 429 && client.status() <= 504);
@@ -89,7 +90,7 @@
     Router router{io};
     router.list_with_sources({});  // no server in this zone
     Client client{io, router.server.local()};
-    client.send(ask("pages", kObject, 10'000));
+    client.send(make_request("pages", kObject, 10'000));
     run_until(io, [&] { return client.done; });
     CHECK(client.status() == 503 && client.response["Hold-Off-Ms"] == "250");
 }
@@ -97,19 +98,20 @@
 // Rule 2: a class that must never run twice, on every way an attempt can end.
 void non_idempotent_requests_never_run_twice() {
     struct Case {
-        Server::Act act;
+        Server::Behaviour behaviour;
         bool may_have_run;
     };
-    for (const Case& c : {Case{Server::Act::reset_after_reading, true}, Case{Server::Act::break_off, true},
-                          Case{Server::Act::stay_silent, true}}) {
+    for (const Case& c :
+         {Case{Server::Behaviour::reset_after_reading, true}, Case{Server::Behaviour::break_off, true},
+          Case{Server::Behaviour::never_respond, true}}) {
         net::asio::io_context io;
         Server first{io};
         Server second{io};
         Router router{io};
         router.list_with_sources({listed("s-a", first.address()), listed("s-b", second.address())});
-        first.act = second.act = c.act;
+        first.behaviour = second.behaviour = c.behaviour;
         Client client{io, router.server.local()};
-        client.send(ask("lodge", kObject, 400));
+        client.send(make_request("lodge", kObject, 400));
         run_until(io, [&] { return client.done; });
         CHECK(first.seen.size() + second.seen.size() == 1);
         // Neither 429 nor 503, which would say that a further try is harmless.
@@ -125,7 +127,7 @@
         Router router{io};
         router.list_with_sources({listed("s-a", dead), listed("s-b", up.address())});
         Client client{io, router.server.local()};
-        client.send(ask("lodge", "00000000000000" + std::to_string(10 + i)));
+        client.send(make_request("lodge", "00000000000000" + std::to_string(10 + i)));
         run_until(io, [&] { return client.done; });
         CHECK(client.status() == 200);
     }
@@ -140,15 +142,15 @@
     Router router{io};
     router.list_with_sources({listed("s-a", up.address())});
     Client client{io, router.server.local()};
-    up.act = Server::Act::reset_after_reading;
-    client.send(ask("order", kObject));
+    up.behaviour = Server::Behaviour::reset_after_reading;
+    client.send(make_request("order", kObject));
     run_until(io, [&] { return up.seen.size() == 2; });
-    up.act = Server::Act::answer;
+    up.behaviour = Server::Behaviour::answer;
     run_until(io, [&] { return client.done; });
     CHECK(client.status() == 200 && up.seen.size() >= 2);
     for (const auto& seen : up.seen)
         CHECK(value(seen.request, "Call-Once") == "key-of-" + kObject);
-    Request keyless = ask("order", kObject);
+    Request keyless = make_request("order", kObject);
     keyless.erase("Replay-Key");
     const std::size_t before = up.seen.size();
     client.send(keyless);
@@ -164,11 +166,11 @@
     Router router{io};
     router.list_with_sources({listed("s-a", server.address())});
     Client client{io, router.server.local()};
-    client.send(ask("lodge", kObject));
+    client.send(make_request("lodge", kObject));
     run_until(io, [&] { return client.done; });
-    server.act = Server::Act::reset_after_reading;
+    server.behaviour = Server::Behaviour::reset_after_reading;
     rest(io, router);
-    client.send(ask("lodge", kObject));
+    client.send(make_request("lodge", kObject));
     run_until(io, [&] { return client.done; });
     CHECK(server.seen.size() == 2 && server.seen[1].connection == 1 && server.connections == 1);
     CHECK(client.status() == 502);
@@ -184,7 +186,7 @@
     Client client{io, router.server.local()};
     const auto ask_all = [&] {
         for (int i = 10; i < 30; ++i) {
-            client.send(ask("pages", "00000000000000" + std::to_string(i)));
+            client.send(make_request("pages", "00000000000000" + std::to_string(i)));
             run_until(io, [&] { return client.done; });
             CHECK(client.status() == 200);
         }
@@ -208,10 +210,10 @@
     for (int i = 0; i < 20; ++i) {
         const std::string id = "s-new" + std::to_string(i);
         router.list({listed(id, second.address())});
-        second.act = i % 2 ? Server::Act::answer : Server::Act::stay_silent;
+        second.behaviour = i % 2 ? Server::Behaviour::answer : Server::Behaviour::never_respond;
         const std::size_t seen = second.seen.size();
         Client asks{io, router.server.local()};
-        asks.send(ask("pages", kObject));
+        asks.send(make_request("pages", kObject));
         run_until(io, [&] { return second.seen.size() > seen; });
         if (i % 2)
             run_until(io, [&] { return asks.done; });
@@ -234,7 +236,7 @@
     Client client{io, router.server.local()};
     int refused = 0;
     for (int i = 0; i < 300; ++i) {
-        client.send(ask("pages", kObject));
+        client.send(make_request("pages", kObject));
         run_until(io, [&] { return client.done; });
         refused += client.status() == 503;
     }
@@ -252,7 +254,7 @@
     const auto issued = router.clock.unix_ms() - 200;
     router.engine.apply(core::PurgeNotice{{}, silverrail::routing::GroupId{17}, issued});
     Client client{io, router.server.local()};
-    client.send(ask("pages", kObject));
+    client.send(make_request("pages", kObject));
     // Told while the connection is still coming up: the first byte has not gone out.
     run_until(io, [&] { return router.engine.counters().sent == 1; });
     router.engine.apply(
@@ -261,7 +263,7 @@
     const int oldest = std::stoi(value(server.seen.at(0).request, "No-Older-Than"));
     CHECK(oldest >= 1 && oldest <= router.clock.unix_ms() - (issued + 190));
     CHECK(router.engine.counters().tightened == 1);
-    auto other = ask("pages", "00000000000000ff");
+    auto other = make_request("pages", "00000000000000ff");
     other.set("X-Lot", "18");
     client.send(other);
     run_until(io, [&] { return client.done; });
@@ -274,9 +276,9 @@
     Server server{io};
     Router router{io};
     router.list_with_sources({listed("s-a", server.address())});
-    server.act = Server::Act::stay_silent;
+    server.behaviour = Server::Behaviour::never_respond;
     Client client{io, router.server.local()};
-    client.send(ask("pages", kObject));
+    client.send(make_request("pages", kObject));
     run_until(io, [&] { return server.seen.size() == 1; });
     client.leave();
     run_until(io, [&] { return server.closed == 1; });
@@ -303,7 +305,7 @@
             break;
     }
     CHECK(!files.back());
-    client.send(ask("pages", kObject));
+    client.send(make_request("pages", kObject));
     bool passed = false;
     net::asio::steady_timer a_while{io, 100ms};
     a_while.async_wait([&](const net::error_code&) { passed = true; });
--- a/tests/silverrail/test_fixture.h
+++ b/tests/silverrail/test_fixture.h
@@ -40,7 +40,14 @@
 // A server that answers as it is told to.
 class Server {
 public:
-    enum class Act { answer, stay_silent, reset_after_reading, break_off, close_after_answer, say_raw };
+    enum class Behaviour {
+        answer,
+        never_respond,
+        reset_after_reading,
+        break_off,
+        close_after_answer,
+        say_raw
+    };
     struct Seen {
         Request request;
         std::size_t connection;
@@ -56,7 +63,7 @@
         acceptor_.close();
     }
     // Whatever is open now, as a process that dies does.
-    void reset_all() {
+    void reset_connections() {
         for (const auto& weak : links_)
             if (const auto link = weak.lock(); link && link->socket.is_open()) {
                 link->socket.set_option(net::asio::socket_base::linger(true, 0));
@@ -64,7 +71,7 @@
             }
     }
 
-    Act act = Act::answer;
+    Behaviour behaviour = Behaviour::answer;
     Response response = hit("bytes of the object");
     std::string raw;  // said as it is, with the connection left open
     std::vector<Seen> seen;
@@ -113,26 +120,26 @@
                               });
     }
     void reply(const std::shared_ptr<Link>& link) {
-        if (act == Act::stay_silent)
+        if (behaviour == Behaviour::never_respond)
             return read(link);
-        if (act == Act::reset_after_reading) {
+        if (behaviour == Behaviour::reset_after_reading) {
             link->socket.set_option(net::asio::socket_base::linger(true, 0));
             link->socket.close();
             return;
         }
-        if (act == Act::say_raw) {
+        if (behaviour == Behaviour::say_raw) {
             net::asio::write(link->socket, net::asio::buffer(raw));
             return read(link);
         }
         link->response = response;
         link->response.prepare_payload();
-        if (act == Act::break_off)
+        if (behaviour == Behaviour::break_off)
             link->response.set(net::http::field::content_length, "100000");
         net::http::async_write(link->socket, link->response,
                                [this, link](const net::error_code& error, std::size_t) {
                                    if (error)
                                        return;
-                                   if (act == Act::answer)
+                                   if (behaviour == Behaviour::answer)
                                        return read(link);
                                    link->socket.close();
                                });
@@ -185,7 +192,7 @@
 class RawConnection {
 public:
     explicit RawConnection(net::asio::io_context& io) : socket_(io) {}
-    void say(const std::string& bytes) {
+    void send(const std::string& bytes) {
         net::asio::write(socket_, net::asio::buffer(bytes));
     }
     // False: the other side has reset the connection.
@@ -241,9 +248,10 @@
 };
 
 // One line at a second address, and all that comes back until the other side closes.
-class Caller : public RawConnection {
+class ControlClient : public RawConnection {
 public:
-    Caller(net::asio::io_context& io, const tcp::endpoint& to, const std::string& says) : RawConnection(io) {
+    ControlClient(net::asio::io_context& io, const tcp::endpoint& to, const std::string& says)
+        : RawConnection(io) {
         socket_.connect(to);
         if (!says.empty())
             net::asio::write(socket_, net::asio::buffer(says));
@@ -258,14 +266,14 @@
     bool clean = false;  // it ended, and was not reset
 };
 
-inline std::string call(net::asio::io_context& io, const tcp::endpoint& to, const std::string& line) {
-    Caller caller{io, to, line + "\n"};
+inline std::string send_command(net::asio::io_context& io, const tcp::endpoint& to, const std::string& line) {
+    ControlClient caller{io, to, line + "\n"};
     run_until(io, [&] { return caller.done; });
     CHECK(caller.clean);
     return caller.answer;
 }
 
-inline Request ask(const std::string& class_name, const std::string& object, int wait_ms = 5000) {
+inline Request make_request(const std::string& class_name, const std::string& object, int wait_ms = 5000) {
     const bool write = class_name == "lodge" || class_name == "order";
     Request r{write ? net::http::verb::put : net::http::verb::get,
               "/ops/" + class_name + "/" + object + "/piece-3", 11};
--- a/tests/silverrail/upgrade_test.cpp
+++ b/tests/silverrail/upgrade_test.cpp
@@ -57,7 +57,7 @@
         const bool write = ++asked_ % 5 == 0;
         char object[17];
         std::snprintf(object, sizeof object, "%016zx", asked_ % 400);
-        one->request = test::ask(write ? "lodge" : "pages", object, 3000);
+        one->request = test::make_request(write ? "lodge" : "pages", object, 3000);
         one->request.prepare_payload();
         one->response = {};
         ++one->asked;
@@ -95,7 +95,7 @@
     if (error)
         return false;
     probe.close();
-    return call(io, control, "HEALTH").starts_with("ACK");
+    return send_command(io, control, "HEALTH").starts_with("ACK");
 }
 
 // Two processes of one router, as during an upgrade.
@@ -112,7 +112,7 @@
         CHECK(::waitpid(next, nullptr, 0) == next);
     }
     std::string call(const tcp::endpoint& at, const char* line) {
-        return test::call(io, at, line);
+        return test::send_command(io, at, line);
     }
     // How many servers the process counts as down, with the end of the line.
     std::string down(const tcp::endpoint& at) {
@@ -146,7 +146,7 @@
     CHECK(router.call(router.first, "OFFLINE s-a") == "ACK out\n");
     CHECK(router.call(router.first, "OFFLINE s-a") == "ACK out\n");
     Client client{router.io, router.program.at};
-    client.send(ask("pages", "00000000000000aa"));
+    client.send(make_request("pages", "00000000000000aa"));
     run_until(router.io, [&] { return client.done; });
     CHECK(client.status() == 503 && router.server.seen.empty() && router.down(router.first) == "1\n");
     // In force in the new process from its start, and readmitted there for the old one too.
@@ -190,7 +190,7 @@
     CHECK(router.call(router.second, "ONLINE s-p") == "ACK in use\n");
     CHECK(router.call(router.second, "ONLINE s-a") == "ACK in use\n");
     Client client{router.io, router.program.at};
-    client.send(ask("pages", "00000000000000aa"));
+    client.send(make_request("pages", "00000000000000aa"));
     run_until(router.io, [&] { return client.done; });
     router.wait_for_down(router.first, "0\n");
     router.wait_for_down(router.second, "0\n");
