--- a/src/store/replica_store.cpp
+++ b/src/store/replica_store.cpp
@@ -212,8 +212,8 @@
     return out;
 }
 
-cluster::Replica::OriginLogs ReplicaStore::writer_logs() {
-    cluster::Replica::OriginLogs out;
+cluster::Replica::WriterLogs ReplicaStore::writer_logs() {
+    cluster::Replica::WriterLogs out;
     Statement origins{*this, "SELECT name, number, forgotten FROM origins"};
     while (origins.step()) {
         auto& log = out[origins.text(0)];
--- a/src/store/replica_store.h
+++ b/src/store/replica_store.h
@@ -37,7 +37,7 @@
     }
     // The whole stored state. Throw as the constructor does.
     cluster::Replica::Entries entries();
-    cluster::Replica::OriginLogs writer_logs();
+    cluster::Replica::WriterLogs writer_logs();
     // Writes the changes in one commit; on return they are stored. Throws std::runtime_error, with the file's
     // name, if it is not.
     void write(const cluster::Replica& replica, const cluster::Replica::UnsavedChanges& changes);
--- a/tests/cluster/outlier_consensus_test.cpp
+++ b/tests/cluster/outlier_consensus_test.cpp
@@ -184,14 +184,14 @@
     CHECK(a.set("box/x\ta", "out", kNow));
     for (Time t = 0ms; t < 5s; t += 500ms)
         round(t);
-    CHECK(b.is_set("box/x\ta") && b.origins().contains("a@1") && a.digest() == b.digest());
+    CHECK(b.is_set("box/x\ta") && b.writer_logs().contains("a@1") && a.digest() == b.digest());
     // An expired report is removed from both replicas and the digest; its writer is forgotten later.
     for (Time t = 5s; t < 100s; t += 1s)
         round(t);
     CHECK(!b.is_set("box/x\ta") && b.entries().empty() && b.digest() == ReplicaDigest{});
     for (Time t = 100s; t < 800s; t += 5s)
         round(t);
-    CHECK(!b.origins().contains("a@1") && b.heard_versions().empty());
+    CHECK(!b.writer_logs().contains("a@1") && b.heard_versions().empty());
     // A later report by the same writer is accepted.
     CHECK(a.set("box/y\ta", "out", kNow + 800'000));
     for (Time t = 800s; t < 805s; t += 500ms)
--- a/tests/store/replica_store_test.cpp
+++ b/tests/store/replica_store_test.cpp
@@ -51,7 +51,7 @@
 
 bool holds(ReplicaStore& store, const Replica& replica) {
     const auto origins = store.writer_logs();
-    for (const auto& [origin, log] : replica.origins()) {
+    for (const auto& [origin, log] : replica.writer_logs()) {
         const auto found = origins.find(origin);
         if (found == origins.end() ? log.version > 0 : !same(found->second, log))
             return false;
