--- a/include/silverrail/routing/router.h
+++ b/include/silverrail/routing/router.h
@@ -1,11 +1,12 @@
-// The interface of the decision module: what a program passes to its Router (settings and events), and
-// what the Router asks of it (actions).
+// The public interface of the decision module. A program gives its Router the settings and then events;
+// the Router returns the actions that the program is to carry out.
 //
-// A Router is a deterministic state machine: it reads no clock, keeps no thread and does no I/O. Time comes
-// in with each event, randomness with the seed, so that the same events give the same actions. The
-// implementation is in src/routing/; docs/design.md says what the decisions follow.
+// A Router is a deterministic state machine: it reads no clock, starts no threads and does no I/O. The
+// current time is passed in with each event and the random seed at construction, so the same events always
+// give the same actions. The implementation is in src/routing/; docs/design.md describes the algorithms.
 //
-// Units: durations and times are those of `Span` and `Time`, sizes are kilobytes, rates kilobytes a second.
+// Units: durations are `Span`, points in time are `Time`, sizes are in kilobytes, rates in kilobytes per
+// second.
 #pragma once
 
 #include <chrono>
@@ -19,7 +20,7 @@
 
 namespace silverrail::routing {
 
-// A clock that is never read: it only gives `Time` a type of its own.
+// Never read: makes `Time` a type distinct from the time points of other clocks.
 struct Clock {
     using duration = std::chrono::nanoseconds;
     using rep = duration::rep;
@@ -32,8 +33,8 @@
 
 enum class RequestId : std::uint64_t {};
 enum class ObjectId : std::uint64_t {};
-enum class GroupId : std::uint64_t {};  // of objects that are purged together
-enum class CellId : std::int64_t {};    // of servers that share their idempotency keys
+enum class GroupId : std::uint64_t {};  // objects that are purged together
+enum class CellId : std::int64_t {};    // servers that share idempotency keys
 enum class TimerId : std::uint64_t {};
 
 struct ServerId {
@@ -41,56 +42,56 @@
     auto operator<=>(const ServerId&) const = default;
 };
 
-// ---- Settings: given once, at the start --------------------------------------------------------
+// ---- Settings: passed to the constructor -------------------------------------------------------
 
-// May a request run more than once? keyed: repeats with the same idempotency key are recognised.
+// Whether a request may run more than once. keyed: servers recognise a repeat by its idempotency key.
 enum class Idempotency { idempotent, keyed, none };
-// The servers that recognise each other's idempotency keys.
+// Which servers recognise each other's idempotency keys.
 enum class KeyScope { all, zone, cell };
-// Which cache statuses servers report with their responses: none, hits only, all.
+// Which cache statuses servers report in their responses: none, hits only or all.
 enum class OutcomeDetail { off, hit, all };
-// The meaning of servers' weights. none: every server counts the same.
+// How server weights are interpreted. none: all servers have the same weight.
 enum class ServerWeights { none, nominal, live };
 
 struct ClassSettings {
     std::string name{};
-    Span latency_objective{};  // an answer within this earns its full weight
-    // Multiple of the time that sending the response takes at the top rate; it is added to the objective.
+    Span latency_objective{};  // a response within this time earns the full priority weight
+    // The objective is extended by this multiple of the response's transfer time at the maximum rate.
     double objective_transfer_factor = 0;
-    Span client_timeout{};       // the longest that a client waits for its answer
-    double priority_weight = 1;  // of an answer within the objective
-    double late_weight = 0;      // of a later answer
+    Span client_timeout{};       // how long a client waits for its response
+    double priority_weight = 1;  // of a response within the objective
+    double late_weight = 0;      // of a later response
     Idempotency idempotency = Idempotency::none;
     KeyScope key_scope = KeyScope::cell;
     Span retry_window{};      // keyed: servers recognise a retry for this long after the first attempt
-    Span max_age{};           // 0: a copy is fresh until it is purged
-    Span stale_grace{};       // how far past max_age a stale copy may be served
-    double stale_weight = 0;  // of an answer with a stale copy
-    bool segmented = false;   // objects are requested in segments
-    bool uncached = false;    // requests run at the origin
+    Span max_age{};           // 0: a copy stays fresh until it is purged
+    Span stale_grace{};       // how long after max_age a stale copy may be served
+    double stale_weight = 0;  // of a response from a stale copy
+    bool segmented = false;   // objects are requested segment by segment
+    bool uncached = false;    // responses are not cached; requests run at the origin
 };
 
 struct Settings {
     std::vector<ClassSettings> classes;
     std::string zone{};  // of this router
-    int routers = 1;     // in all zones together
+    int routers = 1;     // in all zones
     int routers_in_zone = 1;
     std::string parent_kind;  // empty: there are no parents
     std::string origin_kind;
     ServerWeights server_weights = ServerWeights::none;
-    double max_response_kb_per_s = 0;  // top rate of one response; 0: unknown
-    double zone_link_kb_per_s = 0;     // of the link that this zone's fills use; 0: unknown
+    double max_response_kb_per_s = 0;  // maximum rate of one response; 0: unknown
+    double zone_link_kb_per_s = 0;     // capacity of the link that carries this zone's fills; 0: unknown
     OutcomeDetail outcome_detail = OutcomeDetail::off;
     bool cancellation_supported = false;
-    bool retry_after_supported = false;   // a rejection may carry a delay before the client's next attempt
-    bool cache_bypass_supported = false;  // requests may be sent straight to a parent or the origin
-    bool coalescing_supported = false;    // servers coalesce a request with a fill that is under way
+    bool retry_after_supported = false;   // a rejection may tell the client when to try again
+    bool cache_bypass_supported = false;  // requests may be sent directly to a parent or the origin
+    bool coalescing_supported = false;    // servers can coalesce a request with a fill in progress
     Span max_retry_after{};
     int max_attempts = 1;
-    Span purge_effective_within{};  // no purged copy is served later than this after the purge
-    Span purge_complete_within{};   // and no server holds one later than this after that
-    // Slow start: the share of its capacity that a server has at its start, how long it takes to reach all of
-    // it, and the multiple of its capacity that overloads it when it is kept up for the window.
+    Span purge_effective_within{};  // no purged copy is served after this delay from the purge
+    Span purge_complete_within{};   // and no server holds one after this further delay
+    // Slow start: the share of its capacity that a server has when it starts, the time it takes to reach full
+    // capacity, and the multiple of its current capacity that overloads it if sustained for the window.
     double slow_start_share = 0;
     Span slow_start_duration{};
     double overload_multiple = 1;
@@ -100,22 +101,22 @@
     double parent_overload_multiple = 1;
 };
 
-// ---- Events: what the program reports ----------------------------------------------------------
+// ---- Events: reported by the program -----------------------------------------------------------
 
 enum class Condition { ready, draining, gone };
 
 struct ListedServer {
     ServerId id{};
     Condition condition = Condition::ready;
-    double weight = 1;  // capacity of its link, in answers at top rate
+    double weight = 1;  // capacity of its link, in concurrent responses at the maximum rate
     CellId cell{};
     std::string zone{};
     std::string kind{};
-    std::optional<Time> started_at{};  // absent: long ago
+    std::optional<Time> started_at{};  // absent: not recently
 };
 
 struct ServerList {
-    bool complete = false;  // a server that is absent from a complete list has left
+    bool complete = false;  // a server absent from a complete list is gone
     std::vector<ListedServer> servers{};
 };
 
@@ -124,14 +125,14 @@
     std::size_t class_index = 0;
     ObjectId object{};
     GroupId group{};
-    std::uint32_t segment = 0;  // of the object, counted from 0
+    std::uint32_t segment = 0;  // zero-based index within the object
     double size_kb = 0;         // 0: unknown
     Time deadline{};
-    bool is_retry = false;    // the client has sent it before
-    bool redirected = false;  // the client goes to the server itself, and may do so again for a while
+    bool is_retry = false;    // the client marked it as a retry
+    bool redirected = false;  // the client is sent to the server and may reuse it for later requests
 };
 
-// The response has begun and is passed on as it comes: the attempt now belongs to the client.
+// The response is being streamed to the client, so the attempt can no longer be retried elsewhere.
 struct ResponseStarted {
     RequestId request{};
     std::uint32_t attempt = 0;
@@ -139,18 +140,18 @@
 
 enum class AttemptStatus {
     success,
-    error,           // an error response, or one that is malformed
-    overloaded,      // rejected by the server, unprocessed
-    timeout,         // the attempt's own timeout, before the request's deadline
+    error,           // an error response or a malformed one
+    overloaded,      // rejected by the server without processing
+    timeout,         // the attempt's own timeout expired before the request's deadline
     connect_failed,  // the connection was refused
-    reset,           // the connection broke after the request was sent
+    reset,           // the connection was lost after the request was sent
     cancelled,
-    not_sent,    // suppressed by the program before the first byte
-    miss,        // the server has no copy and was asked not to fill one
-    unobserved,  // the client was redirected: this router does not see how or whether it ended
+    not_sent,    // suppressed by the program before the first byte was sent
+    miss,        // the server has no copy and was told not to fill
+    unobserved,  // the client was redirected, so this router does not see the result
 };
 
-// Where a response came from, or why there was none, as the server reports it.
+// Where a response came from, or why there was none, as reported by the server.
 enum class CacheStatus {
     none,  // not reported
     hit,
@@ -165,12 +166,12 @@
     origin_failed,
 };
 
-// A server's load report; an absent value was not in it.
+// A server's load report. Values that the server did not report are absent.
 struct LoadReport {
     std::optional<double> in_flight;    // requests
-    std::optional<double> utilisation;  // of its cores, 0 to 1
-    std::optional<double> hit_ratio;    // lately
-    // How full its zone's link is, 1: full; of a parent, the fetches that it has in flight.
+    std::optional<double> utilisation;  // of its CPU cores, 0 to 1
+    std::optional<double> hit_ratio;    // recent
+    // Edge cache: utilisation of its zone's link, where 1 is full. Parent: its number of fetches in flight.
     std::optional<double> link_utilisation;
 };
 
@@ -179,9 +180,9 @@
     std::uint32_t attempt = 0;
     AttemptStatus attempt_status = AttemptStatus::error;
     Span duration{};
-    bool request_completed = false;  // the client has its final answer
+    bool request_completed = false;  // the client has received its final response
     CacheStatus cache_status = CacheStatus::none;
-    Span source_wait{};  // time that the server waited for the source
+    Span source_wait{};  // time the server spent waiting for the source
     LoadReport load{};
 };
 
@@ -190,38 +191,38 @@
 };
 
 struct Purge {
-    std::optional<ObjectId> object{};  // absent: every object of the group
+    std::optional<ObjectId> object{};  // absent: all objects of the group
     GroupId group{};
-    Span age{};  // since it was issued
+    Span age{};  // time since the purge was issued
 };
 
-// A timer set with SetTimer is due.
+// A timer set with SetTimer has expired.
 struct Timer {
     TimerId id{};
 };
 
 using Event = std::variant<ServerList, Request, ResponseStarted, Outcome, ClientClosed, Purge, Timer>;
 
-// ---- Actions: what the Router asks for ---------------------------------------------------------
+// ---- Actions: requested by the Router ----------------------------------------------------------
 
-// How long a server should retain the copy that it fills, compared to others.
+// Priority with which a server should retain the copy that it fills.
 enum class RetentionPriority { no_store = 0, lowest = 1, middle = 2, highest = 3 };
 
 struct Fill {
-    ServerId source{};  // the server to fetch from; the target itself: no fill
+    ServerId source{};  // server to fetch from; the target itself if it must not fill
     RetentionPriority retention = RetentionPriority::no_store;
-    Span max_age{};               // greatest acceptable age of a copy; 0: the class's max_age
-    bool coalesce = false;        // may be coalesced with a fill under way
-    bool revalidate = false;      // a stale copy is to be revalidated
-    bool only_if_cached = false;  // the source answers from its cache or not at all
+    Span max_age{};               // maximum acceptable age of a copy; 0: the class's max_age
+    bool coalesce = false;        // may be coalesced with a fill in progress
+    bool revalidate = false;      // revalidate a stale copy
+    bool only_if_cached = false;  // the source must respond from its cache or report a miss
 };
 
 struct Send {
     RequestId request{};
     ServerId target{};
-    Span timeout{};              // 0: none but the request's deadline
-    std::optional<Fill> fill{};  // absent: the target's own copy, or a write
-    // A retry of a keyed request: no byte of it may be sent at or after this time.
+    Span timeout{};              // 0: only the request's deadline applies
+    std::optional<Fill> fill{};  // absent: the target serves its own copy or runs a write
+    // Set on retries of keyed requests: nothing may be sent at or after this time.
     std::optional<Time> retry_window_end{};
 };
 
@@ -230,13 +231,13 @@
     std::uint32_t attempt = 0;
 };
 
-// A final answer which promises that the request has had no effect: trying again is harmless.
+// A final response which guarantees that retrying is safe: the request had no effect, or a repeat has none.
 struct Reject {
     RequestId request{};
     Span retry_after{};
 };
 
-// A final answer that promises nothing.
+// A final response without such a guarantee: the request may have had an effect.
 struct Fail {
     RequestId request{};
 };
@@ -248,7 +249,7 @@
 
 using Action = std::variant<Send, Cancel, Reject, Fail, SetTimer>;
 
-// The decisions of one router.
+// Makes the routing decisions of one router.
 class Router {
 public:
     Router(Settings settings, std::uint64_t seed);
@@ -256,17 +257,17 @@
     Router(Router&&) noexcept;
     Router& operator=(Router&&) noexcept;
 
-    // Handles an event and returns the actions that it calls for, in order. `now` must not run backwards.
-    // Events of unknown requests or attempts are ignored.
+    // Handles an event and returns the resulting actions in order. `now` must never decrease. Events for
+    // unknown requests or attempts are ignored.
     [[nodiscard]] std::vector<Action> on(const Event& event, Time now);
 
-    // So many processes, this one among them, now act as one router; each uses its share of every budget.
+    // Sets how many processes, including this one, act as one router. Each uses its share of the limits.
     void set_process_count(int processes);
 
-    // Is the server listed as usable, but ejected or slow, so that it gets trial requests at most?
+    // True if discovery lists the server as usable but it is ejected or slow and gets only trial requests.
     [[nodiscard]] bool is_outlier(const ServerId& id) const;
 
-    // Sizes of the router's state, for metrics and tests.
+    // Sizes of the router's internal state, for metrics and tests.
     struct Sizes {
         std::size_t hot_capacity;
         std::size_t tracker_capacity;
--- a/src/routing/attempt_planner.h
+++ b/src/routing/attempt_planner.h
@@ -1,4 +1,5 @@
-// Plans a request's next attempt: target, fill and source, or none where the request is to be given up.
+// Plans the next attempt of a request: its target, fill and source. If there is no useful attempt, the
+// request is given up.
 #pragma once
 
 #include <optional>
@@ -16,13 +17,13 @@
 
 struct AttemptPlan {
     ServerState* target = nullptr;
-    std::optional<Fill> fill{};     // absent: a plain read or write
-    ServerState* source = nullptr;  // that the fill is counted at; null: none
+    std::optional<Fill> fill{};     // absent: a read or write without a fill
+    ServerState* source = nullptr;  // server that the fill is counted against; null: none
 };
 
 class AttemptPlanner {
 public:
-    // What the planner asks; all must outlive it.
+    // All must outlive the planner.
     struct Dependencies {
         const Settings& settings;
         const TargetSelector& targets;
@@ -33,9 +34,9 @@
         const WorkEstimator& work;
         const Random& random;
     };
-    explicit AttemptPlanner(const Dependencies& dependencies) : d_(dependencies) {}
+    explicit AttemptPlanner(const Dependencies& dependencies) : deps_(dependencies) {}
 
-    // Absent: nothing can be sent that would help.
+    // Absent if no attempt is permitted or useful.
     std::optional<AttemptPlan> plan(const OpenRequest& open, Time now) const;
 
 private:
@@ -43,16 +44,17 @@
     std::optional<AttemptPlan> plan_cached(const OpenRequest& open, Time now) const;
     std::optional<AttemptPlan> plan_through_cache(const OpenRequest& open, ServerState& cache,
                                                   ServerState* source, Time now) const;
-    std::optional<AttemptPlan> plan_past_caches(const OpenRequest& open, ServerState* source, Time now) const;
-    Fill fill_through(const OpenRequest& open, const ServerState& cache, const ServerState* source,
-                      Time now) const;
+    std::optional<AttemptPlan> plan_cache_bypass(const OpenRequest& open, ServerState* source,
+                                                 Time now) const;
+    Fill make_fill(const OpenRequest& open, const ServerState& cache, const ServerState* source,
+                   Time now) const;
     Span max_age(const OpenRequest& open, Time now) const;
     bool asks_parent_for_copy_only(const OpenRequest& open) const;
     const ClassSettings& class_of(const OpenRequest& open) const {
-        return d_.settings.classes[open.request.class_index];
+        return deps_.settings.classes[open.request.class_index];
     }
 
-    Dependencies d_;
+    Dependencies deps_;
 };
 
 }  // namespace silverrail::routing
--- a/src/routing/capacity_estimate.cpp
+++ b/src/routing/capacity_estimate.cpp
@@ -13,34 +13,34 @@
 
 constexpr double kMinCacheRequests = 1;
 constexpr double kMinParentRequests = 2;
-constexpr double kChanceDeviations = 2;  // standard deviations by which a share may be passed by chance
+constexpr double kAllowedDeviations = 2;  // standard deviations of random variation allowed above a share
 
-// Fills for each answer at top pace that the zone's link carries.
+// Fills per slot of the zone's link, where a slot is the part that one response uses at the maximum rate.
 constexpr double kFillsPerSlot = 1.2;
 constexpr double kSmallFillsPerSlot = 2;
 constexpr double kMinFills = 1;
-// The link's part of what the zone's caches can send, where the settings don't tell it.
+// Assumed capacity of the zone's link relative to its caches' links, if the settings do not give it.
 constexpr double kAssumedLinkShare = 0.5;
 
-// Reads at the origin of all routers together, in zone links.
-constexpr double kOriginLinks = 3;
+// Limit on the concurrent fetches of all routers at the origin, in multiples of a zone link's capacity.
+constexpr double kMinOriginLinks = 3;
 constexpr double kOriginLinksPerZone = 0.75;
 constexpr double kMinOriginFetches = 1;
 constexpr Span kMaxOriginPause = 8s;
 
-// The most that a share of so many is passed by in chance alone.
-double with_chance(double share) {
-    return share + kChanceDeviations * std::sqrt(share);
+// Upper bound on a count whose mean is `share`, allowing for random variation (Poisson).
+double with_random_variation(double share) {
+    return share + kAllowedDeviations * std::sqrt(share);
 }
 
 }  // namespace
 
-double CapacityEstimator::request_limit(const ServerState& server, double answers_per_slot) const {
+double CapacityEstimator::request_limit(const ServerState& server, double responses_per_slot) const {
     const int routers = server.role == ServerRole::parent ? settings_.routers : settings_.routers_in_zone;
-    const double share = answers_per_slot * server.weight / std::max(1, routers);
+    const double share = responses_per_slot * server.weight / std::max(1, routers);
     if (server.role != ServerRole::cache)
         return std::max(kMinParentRequests, share);
-    return std::max(kMinCacheRequests, cache_factor_.value() * with_chance(share));
+    return std::max(kMinCacheRequests, cache_factor_.value() * with_random_variation(share));
 }
 
 double CapacityEstimator::link_capacity() const {
@@ -55,12 +55,12 @@
 double CapacityEstimator::fill_limit(double work, double mean_work) const {
     const double fills_per_slot = work < mean_work ? kSmallFillsPerSlot : kFillsPerSlot;
     const double share = fills_per_slot * link_capacity() / std::max(1, settings_.routers_in_zone);
-    return std::max(kMinFills, with_chance(share) * fill_factor_.value());
+    return std::max(kMinFills, with_random_variation(share) * fill_factor_.value());
 }
 
 double CapacityEstimator::origin_share() const {
     const double zones = static_cast<double>(settings_.routers) / std::max(1, settings_.routers_in_zone);
-    const double links = std::max(kOriginLinks, kOriginLinksPerZone * zones);
+    const double links = std::max(kMinOriginLinks, kOriginLinksPerZone * zones);
     return links * link_capacity() * origin_factor_.value() / std::max(1, settings_.routers);
 }
 
@@ -72,7 +72,7 @@
     const double pauses_per_fetch = 1 / origin_share() - 1;
     if (pauses_per_fetch <= 0)
         return;
-    // Random, so that the routers do not fall into step.
+    // Randomised so that the routers do not synchronise.
     const double pause = to_seconds(fetch_time) * pauses_per_fetch * (0.5 + random_.next());
     origin_paused_until_ = now + std::min(kMaxOriginPause, to_span(pause));
 }
--- a/src/routing/capacity_estimate.h
+++ b/src/routing/capacity_estimate.h
@@ -1,5 +1,6 @@
-// How many requests servers, the zone's link and the origin bear from this router at once: its share by the
-// settings, times factors that follow from whether answers come in time.
+// Estimates how many concurrent requests of this router the servers, the zone's link and the origin can
+// handle: the router's share according to the settings, multiplied by factors that adapt to whether
+// responses arrive within their latency objective.
 #pragma once
 
 #include <algorithm>
@@ -9,13 +10,13 @@
 
 namespace silverrail::routing {
 
-// A factor of at most 1, with additive increase and multiplicative decrease (AIMD).
+// A factor of at most 1, adjusted by additive increase and multiplicative decrease (AIMD).
 class AimdFactor {
 public:
     explicit AimdFactor(double increase) : increase_(increase) {}
 
     void record(bool in_time) {
-        value_ = in_time ? std::min(1.0, value_ + increase_) : std::max(kLeast, value_ * kDecrease);
+        value_ = in_time ? std::min(1.0, value_ + increase_) : std::max(kMinValue, value_ * kDecrease);
     }
     double value() const {
         return value_;
@@ -23,7 +24,7 @@
 
 private:
     static constexpr double kDecrease = 0.8;
-    static constexpr double kLeast = 0.2;
+    static constexpr double kMinValue = 0.2;
 
     double increase_;
     double value_ = 1;
@@ -31,26 +32,28 @@
 
 class CapacityEstimator {
 public:
-    // How many answers share one slot of a server's link.
-    static constexpr double kCrowded = 1.5;  // another server is preferred
-    static constexpr double kFull = 2.5;     // nothing more is sent
+    // Concurrent responses per slot. A slot is the part of a server's link that one response uses at the
+    // maximum rate.
+    static constexpr double kBusyResponsesPerSlot = 1.5;  // above it, another server is preferred
+    static constexpr double kMaxResponsesPerSlot = 2.5;   // no further requests are sent
 
     // All must outlive the estimator.
     CapacityEstimator(const Settings& settings, const ServerTable& servers, Random& random)
         : settings_(settings), servers_(servers), random_(random) {}
 
-    // Requests of this router that a server bears at once, at so many answers a slot.
-    double request_limit(const ServerState& server, double answers_per_slot) const;
+    // Maximum number of concurrent requests of this router at a server, for a number of responses per slot.
+    double request_limit(const ServerState& server, double responses_per_slot) const;
 
-    // Fills of this router that the zone's link bears at once. `work`: of the one that is to join them;
-    // `mean_work`: of all.
+    // Maximum number of concurrent fills of this router on the zone's link. `work` is that of the fill to
+    // be added, `mean_work` the mean over all cacheable requests.
     double fill_limit(double work, double mean_work) const;
 
-    // May this router begin one more fetch at the origin, with so many in flight?
+    // True if this router may start another fetch at the origin, given the number of its fetches in flight.
     bool origin_admits(double fetches_in_flight, Time now) const;
 
-    // A fetch at the origin has ended. A share of less than one fetch is a share of the time: a pause
-    // follows, in proportion to the time taken.
+    // Called when a fetch at the origin has ended. If this router's share is less than one concurrent
+    // fetch, it may use the origin only part of the time: a pause follows that is proportional to the
+    // duration of the fetch.
     void pause_origin_after(Span fetch_time, Time now);
 
     AimdFactor& cache_factor() {
@@ -69,15 +72,15 @@
         return origin_factor_;
     }
 
-    // The share of requests to edge caches that are misses.
+    // Share of requests to edge caches that miss.
     double miss_share() const {
         return miss_share_;
     }
     void record_cache_lookup(bool hit);
 
 private:
-    static constexpr double kHitIncrease = 0.01;   // a twentieth of all hits may be late
-    static constexpr double kFillIncrease = 0.05;  // a fifth of all fills may be late
+    static constexpr double kHitIncrease = 0.01;   // tolerates a twentieth of all hits being late
+    static constexpr double kFillIncrease = 0.05;  // tolerates a fifth of all fills being late
 
     double link_capacity() const;
     double origin_share() const;
--- a/src/routing/fills_in_flight.cpp
+++ b/src/routing/fills_in_flight.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-constexpr double kHitDuration = 1.5;  // longest that a hit takes, in sending times
+// Maximum duration of a hit, in multiples of the response's expected sending time.
+constexpr double kHitDuration = 1.5;
 
 }  // namespace
 
@@ -16,7 +17,7 @@
     if (!attempt.source && !attempt.direct_read)
         return 0;
     if (hangs_.is_hung(open, attempt, now))
-        return 0;  // it waits for its client's end, not for bytes
+        return 0;  // a hung attempt transfers no bytes
     const double hit_duration = kHitDuration * work_.of_request(open.request);
     const bool certain =
         attempt.direct_read || attempt.known_miss || to_seconds(now - attempt.sent_at) > hit_duration;
--- a/src/routing/fills_in_flight.h
+++ b/src/routing/fills_in_flight.h
@@ -1,4 +1,4 @@
-// Counts this router's fills and fetches at the origin that are under way.
+// Counts this router's fills and origin fetches that are in flight.
 #pragma once
 
 #include "routing/capacity_estimate.h"
@@ -9,19 +9,19 @@
 
 class FillsInFlight {
 public:
-    // All must outlive it.
+    // All must outlive the object.
     FillsInFlight(const Settings& settings, const OpenRequests& requests, const HangDetector& hangs,
                   const WorkEstimator& work, const CapacityEstimator& capacity)
         : settings_(settings), requests_(requests), hangs_(hangs), work_(work), capacity_(capacity) {}
 
-    // Expected number of fills. An attempt that may be a hit counts by the usual share of misses until it has
-    // been in flight for longer than a hit takes.
+    // Expected number of fills. An attempt that may still be a hit counts as the current miss ratio until
+    // it has been in flight for longer than a hit takes.
     double expected(Time now) const;
 
-    // The same for those that one server takes part in, as target or source.
+    // As expected(), but only the fills that involve the server as target or source.
     double expected_at(const ServerState& server, Time now) const;
 
-    // Attempts that are certain to be the origin's work; those of classes that are not cached don't count.
+    // Attempts that are known to be handled by the origin, except those of uncached classes.
     double origin_fetches() const;
 
 private:
--- a/src/routing/hang_detection.cpp
+++ b/src/routing/hang_detection.cpp
@@ -6,11 +6,12 @@
 
 namespace {
 
-constexpr double kUsualLatencies = 3;  // so many usual latencies are not waited for
+// Multiple of a server's mean latency after which an attempt may be hung.
+constexpr double kUsualLatencyFactor = 3;
 
 }  // namespace
 
-double HangDetector::waited(const OpenRequest& open, const Attempt& attempt, Time now) const {
+double HangDetector::relative_wait(const OpenRequest& open, const Attempt& attempt, Time now) const {
     return work_.relative_latency(open.request, now - attempt.sent_at);
 }
 
@@ -21,7 +22,7 @@
     const ServerState* source = attempt.source ? servers_.find(*attempt.source) : nullptr;
     const double usual = std::max(target->relative_latency, source ? source->relative_latency : 0);
     const double least = attempt.source ? kHungFillAfter : kHungAfter;
-    return waited(open, attempt, now) > std::max(least, kUsualLatencies * usual);
+    return relative_wait(open, attempt, now) > std::max(least, kUsualLatencyFactor * usual);
 }
 
 }  // namespace silverrail::routing
--- a/src/routing/hang_detection.h
+++ b/src/routing/hang_detection.h
@@ -1,4 +1,4 @@
-// Attempts that hang: a server that answers other requests may leave a single one without an answer.
+// Detects hung attempts: a server may leave a single request without a response while it responds to others.
 #pragma once
 
 #include "routing/open_request.h"
@@ -9,17 +9,18 @@
 
 class HangDetector {
 public:
-    // Waiting times in latency objectives.
-    static constexpr double kHungAfter = 0.7;      // a request without a fill
-    static constexpr double kHungFillAfter = 1.2;  // a fill may be slow by itself
+    // Waiting times in multiples of the latency objective.
+    static constexpr double kHungAfter = 0.7;      // an attempt without a fill
+    static constexpr double kHungFillAfter = 1.2;  // a fill may be slow without being hung
 
     // Both must outlive the detector.
     HangDetector(const ServerTable& servers, const WorkEstimator& work) : servers_(servers), work_(work) {}
 
-    // How long the attempt has been in flight, in latency objectives of its request.
-    double waited(const OpenRequest& open, const Attempt& attempt, Time now) const;
+    // Time that the attempt has been in flight, in multiples of its request's latency objective.
+    double relative_wait(const OpenRequest& open, const Attempt& attempt, Time now) const;
 
-    // Has its target answered others since, and does it take far longer than target and source usually do?
+    // True if the target has responded to other requests since the attempt was sent and the attempt takes
+    // far longer than usual for its target and source.
     bool is_hung(const OpenRequest& open, const Attempt& attempt, Time now) const;
 
 private:
--- a/src/routing/hashing.cpp
+++ b/src/routing/hashing.cpp
@@ -10,11 +10,11 @@
     return value ^ (value >> 31);
 }
 
-std::uint64_t hash_text(std::string_view text) {
+std::uint64_t hash_string(std::string_view string) {
     constexpr std::uint64_t kOffsetBasis = 0xcbf29ce484222325U;
     constexpr std::uint64_t kPrime = 0x100000001b3U;
     std::uint64_t hash = kOffsetBasis;
-    for (const unsigned char byte : text)
+    for (const unsigned char byte : string)
         hash = (hash ^ byte) * kPrime;
     return mix_bits(hash);
 }
--- a/src/routing/hot_object_tracker.cpp
+++ b/src/routing/hot_object_tracker.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr double kTargetImbalance = 1.5;  // the largest load over the smallest
-constexpr double kTolerance = 0.2;        // of the hits per object: less of a difference is chance
+constexpr double kTargetImbalance = 1.5;  // ratio of the largest to the smallest load
+constexpr double kTolerance = 0.2;        // relative to the hits per object; smaller differences are random
 
 double hits_per_object(std::size_t hits, std::size_t objects) {
     return static_cast<double>(hits) / static_cast<double>(std::max<std::size_t>(1, objects));
@@ -21,7 +21,7 @@
     const auto found = entries_.find(object);
     if (found == entries_.end()) {
         track(object);
-        return Popularity::newcomer;
+        return Popularity::untracked;
     }
     ++(is_hot(found->second) ? epoch_hot_requests_ : epoch_tracked_requests_);
     change_hotness(found->second, +1);
@@ -36,7 +36,7 @@
 Popularity HotObjectTracker::popularity(ObjectId object) const {
     const auto found = entries_.find(object);
     if (found == entries_.end())
-        return Popularity::newcomer;
+        return Popularity::untracked;
     return is_hot(found->second) ? Popularity::hot : Popularity::tracked;
 }
 
@@ -57,7 +57,7 @@
     epoch_tracked_requests_ = 0;
 }
 
-// A newcomer takes the place of the coldest object and inherits its count (space-saving).
+// A new object replaces the coldest one and inherits its count (space-saving algorithm).
 void HotObjectTracker::track(ObjectId object) {
     double inherited = 0;
     if (entries_.size() >= tracker_capacity_)
@@ -83,7 +83,7 @@
     return coldest;
 }
 
-// Restores the invariant that `hot_` holds the hottest objects, as many as it may.
+// Restores the invariant that `hot_` holds the hottest objects, up to its capacity.
 void HotObjectTracker::restore_order() {
     while (hot_.size() > hot_capacity_)
         tracked_.insert(hot_.extract(hot_.begin()));
--- a/src/routing/hot_object_tracker.h
+++ b/src/routing/hot_object_tracker.h
@@ -1,9 +1,9 @@
-// The hot objects among those requested: a space-saving tracker of K objects, the C hottest of which are the
-// hot set. Both sizes adapt to a target imbalance ("Cache on Track", CoT; resizing is the paper's Algorithm
-// 3).
+// Finds the hot objects with a space-saving tracker of K objects, of which the C hottest form the hot set.
+// Both sizes adapt to reach a target load imbalance ("Cache on Track", CoT; resizing is Algorithm 3 of the
+// paper).
 //
-// Objects are ordered by hotness, then by age in the tracker, then by id, so that equal inputs give equal
-// results. Cost: O(log K) for a request.
+// Objects are ordered by hotness, then by time of arrival in the tracker, then by id, so that equal inputs
+// give equal results. A request costs O(log K).
 #pragma once
 
 #include <cstddef>
@@ -16,27 +16,27 @@
 
 namespace silverrail::routing {
 
-// How often an object is requested compared with the others.
-enum class Popularity { newcomer, tracked, hot };
+// How often an object is requested compared to others. untracked: not in the tracker before this request.
+enum class Popularity { untracked, tracked, hot };
 
 class HotObjectTracker {
 public:
     // Counts a request, tracks the object if it is new, and returns its popularity.
     Popularity record_request(ObjectId object);
 
-    // An update of the object makes it less hot.
+    // Records an update of the object, which lowers its hotness.
     void record_update(ObjectId object);
 
-    // The popularity without counting a request.
+    // Returns the popularity without counting a request.
     Popularity popularity(ObjectId object) const;
 
-    // Have as many requests come in this epoch as objects can be tracked?
+    // True if this epoch has had as many requests as the tracker has entries.
     bool is_epoch_full() const {
         return epoch_requests_ >= tracker_capacity_;
     }
 
-    // Resizes the tracker and the hot set, and begins a new epoch. `imbalance`: the largest load of a parent
-    // over the smallest in the epoch that ends.
+    // Resizes the tracker and the hot set and begins a new epoch. `imbalance` is the ratio of the largest
+    // to the smallest parent load in the epoch that ends.
     void end_epoch(double imbalance);
 
     std::size_t hot_capacity() const {
@@ -55,12 +55,12 @@
 private:
     struct Entry {
         double hotness = 0;
-        std::uint64_t arrival = 0;  // its place in the order of arrivals
+        std::uint64_t arrival = 0;  // sequence number of its arrival in the tracker
         ObjectId object{};
         auto operator<=>(const Entry&) const = default;
     };
 
-    static constexpr std::size_t kInitialTrackerCapacity = 2048;  // objects; also the least
+    static constexpr std::size_t kInitialTrackerCapacity = 2048;  // objects; also the minimum
     static constexpr std::size_t kMaxTrackerCapacity = 16384;     // objects; bounds memory
     static constexpr std::size_t kInitialHotCapacity = 64;        // objects
 
--- a/src/routing/outcome_learning.cpp
+++ b/src/routing/outcome_learning.cpp
@@ -3,75 +3,75 @@
 namespace silverrail::routing {
 
 void OutcomeLearner::record(const OpenRequest& open, Attempt& attempt, const Outcome& outcome, Time now) {
-    const Servers servers{d_.servers.find(attempt.target),
-                          attempt.source ? d_.servers.find(*attempt.source) : nullptr};
+    const Servers servers{deps_.servers.find(attempt.target),
+                          attempt.source ? deps_.servers.find(*attempt.source) : nullptr};
     const ServerState* provider = servers.source ? servers.source : servers.target;
-    const bool cached_class = !d_.settings.classes[open.request.class_index].uncached;
+    const bool cached_class = !deps_.settings.classes[open.request.class_index].uncached;
     if (provider && provider->role == ServerRole::origin && cached_class)
-        d_.capacity.pause_origin_after(outcome.duration, now);
+        deps_.capacity.pause_origin_after(outcome.duration, now);
     if (servers.target)
         --servers.target->attempts_in_flight;
     if (servers.source)
         --servers.source->fills_in_flight;
 
-    const Findings findings = examine(open, outcome);
-    attempt.hung = findings.gave_up && d_.hangs.is_hung(open, attempt, now);
+    const Findings findings = evaluate(open, outcome);
+    attempt.hung = findings.timed_out_or_cancelled && deps_.hangs.is_hung(open, attempt, now);
     if (outcome.attempt_status == AttemptStatus::unobserved)
-        return;  // what was charged stands; nothing else was learned
+        return;  // charges to slow-start budgets remain; the result is unknown
     if (servers.target)
-        d_.outliers.record_attempt(*servers.target, attempt, outcome.attempt_status, now);
+        deps_.outliers.record_attempt(*servers.target, attempt, outcome.attempt_status, now);
     learn_latency(servers, attempt, findings);
     if (servers.source)
-        learn_of_source(*servers.source, attempt, outcome, findings, now);
+        learn_about_source(*servers.source, attempt, outcome, findings, now);
     learn_capacity(attempt, outcome, findings);
     if (findings.hit && open.request.size_kb <= 0)
-        d_.work.record_hit(open.request, outcome.duration);
+        deps_.work.record_hit(open.request, outcome.duration);
 }
 
-OutcomeLearner::Findings OutcomeLearner::examine(const OpenRequest& open, const Outcome& outcome) const {
+OutcomeLearner::Findings OutcomeLearner::evaluate(const OpenRequest& open, const Outcome& outcome) const {
     const AttemptStatus status = outcome.attempt_status;
     const CacheStatus cache_status = outcome.cache_status;
     const bool status_unknown = cache_status == CacheStatus::none;
 
     Findings findings;
     findings.succeeded = status == AttemptStatus::success;
-    findings.gave_up = status == AttemptStatus::timeout || status == AttemptStatus::cancelled;
+    findings.timed_out_or_cancelled = status == AttemptStatus::timeout || status == AttemptStatus::cancelled;
     findings.hit = findings.succeeded && cache_status == CacheStatus::hit;
     findings.filled =
         findings.succeeded &&
         (cache_status == CacheStatus::filled || cache_status == CacheStatus::filled_from_origin ||
-         (status_unknown && d_.settings.outcome_detail == OutcomeDetail::off));
-    // A request that hung, or a response that was malformed or cut off, says nothing of the capacities.
+         (status_unknown && deps_.settings.outcome_detail == OutcomeDetail::off));
+    // Hung requests and malformed or truncated responses do not indicate overload.
     const bool response_broken =
         status == AttemptStatus::reset || (status == AttemptStatus::error && status_unknown);
     findings.failed = !findings.succeeded && !response_broken && status != AttemptStatus::miss &&
                       status != AttemptStatus::cancelled;
-    findings.in_time = findings.succeeded && outcome.duration <= d_.work.latency_objective(open.request);
-    findings.relative_latency = d_.work.relative_latency(open.request, outcome.duration);
+    findings.in_time = findings.succeeded && outcome.duration <= deps_.work.latency_objective(open.request);
+    findings.relative_latency = deps_.work.relative_latency(open.request, outcome.duration);
     return findings;
 }
 
 void OutcomeLearner::learn_latency(const Servers& servers, const Attempt& attempt, const Findings& findings) {
     if (servers.target && findings.hit)
         OutlierDetector::record_latency(*servers.target, findings.relative_latency);
-    const bool source_was_slow = findings.gave_up && !attempt.hung;
+    const bool source_was_slow = findings.timed_out_or_cancelled && !attempt.hung;
     if (servers.source && (findings.filled || source_was_slow))
         OutlierDetector::record_latency(*servers.source, findings.relative_latency);
 }
 
-void OutcomeLearner::learn_of_source(ServerState& source, const Attempt& attempt, const Outcome& outcome,
-                                     const Findings& findings, Time now) {
+void OutcomeLearner::learn_about_source(ServerState& source, const Attempt& attempt, const Outcome& outcome,
+                                        const Findings& findings, Time now) {
     if (findings.filled) {
-        d_.outliers.record_life(source, now);
+        deps_.outliers.record_alive(source, now);
         ++source.epoch_fills;
     } else if (findings.hit && attempt.charged_source) {
         SlowStart::refund(source, attempt.work);
     } else if (outcome.cache_status == CacheStatus::source_unreachable) {
         const bool refused = outcome.attempt_status == AttemptStatus::overloaded;
         if (refused)
-            d_.outliers.record_failure(source, true, OutlierDetector::kFailuresToEject, now);
+            deps_.outliers.record_failure(source, true, OutlierDetector::kFailuresToEject, now);
         else
-            d_.outliers.record_silence(source, attempt.sent_at, now);
+            deps_.outliers.record_unresponsive(source, attempt.sent_at, now);
     }
 }
 
@@ -79,24 +79,24 @@
                                     const Findings& findings) {
     const bool failed = findings.failed && !attempt.hung;
     if (findings.hit || findings.filled)
-        d_.capacity.record_cache_lookup(findings.hit);
+        deps_.capacity.record_cache_lookup(findings.hit);
     if (findings.hit)
-        d_.capacity.cache_factor().record(findings.in_time);
+        deps_.capacity.cache_factor().record(findings.in_time);
     if (findings.filled || (attempt.source && failed))
-        d_.capacity.fill_factor().record(findings.in_time);
+        deps_.capacity.fill_factor().record(findings.in_time);
     const bool read_directly = findings.succeeded && attempt.direct_read;
     if (involved_origin(attempt, outcome) && (findings.filled || failed || read_directly))
-        d_.capacity.origin_factor().record(findings.in_time);
+        deps_.capacity.origin_factor().record(findings.in_time);
 }
 
-// Where responses carry no cache status, the origin had a part in any fill that was not asked of the parent
-// alone.
+// If responses carry no cache status, every fill is taken to involve the origin unless the parent was asked
+// for a cached copy only.
 bool OutcomeLearner::involved_origin(const Attempt& attempt, const Outcome& outcome) const {
     if (outcome.cache_status == CacheStatus::filled_from_origin ||
         outcome.cache_status == CacheStatus::origin_failed || attempt.direct_read)
         return true;
     const bool filled_from_parent =
-        d_.settings.outcome_detail == OutcomeDetail::all && outcome.cache_status == CacheStatus::filled;
+        deps_.settings.outcome_detail == OutcomeDetail::all && outcome.cache_status == CacheStatus::filled;
     return attempt.source && !attempt.only_if_cached && !filled_from_parent;
 }
 
--- a/src/routing/outcome_learning.h
+++ b/src/routing/outcome_learning.h
@@ -1,5 +1,5 @@
-// What the end of an attempt says of its target, of the source behind it, of the origin and of the
-// capacities.
+// Updates what is known of the target, the source, the origin and the capacities from the outcome of an
+// attempt.
 #pragma once
 
 #include "routing/capacity_estimate.h"
@@ -14,7 +14,7 @@
 
 class OutcomeLearner {
 public:
-    // What the learner reads and updates; all must outlive it.
+    // All must outlive the learner.
     struct Dependencies {
         const Settings& settings;
         ServerTable& servers;
@@ -23,13 +23,13 @@
         WorkEstimator& work;
         CapacityEstimator& capacity;
     };
-    explicit OutcomeLearner(const Dependencies& dependencies) : d_(dependencies) {}
+    explicit OutcomeLearner(const Dependencies& dependencies) : deps_(dependencies) {}
 
-    // Takes the attempt off its servers and learns from its outcome.
+    // Removes the attempt from its servers' counts and evaluates its outcome.
     void record(const OpenRequest& open, Attempt& attempt, const Outcome& outcome, Time now);
 
 private:
-    // The servers of the attempt that are still known.
+    // The attempt's servers; null if no longer known.
     struct Servers {
         ServerState* target = nullptr;
         ServerState* source = nullptr;
@@ -38,19 +38,19 @@
         bool succeeded = false;
         bool hit = false;
         bool filled = false;
-        bool failed = false;   // in a way that says something of the capacities
-        bool in_time = false;  // within the latency objective
-        bool gave_up = false;  // timed out or cancelled
+        bool failed = false;                  // in a way that may indicate overload
+        bool in_time = false;                 // within the latency objective
+        bool timed_out_or_cancelled = false;  // timed out or was cancelled
         double relative_latency = 0;
     };
-    Findings examine(const OpenRequest& open, const Outcome& outcome) const;
+    Findings evaluate(const OpenRequest& open, const Outcome& outcome) const;
     void learn_latency(const Servers& servers, const Attempt& attempt, const Findings& findings);
-    void learn_of_source(ServerState& source, const Attempt& attempt, const Outcome& outcome,
-                         const Findings& findings, Time now);
+    void learn_about_source(ServerState& source, const Attempt& attempt, const Outcome& outcome,
+                            const Findings& findings, Time now);
     void learn_capacity(const Attempt& attempt, const Outcome& outcome, const Findings& findings);
     bool involved_origin(const Attempt& attempt, const Outcome& outcome) const;
 
-    Dependencies d_;
+    Dependencies deps_;
 };
 
 }  // namespace silverrail::routing
--- a/src/routing/outlier_detection.cpp
+++ b/src/routing/outlier_detection.cpp
@@ -12,15 +12,15 @@
 
 constexpr Span kMinEjection = 1s;
 constexpr Span kMaxEjection = 8s;
-constexpr double kEjectionJitter = 0.25;      // of the ejection's length, taken off at random
-constexpr double kSlowRatio = 2;              // against the quickest peer
+constexpr double kEjectionJitter = 0.25;      // maximum random reduction, as a share of the ejection's length
+constexpr double kSlowRatio = 2;              // relative to the fastest peer
 constexpr double kLatencySampleWeight = 0.3;  // of a new sample in the running mean
 
 }  // namespace
 
 bool OutlierDetector::is_slow(const ServerState& server) const {
     if (server.relative_latency <= 1)
-        return false;  // its answers still come within their objective
+        return false;  // its responses still meet their objective
     const auto& peers = servers_.listed(server.role);
     return std::ranges::any_of(peers, [&](const ServerState* peer) {
         return is_usable(*peer) && !peer->ejected && peer->relative_latency > 0 &&
@@ -50,26 +50,27 @@
 
 void OutlierDetector::eject(ServerState& server, Time now) {
     server.ejected = true;
-    server.ejection = std::clamp(server.ejection * 2, kMinEjection, kMaxEjection);
-    // All routers lost the server at the same moment; jitter keeps their trials apart.
+    server.ejection_duration = std::clamp(server.ejection_duration * 2, kMinEjection, kMaxEjection);
+    // All routers may eject the server at the same moment; jitter spreads their trial requests over time.
     const double jitter = 1 - kEjectionJitter * random_.next();
-    server.ejected_until = now + to_span(to_seconds(server.ejection) * jitter);
+    server.ejected_until = now + to_span(to_seconds(server.ejection_duration) * jitter);
 }
 
-void OutlierDetector::record_silence(ServerState& server, Time sent_at, Time now) {
-    record_failure(server, servers_.others_alive_since(server, sent_at), kNoAnswerWeight, now);
+void OutlierDetector::record_unresponsive(ServerState& server, Time sent_at, Time now) {
+    record_failure(server, servers_.others_alive_since(server, sent_at), kNoResponseWeight, now);
 }
 
-void OutlierDetector::record_life(ServerState& server, Time now, Time sent_at) {
-    // A process that ended and is back before discovery says so is cold all the same. One that answers what
-    // was in flight when it refused a connection has not ended: its connection table was full.
+void OutlierDetector::record_alive(ServerState& server, Time now, Time sent_at) {
+    // A server that responds again after refusing connections has restarted and is cold, even if discovery
+    // has not reported it yet. If the response is to a request sent before the refusal, the process has not
+    // restarted: its connection table was full.
     if (server.refused_since && server.ejected && sent_at >= *server.refused_since)
         server.started_at = std::max(server.started_at.value_or(now), now);
     server.last_alive = now;
     server.failures = 0;
     server.ejected = false;
     server.refused_since.reset();
-    server.ejection = Span{};
+    server.ejection_duration = Span{};
 }
 
 void OutlierDetector::record_attempt(ServerState& target, const Attempt& attempt, AttemptStatus status,
@@ -78,10 +79,10 @@
         case AttemptStatus::success:
         case AttemptStatus::miss:
         case AttemptStatus::overloaded:
-            record_life(target, now, attempt.sent_at);
+            record_alive(target, now, attempt.sent_at);
             break;
         case AttemptStatus::connect_failed:
-            record_failure(target, true, kNoAnswerWeight, now);
+            record_failure(target, true, kNoResponseWeight, now);
             if (!target.refused_since)
                 target.refused_since = now;
             break;
@@ -91,7 +92,7 @@
             break;
         case AttemptStatus::timeout:
             if (target.last_alive < attempt.sent_at)
-                record_silence(target, attempt.sent_at, now);
+                record_unresponsive(target, attempt.sent_at, now);
             break;
         case AttemptStatus::cancelled:
         case AttemptStatus::not_sent:
--- a/src/routing/purge_history.cpp
+++ b/src/routing/purge_history.cpp
@@ -8,7 +8,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr Span kMargin = 500ms;  // for copies that were on their way when their purge was complete
+constexpr Span kMargin = 500ms;  // for copies that were in transit when their purge completed
 
 }  // namespace
 
@@ -18,10 +18,10 @@
     latest = std::max(latest, purged_at);
 }
 
-void PurgeHistory::forget_completed(Time now) {
-    if (now < swept_at_ + kMargin)
+void PurgeHistory::erase_completed(Time now) {
+    if (now < last_cleanup_ + kMargin)
         return;
-    swept_at_ = now;
+    last_cleanup_ = now;
     const Time completed = now - settings_.purge_complete_within - settings_.purge_effective_within - kMargin;
     std::erase_if(objects_, [completed](const auto& entry) { return entry.second < completed; });
     std::erase_if(groups_, [completed](const auto& entry) { return entry.second < completed; });
--- a/src/routing/purge_history.h
+++ b/src/routing/purge_history.h
@@ -1,4 +1,4 @@
-// The purges of which older copies may still be around, and the age bounds that follow from them.
+// Purges whose purged copies may still exist, and the maximum copy ages that follow from them.
 #pragma once
 
 #include <cstddef>
@@ -11,15 +11,15 @@
 
 class PurgeHistory {
 public:
-    // `settings` must outlive it.
+    // `settings` must outlive the object.
     explicit PurgeHistory(const Settings& settings) : settings_(settings) {}
 
     void record(const Purge& purge, Time now);
 
-    // Drops the purges that every cache has completed by now. Cost: O(n), at most twice a second.
-    void forget_completed(Time now);
+    // Removes the purges that every cache has completed by now. Costs O(n), at most twice per second.
+    void erase_completed(Time now);
 
-    // The age that a copy for the request may have at most; absent: no purge concerns it.
+    // Maximum age of a copy for the request; absent if no purge applies to it.
     std::optional<Span> max_age(const Request& request, Time now) const;
 
     std::size_t size() const {
@@ -30,7 +30,7 @@
     const Settings& settings_;
     std::map<ObjectId, Time> objects_;
     std::map<GroupId, Time> groups_;
-    Time swept_at_{};
+    Time last_cleanup_{};
 };
 
 }  // namespace silverrail::routing
--- a/src/routing/random.h
+++ b/src/routing/random.h
@@ -1,4 +1,4 @@
-// The module's only source of randomness: a sequence that the seed decides, so that a run can be replayed.
+// The module's only source of randomness: a sequence determined by the seed, so that a run can be replayed.
 #pragma once
 
 #include <cstdint>
@@ -11,12 +11,12 @@
 public:
     explicit Random(std::uint64_t seed) : seed_(seed) {}
 
-    // The next number of the sequence, in (0, 1).
+    // Returns the next number of the sequence, in (0, 1).
     double next() {
         return fraction_of(mix_bits(++draws_));
     }
 
-    // A number in (0, 1) that is always the same for the same value on this router; not part of the sequence.
+    // Returns a number in (0, 1) that depends only on the seed and `value`; it does not advance the sequence.
     double fraction_of(std::uint64_t value) const {
         return to_fraction(mix_bits(seed_ ^ value));
     }
--- a/src/routing/retry_policy.cpp
+++ b/src/routing/retry_policy.cpp
@@ -6,7 +6,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr Span kTravelTime = 20ms;  // of a request that is sent at the end of its window
+constexpr Span kNetworkDelay = 20ms;  // of a request sent at the end of the retry window
 
 }  // namespace
 
@@ -16,7 +16,7 @@
     const ClassSettings& request_class = class_of(open);
     for (const Attempt& earlier : open.attempts) {
         if (earlier.in_flight)
-            return false;  // one that was cancelled must have ended first
+            return false;  // a cancelled attempt must end first
         if (!earlier.may_have_run || request_class.idempotency == Idempotency::idempotent)
             continue;
         if (request_class.idempotency == Idempotency::none)
@@ -24,18 +24,18 @@
         if (!shares_keys(request_class.key_scope, earlier.target, target))
             return false;
     }
-    const auto window_end = retry_before(open);
+    const auto window_end = retry_window_end(open);
     return !window_end || now < *window_end;
 }
 
-std::optional<Time> RetryPolicy::retry_before(const OpenRequest& open) const {
+std::optional<Time> RetryPolicy::retry_window_end(const OpenRequest& open) const {
     const auto first_run = std::ranges::find_if(open.attempts, &Attempt::may_have_run);
     if (first_run == open.attempts.end() || class_of(open).idempotency != Idempotency::keyed)
         return std::nullopt;
-    return first_run->sent_at + class_of(open).retry_window - kTravelTime;
+    return first_run->sent_at + class_of(open).retry_window - kNetworkDelay;
 }
 
-// Does `target` know the keys of requests that ran at the earlier target?
+// True if `target` recognises the keys of requests that ran at the earlier target.
 bool RetryPolicy::shares_keys(KeyScope scope, const ServerId& earlier, const ServerState& target) const {
     if (scope == KeyScope::all || earlier == target.id)
         return true;
--- a/src/routing/retry_policy.h
+++ b/src/routing/retry_policy.h
@@ -1,4 +1,4 @@
-// Retries: when a request may be sent again without running twice, and the retry budget.
+// Decides when a request may be retried without running twice, and bounds retries by a budget.
 #pragma once
 
 #include <algorithm>
@@ -11,19 +11,20 @@
 
 class RetryPolicy {
 public:
-    // Both must outlive it.
+    // Both must outlive the policy.
     RetryPolicy(const Settings& settings, const ServerTable& servers)
         : settings_(settings), servers_(servers) {}
 
-    // May the request be sent to `target` now? Never two attempts at once, and a request that is not
-    // idempotent never where an earlier attempt may have run and the repeat would not be recognised.
+    // True if the request may be sent to `target` now. A request never has two attempts in flight. One that
+    // is not idempotent is not sent again if an earlier attempt may have run and `target` would not
+    // recognise the repeat.
     bool may_send(const OpenRequest& open, const ServerState& target, Time now) const;
 
-    // The end of the window in which repeats of a keyed request are recognised; absent unless an attempt of
-    // it may have run.
-    std::optional<Time> retry_before(const OpenRequest& open) const;
+    // End of the window in which repeats of a keyed request are recognised; absent unless an attempt may
+    // have run.
+    std::optional<Time> retry_window_end(const OpenRequest& open) const;
 
-    // Is it true to tell the client that trying again is harmless?
+    // True if the client can safely be told that it may retry.
     bool may_reject(const OpenRequest& open) const;
 
     bool has_attempts_left(const OpenRequest& open) const {
@@ -40,27 +41,27 @@
     const ServerTable& servers_;
 };
 
-// Bounds the retries of a router to a share of its requests, with a burst.
+// Token bucket that limits the retries of a router to a share of its requests plus a burst.
 class RetryBudget {
 public:
     void record_request() {
         tokens_ = std::min(kBurst, tokens_ + kShare);
     }
-    // Takes a token for a retry; false: there is none.
+    // Takes a token for a retry. Returns false if there is none.
     bool try_withdraw() {
         if (tokens_ < 1)
             return false;
         tokens_ -= 1;
         return true;
     }
-    // Is there enough left for retries that are less urgent?
+    // True if enough tokens are left for lower-priority retries.
     bool has_reserve() const {
         return tokens_ > kBurst / 4;
     }
 
 private:
-    static constexpr double kShare = 0.2;  // retries for each request
-    static constexpr double kBurst = 20;   // retries; what one server holds when it dies
+    static constexpr double kShare = 0.2;  // tokens per request
+    static constexpr double kBurst = 20;   // tokens; about the requests in flight at one server when it fails
     double tokens_ = kBurst;
 };
 
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -1,6 +1,6 @@
-// The decision module behind silverrail::routing::Router: a request's life from its arrival to its final
-// answer. The decisions themselves are in the other files of this folder; docs/design.md says what they
-// follow ("Cache on Track", CoT) and what was changed.
+// Implements silverrail::routing::Router: the lifecycle of a request from its arrival to its final
+// response. The decisions are in the other files of this folder; docs/design.md describes the algorithm
+// that they follow ("Cache on Track", CoT) and the differences from it.
 #include "silverrail/routing/router.h"
 
 #include <algorithm>
@@ -31,16 +31,17 @@
 
 constexpr Span kMaxEpoch = 10s;
 
-// Waiting times in latency objectives.
-constexpr double kSilentAfter = 3.0;  // an attempt whose server has given no proof of life
+// Waiting times in multiples of the latency objective.
+// An attempt's server counts as unresponsive if it has sent no response for this long since the attempt.
+constexpr double kUnresponsiveAfter = 3.0;
 constexpr double kCheckInterval = 0.25;
-// Part of a waiting time at which a timer counts as due, as timers are rounded.
+// A timer counts as due at this share of the waiting time, because timers are rounded.
 constexpr double kTimerTolerance = 0.99;
 constexpr Span kMinTimer = 1ms;
-// Fills are only taken for hung while so much of the capacities is trusted: else they may just be slow.
-constexpr double kMinFactorToJudgeFills = 0.9;
+// A fill is only treated as hung while the capacity factors exceed this: below it, fills may just be slow.
+constexpr double kMinFactorForHungFills = 0.9;
 
-// The request never reached the server's handler, so that it is safe to send again.
+// True if the server did not process the request, so that it can safely be sent again.
 bool never_ran(AttemptStatus status) {
     return status == AttemptStatus::overloaded || status == AttemptStatus::connect_failed ||
            status == AttemptStatus::not_sent || status == AttemptStatus::miss;
@@ -56,7 +57,7 @@
         now_ = now;
         if (!epoch_began_)
             epoch_began_ = now;
-        purges_.forget_completed(now);
+        purges_.erase_completed(now);
         std::visit([this](const auto& concrete) { handle(concrete); }, event);
         return std::exchange(actions_, {});
     }
@@ -83,7 +84,7 @@
         return settings_.classes[open.request.class_index];
     }
 
-    // ---- events ----
+    // ---- Events ----
 
     void handle(const ServerList& list) {
         servers_.apply(list, now_);
@@ -114,8 +115,8 @@
         const auto found = requests_.find(closed.request);
         if (found == requests_.end())
             return;
-        found->second.answered = true;
-        forget_if_done(found);
+        found->second.completed = true;
+        erase_if_done(found);
     }
 
     void handle(const Purge& purge) {
@@ -136,44 +137,46 @@
         attempt.may_have_run = !never_ran(outcome.attempt_status);
         learner_.record(open, attempt, outcome, now_);
         if (outcome.request_completed)
-            open.answered = true;
-        if (!open.answered && !open.streaming)
+            open.completed = true;
+        if (!open.completed && !open.streaming)
             retry_or_give_up(open, outcome.attempt_status);
-        forget_if_done(found);
+        erase_if_done(found);
     }
 
-    // Looks at an attempt that is still in flight: has its server, or the source behind it, gone silent?
+    // Checks whether the server of an attempt in flight, or its source, has become unresponsive.
     void handle(const Timer& timer) {
         const auto found = requests_.find(RequestId{static_cast<std::uint64_t>(timer.id)});
-        if (found == requests_.end() || found->second.answered || found->second.streaming)
+        if (found == requests_.end() || found->second.completed || found->second.streaming)
             return;
         OpenRequest& open = found->second;
         const Attempt* attempt = open.attempt_in_flight();
-        if (!attempt || hangs_.waited(open, *attempt, now_) < HangDetector::kHungAfter * kTimerTolerance)
+        if (!attempt ||
+            hangs_.relative_wait(open, *attempt, now_) < HangDetector::kHungAfter * kTimerTolerance)
             return;
-        const bool silent = record_silence(open, *attempt);
+        const bool unresponsive = record_unresponsive(open, *attempt);
         const bool repeatable =
             class_of(open).idempotency == Idempotency::idempotent && retry_policy_.has_attempts_left(open);
-        if ((silent || is_judged_hung(open, *attempt)) && repeatable && retry_budget_.try_withdraw())
+        if ((unresponsive || counts_as_hung(open, *attempt)) && repeatable && retry_budget_.try_withdraw())
             actions_.emplace_back(
                 Cancel{open.request.id, static_cast<std::uint32_t>(open.attempts.size() - 1)});
         else if (now_ < open.request.deadline)
             set_timer(open, kCheckInterval);
     }
 
-    // ---- popularity ----
+    // ---- Popularity ----
 
     Popularity popularity_of(const Request& request) {
-        // A client's retry says nothing of how much the object is wanted, so it does not count.
+        // A client's retry does not indicate demand for the object, so it is not counted.
         const Popularity popularity =
             request.is_retry ? tracker_.popularity(request.object) : tracker_.record_request(request.object);
-        if (popularity == Popularity::newcomer && !is_likely_first_in_zone(request.object))
+        if (popularity == Popularity::untracked && !is_likely_first_in_zone(request.object))
             return Popularity::tracked;
         return popularity;
     }
 
-    // This router sees one in so many of its zone's requests: its first for an object is the zone's first as
-    // seldom, and else the object was requested at other routers before.
+    // Each of the zone's N routers gets one in N of the zone's requests. Its first request for an object is
+    // therefore the zone's first for only about one in N objects; the others were requested at other
+    // routers before.
     bool is_likely_first_in_zone(ObjectId object) const {
         const double fraction = random_.fraction_of(mix_bits(static_cast<std::uint64_t>(object)));
         return fraction * (settings_.routers_in_zone - 1) < 1;
@@ -186,7 +189,7 @@
         epoch_began_ = now_;
     }
 
-    // ---- attempts ----
+    // ---- Attempts ----
 
     void send_or_give_up(OpenRequest& open) {
         if (auto plan = planner_.plan(open, now_))
@@ -198,13 +201,13 @@
     void send(OpenRequest& open, AttemptPlan plan) {
         Attempt attempt = start_attempt(open, plan);
         actions_.emplace_back(Send{open.request.id, plan.target->id, timeout_of(open), std::move(plan.fill),
-                                   retry_policy_.retry_before(open)});
+                                   retry_policy_.retry_window_end(open)});
         open.attempts.push_back(std::move(attempt));
         if (settings_.cancellation_supported)
             set_timer(open, HangDetector::kHungAfter);
     }
 
-    // Counts a new attempt at its servers.
+    // Creates an attempt and counts it at its servers.
     Attempt start_attempt(const OpenRequest& open, const AttemptPlan& plan) {
         ServerState& target = *plan.target;
         Attempt attempt;
@@ -228,14 +231,14 @@
         return attempt;
     }
 
-    // Where nothing can be cancelled, a timeout at the objective is what lets a further attempt start. 0:
-    // none.
+    // Without support for cancellation, a timeout at the latency objective is what allows a retry. 0: no
+    // timeout.
     Span timeout_of(const OpenRequest& open) const {
         const bool retry_is_possible = static_cast<int>(open.attempts.size()) + 1 < settings_.max_attempts &&
                                        class_of(open).idempotency == Idempotency::idempotent;
         if (settings_.cancellation_supported || !retry_is_possible)
             return Span{};
-        const double objectives = open.request.size_kb > 0 ? 1 : kSilentAfter;
+        const double objectives = open.request.size_kb > 0 ? 1 : kUnresponsiveAfter;
         return to_span(to_seconds(work_.latency_objective(open.request)) * objectives);
     }
 
@@ -245,31 +248,32 @@
             SetTimer{TimerId{static_cast<std::uint64_t>(open.request.id)}, std::max(kMinTimer, delay)});
     }
 
-    // Has the target, or the parent behind it, given no proof of life since the attempt was sent?
-    bool record_silence(OpenRequest& open, const Attempt& attempt) {
-        if (hangs_.waited(open, attempt, now_) < kSilentAfter * kTimerTolerance)
+    // True if the target or the parent behind it has sent no response since the attempt was sent.
+    bool record_unresponsive(OpenRequest& open, const Attempt& attempt) {
+        if (hangs_.relative_wait(open, attempt, now_) < kUnresponsiveAfter * kTimerTolerance)
             return false;
         ServerState* target = servers_.find(attempt.target);
         if (target && target->last_alive < attempt.sent_at) {
-            ++open.silent_caches;
-            outliers_.record_silence(*target, attempt.sent_at, now_);
+            ++open.unresponsive_caches;
+            outliers_.record_unresponsive(*target, attempt.sent_at, now_);
             return true;
         }
         ServerState* source = attempt.source ? servers_.find(*attempt.source) : nullptr;
         if (!source || source->role != ServerRole::parent || source->last_alive >= attempt.sent_at)
             return false;
-        outliers_.record_silence(*source, attempt.sent_at, now_);
+        outliers_.record_unresponsive(*source, attempt.sent_at, now_);
         return true;
     }
 
-    // Retries of what was rejected or cut off come first: they are early enough to count.
-    bool is_judged_hung(const OpenRequest& open, const Attempt& attempt) const {
+    // Retries of rejected or truncated attempts have priority for the budget, as they start early enough to
+    // succeed.
+    bool counts_as_hung(const OpenRequest& open, const Attempt& attempt) const {
         const double factor = std::min(capacity_.fill_factor().value(), capacity_.origin_factor().value());
-        const bool fills_are_in_time = !attempt.source || factor > kMinFactorToJudgeFills;
+        const bool fills_are_in_time = !attempt.source || factor > kMinFactorForHungFills;
         return fills_are_in_time && retry_budget_.has_reserve() && hangs_.is_hung(open, attempt, now_);
     }
 
-    // An attempt has ended and the client still waits.
+    // Called when an attempt has ended and the client still waits for a response.
     void retry_or_give_up(OpenRequest& open, AttemptStatus status) {
         Attempt& attempt = open.attempts.back();
         record_miss(open, attempt, status);
@@ -278,35 +282,36 @@
             (!servers_.is_usable(attempt.target) || (attempt.source && !servers_.is_usable(*attempt.source)));
         if (status == AttemptStatus::not_sent && !server_left)
             return give_up(open);
-        // A cancelled attempt was paid for when it was cancelled; one that found nothing has cost next to
-        // nothing.
-        const bool is_free = status == AttemptStatus::cancelled || attempt.found_nothing || server_left;
-        if (!is_free && !retry_budget_.try_withdraw())
+        // The token for a cancelled attempt was taken when it was cancelled, and a first miss costs the
+        // servers hardly any work.
+        const bool is_exempt_from_budget =
+            status == AttemptStatus::cancelled || attempt.first_miss || server_left;
+        if (!is_exempt_from_budget && !retry_budget_.try_withdraw())
             return give_up(open);
         send_or_give_up(open);
     }
 
-    // A first miss of a cache, or of a parent that was asked for its copy only, is no failure.
+    // The first miss of a cache, or of a parent asked for a cached copy only, is not a failure.
     static void record_miss(OpenRequest& open, Attempt& attempt, AttemptStatus status) {
         const bool asked_for_copy = attempt.only_if_cached || !attempt.source;
         if (status != AttemptStatus::miss || !asked_for_copy)
             return;
         bool& known = attempt.only_if_cached ? open.parent_missed : open.cache_missed;
-        attempt.found_nothing = !std::exchange(known, true);
-        if (attempt.only_if_cached && attempt.found_nothing)
+        attempt.first_miss = !std::exchange(known, true);
+        if (attempt.only_if_cached && attempt.first_miss)
             open.cache_missed = true;
     }
 
     void give_up(OpenRequest& open) {
-        if (open.answered)
+        if (open.completed)
             return;
-        open.answered = true;
+        open.completed = true;
         if (retry_policy_.may_reject(open))
             actions_.emplace_back(Reject{open.request.id, retry_after(open)});
         else
             actions_.emplace_back(Fail{open.request.id});
         if (open.attempts.empty())
-            forget_if_done(requests_.find(open.request.id));
+            erase_if_done(requests_.find(open.request.id));
     }
 
     Span retry_after(const OpenRequest& open) const {
@@ -315,15 +320,15 @@
                    : Span{};
     }
 
-    void forget_if_done(OpenRequests::iterator found) {
+    void erase_if_done(OpenRequests::iterator found) {
         const OpenRequest& open = found->second;
-        if (open.answered && std::ranges::none_of(open.attempts, &Attempt::in_flight))
+        if (open.completed && std::ranges::none_of(open.attempts, &Attempt::in_flight))
             requests_.erase(found);
     }
 
     Settings settings_;
     Random random_;
-    Time now_{};  // of the event that is being handled
+    Time now_{};  // time of the event being handled
     std::vector<Action> actions_;
     OpenRequests requests_;
     ServerTable servers_{settings_};
@@ -353,7 +358,7 @@
                              .hangs = hangs_,
                              .work = work_,
                              .capacity = capacity_}};
-    int processes_ = 1;  // that count as this router
+    int processes_ = 1;  // that act as this router
 };
 
 Router::Router(Settings settings, std::uint64_t seed)
--- a/src/routing/server_table.cpp
+++ b/src/routing/server_table.cpp
@@ -14,12 +14,12 @@
 
 constexpr double kMinWeight = 0.01;
 
-// Weighted rendezvous hashing: the score depends on the server and the key alone.
+// Weighted rendezvous hashing: the score depends only on the server and the key.
 double rendezvous_score(const ServerState& server, std::uint64_t key) {
     return -server.weight / std::log(to_fraction(mix_bits(server.hash ^ mix_bits(key))));
 }
 
-// A new process starts cold, and what was learned of the old one does not hold for it.
+// A new process starts with a cold cache, and what was learned about the old one does not apply to it.
 void reset_for_new_process(ServerState& server, Time started_at, Time now) {
     server.started_at = started_at;
     server.failures = 0;
@@ -51,7 +51,7 @@
 void ServerTable::update(const ListedServer& listed, Time now) {
     ServerState& server = servers_[listed.id];
     server.id = listed.id;
-    server.hash = hash_text(listed.id.address);
+    server.hash = hash_string(listed.id.address);
     server.role = role_of(listed);
     const bool weighted = settings_.server_weights == ServerWeights::nominal;
     server.weight = weighted ? std::max(listed.weight, kMinWeight) : 1.0;
@@ -68,7 +68,7 @@
         return ServerRole::origin;
     if (!settings_.parent_kind.empty() && listed.kind == settings_.parent_kind)
         return ServerRole::parent;
-    return listed.zone == settings_.zone ? ServerRole::cache : ServerRole::foreign;
+    return listed.zone == settings_.zone ? ServerRole::cache : ServerRole::other_zone;
 }
 
 ServerState* ServerTable::find(const ServerId& id) {
@@ -108,7 +108,7 @@
     double most = 0;
     double fewest = std::numeric_limits<double>::max();
     for (ServerState* parent : listed(ServerRole::parent)) {
-        // The hash gives each parent its weight's share of the fills.
+        // Rendezvous hashing gives each parent a share of the fills that is proportional to its weight.
         const double load = (parent->epoch_fills + 1) / parent->weight;
         most = std::max(most, load);
         fewest = std::min(fewest, load);
--- a/src/routing/server_table.h
+++ b/src/routing/server_table.h
@@ -1,4 +1,4 @@
-// The servers that discovery lists, with what this router knows of each, found by id and by role.
+// The servers known from discovery, indexed by id and role, with this router's state for each of them.
 #pragma once
 
 #include <array>
@@ -13,48 +13,48 @@
 namespace silverrail::routing {
 
 enum class ServerRole {
-    cache,    // an edge cache of this router's zone
-    parent,   // a cache behind the edge caches, shared by all zones
-    origin,   // where objects come from and writes run
-    foreign,  // an edge cache of another zone
+    cache,       // an edge cache of this router's zone
+    parent,      // a cache behind the edge caches, shared by all zones
+    origin,      // where objects come from and writes run
+    other_zone,  // an edge cache of another zone
 };
 inline constexpr std::size_t kServerRoles = 4;
 
 struct ServerState {
     ServerId id;
     std::uint64_t hash = 0;  // of the id
-    ServerRole role = ServerRole::foreign;
+    ServerRole role = ServerRole::other_zone;
     double weight = 1;
     CellId cell{};
     std::string zone;
     bool listed = true;
     bool ready = true;
-    std::optional<Time> started_at;  // absent: long ago
+    std::optional<Time> started_at;  // absent: not recently
 
     int attempts_in_flight = 0;  // of this router, with this server as the target
     int fills_in_flight = 0;     // of this router, with this server as the source
     double epoch_fills = 0;      // fills reported in the current epoch
 
-    // Outlier detection, as target or as source alike.
-    Time last_alive{};  // when it last gave proof of life
-    int failures = 0;   // in a row, weighted
+    // Outlier detection; covers both roles, target and source.
+    Time last_alive{};  // time of its latest response
+    int failures = 0;   // consecutive, weighted
     bool ejected = false;
     Time ejected_until{};
-    Span ejection{};                    // length of the latest ejection
+    Span ejection_duration{};           // duration of the latest ejection
     std::optional<Time> refused_since;  // first refused connection since it was last alive
-    double relative_latency = 0;        // running mean of latency over its objective; 0: not known
+    double relative_latency = 0;        // running mean of latency divided by objective; 0: unknown
 
     // Slow start, in seconds of sending time.
     double slow_start_budget = 0;
     Time slow_start_refilled_at{};
 };
 
-// May new requests be sent to the server, as far as discovery is concerned?
+// True if new requests may be sent to the server according to discovery.
 inline bool is_usable(const ServerState& server) {
     return server.listed && server.ready;
 }
 
-// A server and its place in the order of an object's servers: the lowest cost first.
+// A server and its cost in the order of an object's servers, lowest first.
 struct RankedServer {
     double cost = 0;
     ServerState* server = nullptr;
@@ -65,28 +65,29 @@
     // `settings` must outlive the table.
     explicit ServerTable(const Settings& settings) : settings_(settings) {}
 
-    // Follows a list of discovery. A later start than the known one resets what was learned of the server.
-    // Servers that have left are forgotten once nothing of this router's is in flight there.
+    // Applies a server list. If a server's start time is later than the known one, its learned state is
+    // reset. Servers that have left are removed once this router has nothing in flight there.
     void apply(const ServerList& list, Time now);
 
     ServerState* find(const ServerId& id);
     const ServerState* find(const ServerId& id) const;
     bool is_usable(const ServerId& id) const;
 
-    // Those of a role that are listed, by id. Valid until the next list.
+    // Listed servers of a role, ordered by id. Valid until the next call of apply().
     const std::vector<ServerState*>& listed(ServerRole role) const {
         return by_role_[static_cast<std::size_t>(role)];
     }
 
-    // Those of a role that are listed, in the key's order by weighted rendezvous hashing: the same on every
-    // router. Cost: O(n log n).
+    // Listed servers of a role in the key's order by weighted rendezvous hashing, which is the same on every
+    // router. Costs O(n log n).
     std::vector<RankedServer> in_rendezvous_order(ServerRole role, std::uint64_t key) const;
 
-    // Has any server other than `server` given proof of life since then? For a cache any server counts, for
-    // others only those of the same role.
+    // True if a server other than `server` has responded after `since`. For a cache any server counts,
+    // otherwise only servers of the same role.
     bool others_alive_since(const ServerState& server, Time since) const;
 
-    // The largest load of a parent over the smallest, by the fills reported since the last call.
+    // Returns the ratio of the largest to the smallest parent load, by the fills reported since the last
+    // call.
     double take_parent_imbalance();
 
 private:
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Parts of the router's share; the rest is left for chance in every window.
+// Fractions of the router's share; the remainder is a margin for random variation in every window.
 constexpr double kRateShare = 0.6;
 constexpr double kBurstShare = 0.25;
 
@@ -40,9 +40,9 @@
 
 double SlowStart::refill(ServerState& server, Time now) const {
     const Ramp ramp = ramp_of(server);
-    const double warmth =
+    const double ramp_progress =
         std::clamp(to_seconds(now - *server.started_at) / to_seconds(ramp.duration), 0.0, 1.0);
-    const double capacity_share = ramp.initial_share + (1 - ramp.initial_share) * warmth;
+    const double capacity_share = ramp.initial_share + (1 - ramp.initial_share) * ramp_progress;
     const double share = ramp.overload_multiple * server.weight * capacity_share / std::max(1, ramp.routers);
     const double elapsed = std::max(0.0, to_seconds(now - server.slow_start_refilled_at));
     const double burst = share * kBurstShare * to_seconds(settings_.overload_window);
--- a/src/routing/slow_start.h
+++ b/src/routing/slow_start.h
@@ -1,5 +1,5 @@
-// Slow start: a server that has just started gets no more than this router's share of what a cold server
-// bears, as a token bucket in seconds of sending time.
+// Slow start: limits the requests to a server that has just started to this router's share of what a cold
+// server can handle. Implemented as a token bucket in seconds of sending time.
 #pragma once
 
 #include "routing/server_table.h"
@@ -8,18 +8,18 @@
 
 class SlowStart {
 public:
-    // `settings` must outlive it.
+    // `settings` must outlive the object.
     explicit SlowStart(const Settings& settings) : settings_(settings) {}
 
     bool is_warming_up(const ServerState& server, Time now) const;
 
-    // Is there budget for so much work (seconds)? `countable`: false for a redirected client, which brings
-    // more requests than can be counted and is never covered by a budget.
+    // True if the budget covers `work` (seconds). `countable` is false for a redirected client: the number
+    // of its requests is unknown, so that no budget covers it.
     bool admits(ServerState& server, double work, bool countable, Time now) const;
 
     void charge(ServerState& server, double work, Time now) const;
 
-    // Gives back a charge whose work never reached the server.
+    // Returns a charge for work that did not reach the server.
     static void refund(ServerState& server, double work) {
         server.slow_start_budget += work;
     }
--- a/src/routing/target_selection.cpp
+++ b/src/routing/target_selection.cpp
@@ -8,16 +8,17 @@
 
 namespace {
 
-constexpr double kBusyLatency = 0.5;  // in latency objectives: a slower parent has no room for others' fills
+// In latency objectives: a slower parent gets no fills of other parents' objects.
+constexpr double kMaxLatencyForExtraFills = 0.5;
 
 bool was_tried(const OpenRequest& open, const ServerState& server) {
     return std::any_of(open.attempts.begin(), open.attempts.end(), [&](const Attempt& attempt) {
-        return !attempt.found_nothing && (attempt.target == server.id || attempt.source == server.id);
+        return !attempt.first_miss && (attempt.target == server.id || attempt.source == server.id);
     });
 }
 
-// Segments of one object are spread over the caches: a client asks for one after another, and one cache's
-// link would carry them all.
+// Spreads the segments of an object over the caches: a client requests them one after another, and otherwise
+// the link of a single cache would carry all of them.
 std::uint64_t cache_key(const Request& request, bool segmented) {
     const std::uint64_t segment = segmented ? mix_bits(request.segment + 1) : 0;
     return static_cast<std::uint64_t>(request.object) + segment;
@@ -30,35 +31,37 @@
 }
 
 ServerState* TargetSelector::select_cache(const OpenRequest& open, double work, Time now) const {
-    ServerState* crowded = nullptr;
+    ServerState* busy = nullptr;
     ServerState* tried = nullptr;
     const std::uint64_t key = cache_key(open.request, class_of(open).segmented);
     for (const auto& [cost, cache] : servers_.in_rendezvous_order(ServerRole::cache, key)) {
         if (!is_usable(*cache) || !is_admitted(*cache, open, work, now))
             continue;
-        if (cache->attempts_in_flight >= capacity_.request_limit(*cache, CapacityEstimator::kFull))
+        if (cache->attempts_in_flight >=
+            capacity_.request_limit(*cache, CapacityEstimator::kMaxResponsesPerSlot))
             continue;
-        const double crowded_at = capacity_.request_limit(*cache, CapacityEstimator::kCrowded);
+        const double busy_limit = capacity_.request_limit(*cache, CapacityEstimator::kBusyResponsesPerSlot);
         if (was_tried(open, *cache))
             tried = tried ? tried : cache;
-        else if (cache->attempts_in_flight >= crowded_at)
-            crowded = crowded ? crowded : cache;
+        else if (cache->attempts_in_flight >= busy_limit)
+            busy = busy ? busy : cache;
         else
             return cache;
     }
-    return crowded ? crowded : tried;
+    return busy ? busy : tried;
 }
 
 TargetSelector::Parents TargetSelector::select_parents(const OpenRequest& open, double work,
                                                        double origin_latency, Time now) const {
     Parents found;
-    const double max_latency = std::max(kBusyLatency, origin_latency);
+    const double max_latency = std::max(kMaxLatencyForExtraFills, origin_latency);
     const auto key = static_cast<std::uint64_t>(open.request.object);
-    bool is_first = true;  // of the parents in use, as far as the loop has come
+    bool is_first = true;  // no earlier parent in this order is usable and not ejected
     for (const auto& [cost, parent] : servers_.in_rendezvous_order(ServerRole::parent, key)) {
-        const bool admitted =
-            is_usable(*parent) && !was_tried(open, *parent) && is_admitted(*parent, open, work, now) &&
-            fills_.expected_at(*parent, now) < capacity_.request_limit(*parent, CapacityEstimator::kFull);
+        const bool admitted = is_usable(*parent) && !was_tried(open, *parent) &&
+                              is_admitted(*parent, open, work, now) &&
+                              fills_.expected_at(*parent, now) <
+                                  capacity_.request_limit(*parent, CapacityEstimator::kMaxResponsesPerSlot);
         if (admitted && (is_first || parent->relative_latency <= max_latency)) {
             found.preferred = parent;
             return found;
--- a/src/routing/target_selection.h
+++ b/src/routing/target_selection.h
@@ -1,4 +1,4 @@
-// Chooses the server for an attempt and the source of its fill.
+// Selects the target of an attempt and the source of its fill.
 #pragma once
 
 #include "routing/capacity_estimate.h"
@@ -22,13 +22,15 @@
           capacity_(capacity),
           fills_(fills) {}
 
-    // The edge cache: the object's first in rendezvous order that admits the request and is not crowded; else
-    // the first crowded one; else one that was tried before. Null: none. `work`: expected, in seconds.
+    // Returns the first edge cache in the object's rendezvous order that admits the request and is not
+    // busy; else the first busy one; else one that was tried before; else null. `work` is expected, in
+    // seconds.
     ServerState* select_cache(const OpenRequest& open, double work, Time now) const;
 
-    // The source of a fill: the object's first parent that admits it, or the origin within its limits. A
-    // parent that carries this router's share of its link is passed over, and so is one that is not the
-    // object's first where it is slow and the origin is quicker. Null: none.
+    // Returns the source of a fill: the first parent in the object's order that admits it and is not slow;
+    // else the origin; if the origin is at its limit, the first slow parent. Null: none. A parent is
+    // skipped if this router's share of its link is in use. Only a parent after the object's first counts
+    // as slow, if its latency exceeds both the origin's and a fixed bound.
     ServerState* select_source(const OpenRequest& open, double work, Time now) const;
 
     ServerState* select_origin() const;
@@ -36,7 +38,7 @@
 private:
     struct Parents {
         ServerState* preferred = nullptr;
-        ServerState* slow = nullptr;  // the first that admits the request but is slower than the origin
+        ServerState* slow = nullptr;  // the first that admits the request but is too slow
     };
     Parents select_parents(const OpenRequest& open, double work, double origin_latency, Time now) const;
     bool is_admitted(ServerState& server, const OpenRequest& open, double work, Time now) const;
--- a/src/routing/work_estimate.cpp
+++ b/src/routing/work_estimate.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr double kSampleWeight = 0.05;   // of a new sample in a running mean
-constexpr double kInitialHits = 5;       // that the first estimate counts for
+constexpr double kInitialHits = 5;       // weight of the initial estimate, as a number of hits
 constexpr double kMinObjective = 1e-3;   // seconds
-constexpr double kMinHitWeight = 0.005;  // so that a short fault hardly moves the estimate
+constexpr double kMinHitWeight = 0.005;  // a short fault hardly changes the estimate
 
 }  // namespace
 
@@ -25,7 +25,7 @@
 }
 
 void WorkEstimator::record_size(const Request& request) {
-    if (knows_work(request))
+    if (has_known_work(request))
         update_mean(by_class_[request.class_index].work, request.size_kb / settings_.max_response_kb_per_s);
 }
 
@@ -41,8 +41,8 @@
 }
 
 double WorkEstimator::of_request(const Request& request) const {
-    return knows_work(request) ? request.size_kb / settings_.max_response_kb_per_s
-                               : of_class(request.class_index);
+    return has_known_work(request) ? request.size_kb / settings_.max_response_kb_per_s
+                                   : of_class(request.class_index);
 }
 
 Span WorkEstimator::latency_objective(const Request& request) const {
--- a/src/routing/work_estimate.h
+++ b/src/routing/work_estimate.h
@@ -1,4 +1,5 @@
-// How long answers take to send: the unit of work in budgets and capacities, in seconds at top pace.
+// Estimates the sending time of responses, in seconds at the maximum rate. Budgets and capacities use it as
+// the unit of work.
 #pragma once
 
 #include <cstddef>
@@ -8,21 +9,21 @@
 
 namespace silverrail::routing {
 
-// Moves a running mean towards a sample.
+// Updates an exponentially weighted running mean with a sample.
 void update_mean(double& mean, double sample);
 
 class WorkEstimator {
 public:
-    // `settings` must outlive it. Until sizes or hits tell more, a class's work is taken as its latency
-    // objective.
+    // `settings` must outlive the object. Until sizes or hits are recorded, a class's work is estimated as
+    // its latency objective.
     explicit WorkEstimator(const Settings& settings);
 
-    void record_size(const Request& request);  // of any request that tells its size
+    void record_size(const Request& request);  // ignored if the size is unknown
     void record_cacheable_request(const Request& request);
-    void record_hit(const Request& request, Span latency);  // of a request that does not tell its size
+    void record_hit(const Request& request, Span latency);  // for requests of unknown size
 
-    // Seconds: mean of a class; of this request, by its size where that is told; mean over all cacheable
-    // ones.
+    // In seconds: the mean of a class; the work of a request, from its size if known; the mean over all
+    // cacheable requests.
     double of_class(std::size_t class_index) const {
         return by_class_[class_index].work;
     }
@@ -31,17 +32,17 @@
         return mean_;
     }
 
-    // The time within which an answer to the request earns its full weight.
+    // Time within which a response to the request earns its full weight.
     Span latency_objective(const Request& request) const;
-    // A latency in multiples of the request's objective; one below a millisecond counts as a millisecond.
+    // Latency in multiples of the request's objective. An objective below 1 ms counts as 1 ms.
     double relative_latency(const Request& request, Span latency) const;
 
 private:
     struct ClassEstimate {
         double work = 0;
-        double hits = 0;  // that the estimate rests on
+        double hits = 0;  // number of hits behind the estimate
     };
-    bool knows_work(const Request& request) const {
+    bool has_known_work(const Request& request) const {
         return request.size_kb > 0 && settings_.max_response_kb_per_s > 0;
     }
 
