--- a/adapter/action_writer.cpp
+++ b/adapter/action_writer.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Options of a fill, added up on the wire.
+// Bit flags for the options of a fill.
 constexpr int kCoalesceBit = 1;
 constexpr int kOnlyIfCachedBit = 2;
 constexpr int kRevalidateBit = 8;
@@ -52,8 +52,8 @@
         ((reply_ += ' ', append(values)), ...);
         reply_ += '\n';
     }
-    void append(const std::string& text) {
-        reply_ += text;
+    void append(const std::string& string) {
+        reply_ += string;
     }
     void append(Span span) {
         append(span.count());
--- a/adapter/action_writer.h
+++ b/adapter/action_writer.h
@@ -1,4 +1,4 @@
-// Actions of the decision module as lines of the simulator's wire.
+// Encodes actions of the decision module as lines of the simulator's protocol.
 #pragma once
 
 #include <string>
@@ -7,7 +7,7 @@
 
 namespace silverrail::routing::adapter {
 
-// Appends the action that the router of `instance` asks for to `reply`, with its line's end.
+// Appends an action of the router of `instance` to `reply`, including the newline.
 void append_action(std::string& reply, const std::string& instance, const Action& action);
 
 }  // namespace silverrail::routing::adapter
--- a/adapter/event_parser.h
+++ b/adapter/event_parser.h
@@ -1,4 +1,4 @@
-// Messages of the simulator as events of the decision module.
+// Parses messages of the simulator into events of the decision module.
 #pragma once
 
 #include <cstdint>
@@ -9,26 +9,26 @@
 #include <vector>
 
 #include "silverrail/routing/router.h"
-#include "wire_text.h"
+#include "wire_format.h"
 
 namespace silverrail::routing::adapter {
 
-// Index of each request class by its name in the settings.
+// Maps the name of a request class in the settings to its index.
 using ClassIndex = std::map<std::string, std::size_t, std::less<>>;
-// Server lists by the number that messages refer to them by.
+// Server lists by the number that messages use to refer to them.
 using ServerLists = std::map<std::int64_t, std::vector<ListedServer>>;
 
-// What a message is read against.
+// State that is needed to parse a message.
 struct EventContext {
-    const ClassIndex* classes = nullptr;  // of the router that the message is for; null: it has none
+    const ClassIndex* classes = nullptr;  // of the message's router; null: there is no such router
     const ServerLists& server_lists;
 };
 
-// The event that a message stands for; absent if it stands for none, or for one that needs the router's
-// classes where it has none. Throws WireError.
-std::optional<Event> parse_event(const Words& words, const EventContext& context);
+// Returns the event that a message encodes; absent if it encodes none, or if it is a request and there is no
+// router for it. Throws ProtocolError.
+std::optional<Event> parse_event(const Tokens& tokens, const EventContext& context);
 
-// One row of a server list. Throws WireError.
-ListedServer parse_listed_server(const Words& words);
+// Parses one row of a server list. Throws ProtocolError.
+ListedServer parse_listed_server(const Tokens& tokens);
 
 }  // namespace silverrail::routing::adapter
--- a/adapter/session.cpp
+++ b/adapter/session.cpp
@@ -11,7 +11,7 @@
 #include "message_fields.h"
 #include "settings.h"
 #include "silverrail/routing/router.h"
-#include "wire_text.h"
+#include "wire_format.h"
 
 namespace silverrail::routing::adapter {
 
@@ -21,7 +21,7 @@
 public:
     Session(std::istream& in, std::ostream& out) : in_(in), out_(out) {}
 
-    // Throws WireError; `line_number` is then that of the line it is about.
+    // Throws ProtocolError; line_number() is then the number of the offending line.
     void serve();
     std::size_t line_number() const {
         return line_number_;
@@ -33,15 +33,15 @@
         ClassIndex classes;
     };
 
-    // The next line that is not blank, in words; false at the end of the input.
-    bool next(Words& words);
-    // The next line inside a batch; `expected` names it in the error.
-    void require_next(Words& words, const char* expected);
-    // False at the end of the batch.
-    bool handle(const Words& words);
-    void open_instance(const Words& words);
-    void read_server_list(const Words& words);
-    void handle_event(const Words& words);
+    // Reads the next line that is not empty and splits it into tokens. Returns false at the end of the input.
+    bool next_line(Tokens& tokens);
+    // Reads the next line inside a batch. `expected` names it in the error message.
+    void require_line(Tokens& tokens, const char* expected);
+    // Handles one line of a batch. Returns false at the end of the batch.
+    bool handle(const Tokens& tokens);
+    void open_instance(const Tokens& tokens);
+    void read_server_list(const Tokens& tokens);
+    void handle_event(const Tokens& tokens);
 
     std::istream& in_;
     std::ostream& out_;
@@ -54,59 +54,59 @@
 };
 
 void Session::serve() {
-    Words words;
-    while (next(words)) {
-        if (words[0] != "BATCH")
-            throw WireError("expected BATCH, got '" + std::string{words[0]} + "'");
-        now_ = Time{Span{MessageFields{words, 1}.required_integer(1, "a clock time")}};
+    Tokens tokens;
+    while (next_line(tokens)) {
+        if (tokens[0] != "BATCH")
+            throw ProtocolError("expected BATCH, got '" + std::string{tokens[0]} + "'");
+        now_ = Time{Span{MessageFields{tokens, 1}.required_integer(1, "a clock time")}};
         reply_.clear();
         do {
-            require_next(words, "COMMIT");
-        } while (handle(words));
+            require_line(tokens, "COMMIT");
+        } while (handle(tokens));
         out_ << reply_ << "YIELD\n" << std::flush;
     }
 }
 
-bool Session::next(Words& words) {
+bool Session::next_line(Tokens& tokens) {
     while (std::getline(in_, line_)) {
         ++line_number_;
         if (!line_.empty() && line_.back() == '\r')
             line_.pop_back();
         if (line_.empty())
             continue;
-        words = split(line_, ' ');
+        tokens = split(line_, ' ');
         return true;
     }
     return false;
 }
 
-void Session::require_next(Words& words, const char* expected) {
-    if (!next(words))
-        throw WireError(std::string{"input ended inside a batch, expected "} + expected);
+void Session::require_line(Tokens& tokens, const char* expected) {
+    if (!next_line(tokens))
+        throw ProtocolError(std::string{"input ended inside a batch, expected "} + expected);
 }
 
-bool Session::handle(const Words& words) {
-    const std::string_view name = words[0];
+bool Session::handle(const Tokens& tokens) {
+    const std::string_view name = tokens[0];
     if (name == "COMMIT")
         return false;
     if (name == "ROSTER")
-        read_server_list(words);
+        read_server_list(tokens);
     else if (name == "OPEN_INSTANCE")
-        open_instance(words);
+        open_instance(tokens);
     else if (name == "DESTROY")
-        instances_.erase(MessageFields{words, 1}.required_instance());
+        instances_.erase(MessageFields{tokens, 1}.required_instance());
     else
-        handle_event(words);
+        handle_event(tokens);
     return true;
 }
 
-void Session::open_instance(const Words& words) {
-    const MessageFields fields{words, 2};
+void Session::open_instance(const Tokens& tokens) {
+    const MessageFields fields{tokens, 2};
     const std::string id = fields.required_instance();
     const auto seed = static_cast<std::uint64_t>(fields.required_integer(2, "a seed"));
     Instance& instance = instances_[id] = Instance{};
     try {
-        Settings settings = parse_settings({words.begin() + 3, words.end()});
+        Settings settings = parse_settings({tokens.begin() + 3, tokens.end()});
         for (std::size_t i = 0; i < settings.classes.size(); ++i)
             instance.classes[settings.classes[i].name] = i;
         instance.router.emplace(std::move(settings), seed);
@@ -115,26 +115,26 @@
     }
 }
 
-void Session::read_server_list(const Words& words) {
-    const MessageFields fields{words, 2};
+void Session::read_server_list(const Tokens& tokens) {
+    const MessageFields fields{tokens, 2};
     std::vector<ListedServer>& servers = server_lists_[fields.required_integer(1, "a list number")];
     servers.clear();
     const auto rows = fields.required_integer(2, "a count of entries");
-    Words row;
+    Tokens row;
     for (std::int64_t i = 0; i < rows; ++i) {
-        require_next(row, "ROW");
+        require_line(row, "ROW");
         if (row[0] != "ROW")
-            throw WireError("expected ROW, got '" + std::string{row[0]} + "'");
+            throw ProtocolError("expected ROW, got '" + std::string{row[0]} + "'");
         servers.push_back(parse_listed_server(row));
     }
 }
 
-void Session::handle_event(const Words& words) {
-    const std::string id = MessageFields{words, 1}.required_instance();
+void Session::handle_event(const Tokens& tokens) {
+    const std::string id = MessageFields{tokens, 1}.required_instance();
     const auto found = instances_.find(id);
     Instance* const instance = found != instances_.end() && found->second.router ? &found->second : nullptr;
     const std::optional<Event> event = parse_event(
-        words, {.classes = instance ? &instance->classes : nullptr, .server_lists = server_lists_});
+        tokens, {.classes = instance ? &instance->classes : nullptr, .server_lists = server_lists_});
     if (!event || !instance)
         return;
     for (const Action& action : instance->router->on(*event, now_))
@@ -148,7 +148,7 @@
     try {
         session.serve();
         return 0;
-    } catch (const WireError& error) {
+    } catch (const ProtocolError& error) {
         errors << "line " << session.line_number() << ": " << error.what() << '\n';
         return 2;
     }
--- a/tests/installed/embed_example.h
+++ b/tests/installed/embed_example.h
@@ -4,7 +4,7 @@
 
 namespace embed_example {
 
-// Where a router with one cache, one parent and one origin sends its first request.
+// Returns the target of the first request of a router with one cache, one parent and one origin.
 std::string first_target();
 
 }  // namespace embed_example
