--- a/tests/routing/router_fixture.h
+++ b/tests/routing/router_fixture.h
@@ -1,4 +1,4 @@
-// A router for tests: a Router with a small fleet, a clock that the test moves, and what was last done.
+// Test fixture: a Router with a small set of servers, a clock that the test advances, and the latest actions.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 
 using namespace std::chrono_literals;
 
-inline Settings plain_settings() {
+inline Settings default_settings() {
     Settings s;
     s.zone = "bay";
     s.parent_kind = "parent";
@@ -47,7 +47,7 @@
     return {.id = {std::move(address)}, .weight = 8, .zone = std::move(zone), .kind = std::move(kind)};
 }
 
-inline ServerList plain_fleet(int caches = 3, int parents = 2, bool origin = true) {
+inline ServerList default_servers(int caches = 3, int parents = 2, bool origin = true) {
     ServerList list{.complete = true};
     for (int i = 1; i <= caches; ++i)
         list.servers.push_back(listed("c" + std::to_string(i), "bay", "cache"));
@@ -60,59 +60,61 @@
 
 class TestRouter {
 public:
-    explicit TestRouter(Settings settings = plain_settings(), const ServerList& fleet = plain_fleet())
-        : router{std::move(settings), 7} {
-        notify(fleet);
+    explicit TestRouter(Settings settings = default_settings(),
+                        const ServerList& server_list = default_servers())
+        : instance{std::move(settings), 7} {
+        handle(server_list);
     }
 
-    std::vector<Action> notify(const Event& event) {
-        return last = router.on(event, now);
+    std::vector<Action> handle(const Event& event) {
+        return last_actions = instance.on(event, now);
     }
-    void pass(Span span) {
+    void advance(Span span) {
         now += span;
     }
 
-    // A new request; returns its id.
-    RequestId request(std::uint64_t object, std::size_t class_index = 0, Span patience = 4s,
+    // Sends a new request and returns its id.
+    RequestId request(std::uint64_t object, std::size_t class_index = 0, Span timeout = 4s,
                       GroupId group = {}) {
-        const RequestId id{++ids};
-        notify(Request{.id = id,
+        const RequestId id{++last_id};
+        handle(Request{.id = id,
                        .class_index = class_index,
                        .object = ObjectId{object},
                        .group = group,
-                       .deadline = now + patience});
+                       .deadline = now + timeout});
         return id;
     }
-    std::vector<Action> end(RequestId id, AttemptStatus attempt_status,
-                            CacheStatus cache_status = CacheStatus::none, std::uint32_t attempt = 0,
-                            bool over = false) {
-        return notify(Outcome{.request = id,
+    std::vector<Action> end_attempt(RequestId id, AttemptStatus attempt_status,
+                                    CacheStatus cache_status = CacheStatus::none, std::uint32_t attempt = 0,
+                                    bool completed = false) {
+        return handle(Outcome{.request = id,
                               .attempt = attempt,
                               .attempt_status = attempt_status,
                               .duration = 50ms,
-                              .request_completed = over || attempt_status == AttemptStatus::success,
+                              .request_completed = completed || attempt_status == AttemptStatus::success,
                               .cache_status = cache_status});
     }
-    // Asks and has it served at once; returns the send, or nothing where it was not sent.
+    // Sends a request that succeeds immediately if the router sends it on. Returns the Send action, if any.
     std::optional<Send> serve(std::uint64_t object, CacheStatus cache_status = CacheStatus::hit) {
         const RequestId id = request(object);
-        const auto send = find<Send>();
+        const auto send = find_action<Send>();
         if (send)
-            end(id, AttemptStatus::success, cache_status);
+            end_attempt(id, AttemptStatus::success, cache_status);
         return send;
     }
     template <class Kind>
-    std::optional<Kind> find() const {
-        for (const Action& a : last)
+    std::optional<Kind> find_action() const {
+        for (const Action& a : last_actions)
             if (const auto* found = std::get_if<Kind>(&a))
                 return *found;
         return std::nullopt;
     }
     std::string target() const {
-        return find<Send>() ? find<Send>()->target.address : "";
+        return find_action<Send>() ? find_action<Send>()->target.address : "";
     }
     std::string source() const {
-        return find<Send>() && find<Send>()->fill ? find<Send>()->fill->source.address : "";
+        return find_action<Send>() && find_action<Send>()->fill ? find_action<Send>()->fill->source.address
+                                                                : "";
     }
     ListedServer listed_server(const std::string& address, Condition condition) const {
         const bool cache = address[0] == 'c';
@@ -123,19 +125,19 @@
         entry.condition = condition;
         return entry;
     }
-    void change(const std::string& address, Condition condition) {
-        notify(ServerList{.complete = false, .servers = {listed_server(address, condition)}});
+    void set_condition(const std::string& address, Condition condition) {
+        handle(ServerList{.complete = false, .servers = {listed_server(address, condition)}});
     }
     void restart(const std::string& address, Time since) {
         auto entry = listed_server(address, Condition::ready);
         entry.started_at = since;
-        notify(ServerList{.complete = false, .servers = {entry}});
+        handle(ServerList{.complete = false, .servers = {entry}});
     }
 
-    Router router;
+    Router instance;
     Time now{100s};
-    std::vector<Action> last;
-    std::uint64_t ids = 0;
+    std::vector<Action> last_actions;
+    std::uint64_t last_id = 0;
 };
 
 }  // namespace silverrail::routing::testing
