--- a/tests/fleet/membership_test.cpp
+++ b/tests/fleet/membership_test.cpp
@@ -229,7 +229,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-    return play(argc, argv,
+    return run_scenario(argc, argv,
                 {{"join", join},
                  {"crash", crash},
                  {"stall", stall},
--- a/tests/fleet/outlier_test.cpp
+++ b/tests/fleet/outlier_test.cpp
@@ -126,5 +126,5 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-    return play(argc, argv, {{"shared_outlier", shared_outlier}, {"shared_drain", shared_drain}});
+    return run_scenario(argc, argv, {{"shared_outlier", shared_outlier}, {"shared_drain", shared_drain}});
 }
