--- a/src/cluster/failover/failover.cpp
+++ b/src/cluster/failover/failover.cpp
@@ -11,13 +11,13 @@
 
 namespace {
 
-// A gap between two ticks this long means that the process did not run: what it knows is old.
-constexpr Time kStall{1000};
-constexpr Time kSettleAfterStall{1000};
-constexpr std::size_t kLastTurn = 9;  // further ranks write in the same turn
+// A longer gap between two ticks means that the process was stopped, so that its view is outdated.
+constexpr Time kStallThreshold{1000};
+constexpr Time kSettlingTimeAfterStall{1000};
+constexpr std::size_t kLastTurn = 9;  // routers of higher ranks share this turn
 constexpr int kMaxHoldDownFactor = 8;
 
-// +1: more leaves, -1: less, 0: as much.
+// +1: more requests leave, -1: fewer, 0: as many.
 int direction(const FailoverDecision& before, const FailoverDecision& after) {
     const int change = after.percent_leaving() - before.percent_leaving();
     return change > 0 ? 1 : change < 0 ? -1 : 0;
@@ -38,7 +38,7 @@
 
 Failover::Result Failover::tick(const Input& input) {
     Result out;
-    note_stall(input.now);
+    detect_stall(input.now);
     weights_ = input.weights;
     update_view(input);
     last_tick_ = input.now;
@@ -51,15 +51,15 @@
     return out;
 }
 
-// A writer that was stopped looks anew before it writes anything.
-void Failover::note_stall(Time now) {
-    if (last_tick_ && now - *last_tick_ <= kStall)
+// After a stall the router discards its proposals and waits for a current view before it writes a decision.
+void Failover::detect_stall(Time now) {
+    if (last_tick_ && now - *last_tick_ <= kStallThreshold)
         return;
-    no_writes_before_ = now + kSettleAfterStall;
+    no_writes_before_ = now + kSettlingTimeAfterStall;
     proposals_.clear();
 }
 
-// Those found at the start are no changes.
+// Decisions found at the first tick are not reported as changes.
 std::vector<Failover::Change> Failover::adopt_decisions(const Input& input) {
     std::vector<Change> changes;
     for (auto& [zone, status] : zones_) {
@@ -78,17 +78,18 @@
 
 Failover::Change Failover::record_change(const std::string& zone, ZoneStatus& status,
                                          const FailoverDecision& decision, Time now) {
-    const int turned = direction(status.decision, decision);
+    const int changed_direction = direction(status.decision, decision);
     int& last = last_direction_[zone];
     const auto since_last = now - status.decided_at;
-    const bool flap = turned != 0 && last == -turned && since_last < 2 * settings_.hold_down;
-    if (turned > 0) {
+    const bool flap =
+        changed_direction != 0 && last == -changed_direction && since_last < 2 * settings_.hold_down;
+    if (changed_direction > 0) {
         const bool failed_again = last < 0 && since_last < 2 * status.hold_down_factor * settings_.hold_down;
         status.hold_down_factor =
             failed_again ? std::min(2 * status.hold_down_factor, kMaxHoldDownFactor) : 1;
     }
-    if (turned != 0)
-        last = turned;
+    if (changed_direction != 0)
+        last = changed_direction;
     ++status.changes;
     status.flaps += flap ? 1 : 0;
     return {zone, status.decision, decision, flap};
@@ -108,10 +109,10 @@
         }
         const auto [entry, inserted] = proposals_.try_emplace(zone, Proposal{decision, input.now});
         auto& proposal = entry->second;
-        const auto goes_out = [&status](const FailoverDecision& proposed) {
+        const auto moves_out = [&status](const FailoverDecision& proposed) {
             return direction(status.decision, proposed) > 0;
         };
-        if (!inserted && goes_out(proposal.decision) != goes_out(decision))
+        if (!inserted && moves_out(proposal.decision) != moves_out(decision))
             proposal.since = input.now;
         proposal.decision = decision;
         if (!is_due(zone, proposal, input))
@@ -122,8 +123,8 @@
     return writes;
 }
 
-// A proposal is written once it has stood for the confirmation time, after the hold-down, at this router's
-// turn.
+// A proposal is written once it has held for the confirmation time, the hold-down is over and it is this
+// router's turn.
 bool Failover::is_due(const std::string& zone, const Proposal& proposal, const Input& input) const {
     const auto& status = zones_.at(zone);
     Time due = proposal.since + settings_.confirmation;
@@ -137,7 +138,7 @@
     return input.now >= due + settings_.turn * static_cast<Time::rep>(std::min(rank, kLastTurn));
 }
 
-// By a hash that each epoch deals anew.
+// Ordered by a hash that includes the epoch, so each epoch has another order.
 std::vector<std::string> Failover::writer_order(const std::string& zone, std::uint64_t epoch,
                                                 const std::map<std::string, std::string>& alive) const {
     std::vector<std::pair<std::uint64_t, std::string>> hashed;
@@ -152,7 +153,7 @@
     return out;
 }
 
-// What other zones send into the zone, as a part of its own requests.
+// The requests that other zones send into the zone, relative to the zone's own requests.
 double Failover::spillover_into(const std::string& zone, const ZoneWeights& weights) const {
     double sum = 0;
     for (const auto& [name, status] : zones_) {
@@ -163,8 +164,8 @@
     return sum;
 }
 
-// A zone that takes spillover counts for less to its own routers by as much, so that what all of them send
-// together stays within its bounds: each part here is a part there.
+// The factors are scaled down by the spillover that a zone takes, for its own routers and for those that send
+// into it, so that the load from all routers together stays within what its servers bear.
 std::map<std::string, double> Failover::weight_factors(const ZoneWeights& weights) const {
     std::map<std::string, double> out;
     const auto own = zones_.find(zone_);
@@ -174,7 +175,8 @@
     double scale = 1 / (1 + spillover_into(zone_, weights));
     double leaving = 0;
     for (const auto& [target, percent] : own->second.decision.targets) {
-        // None of the target is listed here. Before there is any list, what was decided holds all the same.
+        // No server of the target is listed here. Before there is any server list, the decision applies as
+        // written.
         const auto weight = weights.find(target);
         if (!weights.empty() && (weight == weights.end() || weight->second <= 0))
             continue;
@@ -182,7 +184,8 @@
         leaving += out[target];
         scale = std::min(scale, 1 / (1 + spillover_into(target, weights)));
     }
-    // As listed; or no target: near, rather than nowhere.
+    // Nothing changes, or no target is listed: then the requests go to the own zone's servers rather than to
+    // none.
     if (out.empty() && (staying <= 0 || (staying >= 1 && scale >= 1)))
         return {};
     for (auto& [target, factor] : out)
--- a/src/cluster/failover/failover.h
+++ b/src/cluster/failover/failover.h
@@ -1,19 +1,18 @@
-// Failover between zones and regions, decided by the routers of a region together.
+// Failover between zones and regions, decided jointly by the routers of a region.
 //
-// A state machine without I/O, clocks or threads, as the rest of src/cluster. Each router of a region
-// computes the same proposal from the same reports (src/cluster/reports); one of them, by its rank for that
-// epoch, writes it as a numbered decision into the replicated state, the next one if nobody did within its
-// turn; every router acts on the decision that is written, never on its own proposal. docs/design/failover.md
-// has the alternatives.
+// A state machine without I/O, clocks or threads, like the rest of src/cluster. Each router of a region
+// computes the same proposal from the same reports (src/cluster/reports). For each epoch the routers take
+// turns in a ranked order: the first one writes the proposal as a numbered decision into the replicated
+// state; if it has not done so within its turn, the next one does. Every router acts on the written decision,
+// never on its own proposal. docs/design/failover.md describes the alternatives.
 //
 // Safety:
-// - Quorum: without a majority of the region's configured routers in view nothing is decided.
-// - Health is the median of a zone's reporters: one router's bad link moves nobody.
+// - Quorum: nothing is decided unless this router sees a majority of the region's configured routers alive.
+// - A zone's health is the median of its reporters, so one router's bad link causes no failover.
 // - At most one change of a zone per hold-down, counted from when this router saw the last one; a zone that
-//   fails again soon after a step back waits longer with the next one.
-// - Back in steps, and only as far as its servers have warmed up; a zone or server that is let in again
-// counts
-//   as just started (core/engine).
+//   fails again soon after a step back waits longer before the next step back.
+// - Requests return in steps, and only as far as the zone's servers have warmed up; a zone or server that is
+//   let in again counts as just started (core/engine).
 #pragma once
 
 #include <cstdint>
@@ -40,11 +39,12 @@
         Time now{};
         UnixMs unix_now = 0;
         ZoneHealth health{};                                        // of the own zone, as this router sees it
-        const std::map<std::string, std::string>* alive = nullptr;  // members to their zones, this one too
+        const std::map<std::string, std::string>* alive = nullptr;  // zones by member, this router included
         const Replica::Entries* reports = nullptr;
         const Replica::Entries* state = nullptr;
         ZoneWeights weights;
-        // Other numbers whenever `alive` or `reports` may have changed; 0: unknown, they are read each time.
+        // These change whenever `alive` or `reports` may have changed; 0: no revision is known, read them at
+        // each tick.
         std::uint64_t alive_revision = 0;
         std::uint64_t reports_revision = 0;
     };
@@ -53,19 +53,20 @@
         std::string zone;
         FailoverDecision decision;
     };
-    // A decision newly in effect here.
+    // A decision that took effect on this router.
     struct Change {
         std::string zone;
         FailoverDecision before;
         FailoverDecision after;
-        bool flap = false;  // turns back what was changed less than two hold-downs ago
+        bool flap = false;  // reverses a change made less than two hold-downs ago
     };
     struct Result {
         std::vector<Write> writes;
         std::vector<Change> changes;
-        // Factors on the weights of zones' servers; empty: the own zone alone, as listed.
+        // Factors for the weights of the zones' servers; empty: only servers of the own zone, with their
+        // listed weights.
         std::map<std::string, double> weight_factors;
-        std::optional<ZoneHealth> report;  // on the own zone; none: this router is no reporter of it
+        std::optional<ZoneHealth> report;  // on the own zone; none: this router is not one of its reporters
     };
     Result tick(const Input& input);
 
@@ -78,7 +79,7 @@
     bool has_quorum() const {
         return has_quorum_;
     }
-    // The members alive that may write that epoch of the zone, in the order of their turns.
+    // The alive members that may write the zone's decision of that epoch, in the order of their turns.
     std::vector<std::string> writer_order(const std::string& zone, std::uint64_t epoch,
                                           const std::map<std::string, std::string>& alive) const;
 
@@ -89,7 +90,7 @@
     };
 
     // Decisions (failover.cpp).
-    void note_stall(Time now);
+    void detect_stall(Time now);
     std::vector<Change> adopt_decisions(const Input& input);
     Change record_change(const std::string& zone, ZoneStatus& status, const FailoverDecision& decision,
                          Time now);
@@ -98,7 +99,7 @@
     std::map<std::string, double> weight_factors(const ZoneWeights& weights) const;
     double spillover_into(const std::string& zone, const ZoneWeights& weights) const;
 
-    // What the view and the reports say (failover_view.cpp).
+    // Reading the members alive, the reports and the overrides (failover_view.cpp).
     void update_view(const Input& input);
     bool update_reporters(const Input& input);
     void update_quorum();
@@ -113,13 +114,13 @@
     ZoneWeights weights_;
     std::map<std::string, Proposal> proposals_;      // by zone
     std::map<std::string, int> last_direction_;      // by zone, of the last change: +1 out, -1 back
-    std::map<std::string, std::string> last_alive_;  // held where no revision tells of a change
+    std::map<std::string, std::string> last_alive_;  // for comparison where no revision is given
     std::uint64_t alive_revision_ = 0;
     std::uint64_t reports_revision_ = 0;
     std::map<std::string, std::set<std::string>> reporters_;  // by zone
     HealthReportFilter report_filter_;
     bool has_quorum_ = false;
-    bool has_decisions_ = false;  // were they read before?
+    bool has_decisions_ = false;  // decisions have been read at least once
     std::optional<Time> last_tick_;
     Time no_writes_before_{};
 };
--- a/src/cluster/failover/failover_codec.h
+++ b/src/cluster/failover/failover_codec.h
@@ -1,4 +1,4 @@
-// The keys and values of failover in the replicated state. The only place that knows their text.
+// The keys and values of failover in the replicated state. No other code knows their format.
 #pragma once
 
 #include <optional>
@@ -16,14 +16,14 @@
 
 // "EPOCH ZONE=PERCENT ...". Decoded: only a valid decision, without timestamp and writer.
 std::string encode(const FailoverDecision& decision);
-std::optional<FailoverDecision> decode_decision(const std::string& text);
+std::optional<FailoverDecision> decode_decision(const std::string& encoded);
 
 // "HEALTHY WARM".
 std::string encode(ZoneHealth health);
-std::optional<ZoneHealth> decode_zone_health(const std::string& text);
+std::optional<ZoneHealth> decode_zone_health(const std::string& encoded);
 
-// "in" or "out"; not for none. Decoded: any other text is none.
+// "in" or "out"; undefined for none. Decoded: any other string is none.
 std::string encode(FailoverOverride value);
-FailoverOverride decode_override(const std::string& text);
+FailoverOverride decode_override(const std::string& encoded);
 
 }  // namespace silverrail::cluster
--- a/src/cluster/failover/failover_decision.h
+++ b/src/cluster/failover/failover_decision.h
@@ -10,17 +10,17 @@
 namespace silverrail::cluster {
 
 struct FailoverDecision {
-    std::uint64_t epoch = 0;             // 0: never decided, all stay in the zone
-    std::map<std::string, int> targets;  // per cent of the requests that leave, by target zone
+    std::uint64_t epoch = 0;             // 0: never decided, all requests stay in the zone
+    std::map<std::string, int> targets;  // per cent of the zone's requests, by the zone that they go to
     HybridTimestamp timestamp = 0;
-    std::string writer;  // who wrote it
+    std::string writer;  // of the decision
 
     int percent_leaving() const;
 };
 
-// The decision of a zone that is in effect. Of those that may stand side by side after a partition: the
-// highest epoch, of that the earliest, so that one written late with the same epoch changes nothing. `entry`
-// may be null.
+// The decision that is in effect for a zone. After a partition there may be several: the one of the highest
+// epoch counts, and of that epoch the earliest, so that one written late with the same epoch changes nothing.
+// `entry` may be null.
 FailoverDecision effective_decision(const ReplicatedEntry* entry);
 
 // Set by an operator for a zone.
--- a/src/cluster/failover/failover_planner.cpp
+++ b/src/cluster/failover/failover_planner.cpp
@@ -12,12 +12,12 @@
     return static_cast<int>(share * 100);
 }
 
-// What the zone does not bear itself, per cent of its requests.
+// The share of its requests that the zone does not bear itself, in per cent.
 int excess_percent(double overprovisioning, double health) {
     return 100 - static_cast<int>(std::lround(overprovisioning * health));
 }
 
-// Shares `amount` among the targets by their capacity, rounded up; the last takes what is left.
+// Distributes `amount` among the targets by their capacity, rounded up; the last one takes the rest.
 void share_among(const std::vector<std::pair<int, std::string>>& targets, int amount, int total_capacity,
                  std::map<std::string, int>& parts) {
     for (const auto& [capacity, target] : targets) {
@@ -30,7 +30,7 @@
     }
 }
 
-// Raises parts that sum up to `sum` to all of the requests, in proportion.
+// Scales parts that add up to `sum` to 100 per cent, in proportion.
 void scale_to_all(std::map<std::string, int>& parts, int sum) {
     int given = 0;
     for (auto& [target, part] : parts) {
@@ -86,7 +86,7 @@
     return std::max(0, excess_percent(settings_.overprovisioning, status.smoothed_health));
 }
 
-// One step towards what is wanted, with hysteresis.
+// One step towards the wanted percentage, with hysteresis.
 int FailoverPlanner::next_percent(const ZoneStatus& status) const {
     const bool overridden = status.override_by_operator != FailoverOverride::none;
     const bool lost = !overridden && *status.health == 0;
@@ -100,15 +100,15 @@
         next = std::min(wanted, current + percent(settings_.step_out));
     else if (wanted < current && (wanted == 0 || !small))
         next = std::max(wanted, current - percent(settings_.step_back));
-    // Back only as far as what came back is warm. The first step warms it; cold servers are no reason to
-    // leave.
+    // Requests return only as far as the recovered servers are warm; the first step back warms them up. Cold
+    // servers are no reason for requests to leave.
     if (next < current && current < 100 && !overridden)
         next =
             std::min(current, std::max(next, excess_percent(settings_.overprovisioning, status.warm_health)));
     return next;
 }
 
-// The own region first, then the others in their order; within one as each zone has capacity to spare.
+// The own region first, then the others in their order; within a region by the spare capacity of its zones.
 std::map<std::string, int> FailoverPlanner::distribute(const std::string& zone, int percent_leaving) const {
     std::map<std::string, int> parts;
     int rest = percent_leaving;
@@ -121,7 +121,8 @@
         rest -= amount;
         share_among(targets, amount, capacity, parts);
     }
-    // Nothing is left at home: rather too much for the others than nobody's.
+    // No request can stay in the zone: overloading the targets is better than leaving requests without a
+    // target.
     if (percent_leaving == 100 && rest > 0 && !parts.empty())
         scale_to_all(parts, 100 - rest);
     return parts;
@@ -135,7 +136,7 @@
     return out;
 }
 
-// With their spare capacity, the most first.
+// The targets with their spare capacity in per cent, the largest first.
 std::vector<std::pair<int, std::string>> FailoverPlanner::targets_in(const std::string& region,
                                                                      const std::string& zone,
                                                                      std::size_t max_targets) const {
@@ -151,7 +152,8 @@
     return out;
 }
 
-// How much of the zone's requests the target may take, per cent of them, beside what it takes from others.
+// The share of the zone's requests, in per cent, that the target can take in addition to what it takes from
+// other zones.
 int FailoverPlanner::spare_capacity(const std::string& zone, const std::string& target) const {
     const auto& status = zones_.at(target);
     if (target == zone || !status.health || status.smoothed_health < settings_.panic_threshold * 100 ||
--- a/src/cluster/failover/failover_planner.h
+++ b/src/cluster/failover/failover_planner.h
@@ -1,8 +1,8 @@
-// What part of a zone's requests is to leave it, and where to.
+// Computes what share of a zone's requests leaves it, and to which zones.
 //
-// Source of the arithmetic: Envoy's priority levels and localities (its documentation, "Priority levels" and
-// "Panic threshold"): a level serves its healthy part times an overprovisioning factor, the rest spills over
-// to the next; a level below the panic threshold is no target. docs/design/failover.md has what differs.
+// The computation follows Envoy's priority levels and localities (its documentation, "Priority levels" and
+// "Panic threshold"): a level serves its healthy share times an overprovisioning factor, the rest spills over
+// to the next; a level below the panic threshold is no target. docs/design/failover.md has the differences.
 #pragma once
 
 #include <map>
@@ -21,8 +21,8 @@
     FailoverPlanner(const FailoverSettings& settings, const ZoneStatuses& zones, const ZoneWeights& weights)
         : settings_(settings), zones_(zones), weights_(weights) {}
 
-    // The next decision of the zone, one step at most from the present one; equal to that where it is to
-    // stay.
+    // The next decision of the zone, at most one step from the current one; equal to it if nothing is to
+    // change.
     FailoverDecision propose(const std::string& zone) const;
 
 private:
--- a/src/cluster/failover/failover_view.cpp
+++ b/src/cluster/failover/failover_view.cpp
@@ -1,4 +1,4 @@
-// What a router reads of the members alive, the health reports and the overrides.
+// Reading of a router's view: the members alive, the health reports and the overrides.
 #include <algorithm>
 #include <chrono>
 #include <cmath>
@@ -14,8 +14,8 @@
 
 namespace {
 
-// A few servers that come and go are smoothed out, a leap in per cent is taken at once.
-constexpr double kHealthLeap = 25;
+// Changes by a few servers are smoothed; a change of this many per cent or more applies at once.
+constexpr double kImmediateHealthChange = 25;
 constexpr std::chrono::duration<double> kSmoothingTime{5};
 
 int median(std::vector<int> values) {
@@ -36,8 +36,8 @@
     read_overrides(input);
 }
 
-// A zone's reporters are the members alive that come first by a hash: the same few on every router with the
-// same view. False: they are as they were.
+// A zone's reporters are the alive members that come first by a hash: every router with the same view selects
+// the same ones. False: the members alive have not changed.
 bool Failover::update_reporters(const Input& input) {
     const bool has_revision = input.alive_revision != 0;
     const bool unchanged =
@@ -93,7 +93,7 @@
         status.health.reset();
         if (healthy.empty() || 2 * healthy.size() <= reporters.size())
             continue;
-        // Of two reports the better one: one router's report moves nobody.
+        // Of two reports the better one counts, so that one router's report causes no failover.
         status.health = median(std::move(healthy));
         status.warm_health = median(std::move(warm));
     }
@@ -103,7 +103,7 @@
     if (!status.health)
         return;
     const double gap = *status.health - status.smoothed_health;
-    if (!last_tick_ || *status.health == 0 || std::abs(gap) >= kHealthLeap) {
+    if (!last_tick_ || *status.health == 0 || std::abs(gap) >= kImmediateHealthChange) {
         status.smoothed_health = *status.health;
         return;
     }
--- a/src/cluster/failover/zone_health.cpp
+++ b/src/cluster/failover/zone_health.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-// A smaller difference, in per cent, is reported once it has lasted.
-constexpr int kReportAtOnce = 25;
-constexpr Time kReportAfter{2000};
+// A smaller difference, in per cent, is reported only after it has lasted for kReportDelay.
+constexpr int kImmediateDifference = 25;
+constexpr Time kReportDelay{2000};
 
-// In steps of five, downwards; the small addition makes up for the rounding of sums.
+// Rounded down to a multiple of five; the small addition compensates for rounding errors of the sums.
 int percent_in_fives(double part, double all) {
     return static_cast<int>(part / all * 20 + 1e-9) * 5;
 }
@@ -44,9 +44,9 @@
         differs_since_.reset();
         return *reported_;
     }
-    const bool at_once =
-        !reported_ || health.healthy == 0 || std::abs(health.healthy - reported_->healthy) >= kReportAtOnce;
-    const bool lasted = differs_since_ && now - *differs_since_ >= kReportAfter;
+    const bool at_once = !reported_ || health.healthy == 0 ||
+                         std::abs(health.healthy - reported_->healthy) >= kImmediateDifference;
+    const bool lasted = differs_since_ && now - *differs_since_ >= kReportDelay;
     if (at_once || lasted) {
         reported_ = health;
         differs_since_.reset();
--- a/src/cluster/failover/zone_health.h
+++ b/src/cluster/failover/zone_health.h
@@ -11,25 +11,25 @@
 // A server of the router's own zone.
 struct ZoneServer {
     double weight = 1;
-    bool outlier = false;  // avoided by this router's own decisions
+    bool outlier = false;  // avoided by this router's own outlier detection
     bool banned = false;   // by an operator
-    // Whether the last probe connected; none: none was due.
+    // Whether the last probe connected; none: no probe was due.
     std::optional<bool> probe_connected;
-    double warm_share = 1;  // of the load that it bears once warmed up
+    double warm_share = 1;  // of its full load that it bears now, while it warms up
 };
 
-// In per cent of the weight of the zone's servers, rounded down to a multiple of five; all of it where there
-// is no server.
+// In per cent of the total weight of the zone's servers, rounded down to a multiple of five; 100 without
+// servers.
 struct ZoneHealth {
     int healthy = 100;
-    int warm = 100;  // of all, what the healthy servers bear now
+    int warm = 100;  // of the total, what the healthy servers bear now
     bool operator==(const ZoneHealth&) const = default;
 };
 
-// `drained`: the zone gets no requests at present, so that only probes tell.
+// `drained`: the zone gets no requests at present, so its health is known from probes only.
 ZoneHealth measure_zone_health(const std::vector<ZoneServer>& servers, bool drained);
 
-// Holds back small changes that do not last: each report goes to every router.
+// Suppresses small changes that do not last, as each report is sent to every router.
 class HealthReportFilter {
 public:
     // The health to report now.
--- a/src/cluster/replicated_state/hybrid_timestamp.h
+++ b/src/cluster/replicated_state/hybrid_timestamp.h
@@ -1,4 +1,4 @@
-// Timestamps that stay close to the wall clock and never run back: a hybrid logical clock (Kulkarni,
+// Timestamps that stay close to the wall clock and never decrease: a hybrid logical clock (Kulkarni,
 // Demirbas, Madappa, Avva, Leone, "Logical Physical Clocks", OPODIS 2014).
 #pragma once
 
@@ -22,7 +22,8 @@
 
 class HybridClock {
 public:
-    // A timestamp later than all given or observed: the wall clock's where that is ahead.
+    // Returns a timestamp greater than all returned or observed before: the wall clock's time if that is
+    // later.
     HybridTimestamp next(UnixMs unix_now) {
         latest_ = std::max(latest_ + 1, hybrid_timestamp(unix_now));
         return latest_;
--- a/src/cluster/replicated_state/replica.cpp
+++ b/src/cluster/replicated_state/replica.cpp
@@ -98,13 +98,13 @@
     entries_[key] = std::move(joined);
     unsaved_.keys.insert(key);
     touch(key);
-    heard_change_ = true;
+    change_merged_ = true;
     out.changed = true;
     return out;
 }
 
-// Leaves out what was cleared and collected here: its version was seen, and no write of its writer is held.
-// True if there was such a write.
+// Removes the writes that were cleared and collected here: those whose version was seen although no write of
+// their writer is held. True if there were any.
 bool Replica::drop_collected_writes(ReplicatedEntry& incoming, const ReplicatedEntry* held) const {
     const auto dropped = std::erase_if(incoming.writes, [&](const auto& item) {
         const auto& [writer, write] = item;
@@ -124,7 +124,7 @@
     ++revision_;
 }
 
-// `partial`: less is held of the key than the change said, so it can't be passed on from here.
+// `partial`: some writes of the change were dropped here, so this replica can't pass the change on.
 void Replica::record_version(const std::string& writer, std::uint64_t version, const std::string& key,
                              bool partial) {
     auto& log = writer_logs_[writer];
@@ -153,7 +153,7 @@
     if (version <= log.version)
         return;
     log.version = version;
-    log.advanced = unix_ms_of(clock_.latest());
+    log.advanced_at = unix_ms_of(clock_.latest());
     unsaved_.writers.insert(writer);
 }
 
--- a/src/cluster/replicated_state/replica.h
+++ b/src/cluster/replicated_state/replica.h
@@ -1,22 +1,22 @@
-// The state that the routers share: keys with values, the same on every router in the end, whatever the order
-// in which changes arrive.
+// The state that all routers share: a map of keys to values. Every router ends up with the same state,
+// whatever the order in which the changes arrive.
 //
-// A state machine without I/O, clocks or threads, as src/cluster/membership is: time comes in with every call
-// (steady for periods, Unix for timestamps), randomness from a seed; every call returns messages to send.
-// What a call changed is to be stored (take_unsaved_changes) before its messages go out: so an answer is an
-// acknowledgement.
+// A state machine without I/O, clocks or threads, like src/cluster/membership: the caller passes in the time
+// (of a steady clock for intervals, Unix time for timestamps) and a seed for the randomness; every call
+// returns the messages to send. The caller stores what a call changed (take_unsaved_changes) before it sends
+// the messages, so that a response acknowledges only changes that are stored.
 //
-// Sources: van Renesse, Dumitriu, Gough, Thomas, "Efficient Reconciliation and Flow Control for Anti-Entropy
-// Protocols" (LADIS 2008): each writer gives its updates versions, peers compare the highest version held of
-// each writer and send what lies above.
+// Anti-entropy follows van Renesse, Dumitriu, Gough, Thomas, "Efficient Reconciliation and Flow Control for
+// Anti-Entropy Protocols" (LADIS 2008): each writer numbers its updates with versions; peers compare the
+// highest version that they hold of each writer and send the updates above it.
 //
-// How copies are merged (docs/design/replication.md): an entry holds one write for each writer that set the
-// key, with that change's version. Whoever sets or clears a key clears the writes that it has seen, and no
-// other: what was set elsewhere meanwhile stays set, as an operator's ban must. Copies are joined write by
-// write, the higher version of each; of several live writes the one with the highest timestamp counts. So
-// every order of delivery ends in one state. A write that is not held although its version was seen has been
-// cleared and collected: an old copy does not bring it back (as in the optimised observed-remove set of
-// Bieniusa et al., 2012).
+// Merging (docs/design/replication.md): an entry holds one write for each writer that set the key, with the
+// version of that change. A router that sets or clears a key clears the writes that it has seen, and no
+// others: what was set concurrently on another router stays set, as an operator's ban must. Two copies of an
+// entry are joined write by write, keeping the higher version of each; of several live writes the one with
+// the highest timestamp counts. So every order of delivery ends in the same state. A write that is not held
+// although its version was seen has been cleared and garbage-collected: an old copy does not restore it (as
+// in the optimised observed-remove set of Bieniusa et al., 2012).
 #pragma once
 
 #include <cstdint>
@@ -38,17 +38,17 @@
 
 struct ReplicaSettings {
     std::uint8_t channel = 0;
-    Time exchange_interval{1000};  // of anti-entropy with one member
-    // The interval for a while after a change was heard of: whoever missed its gossip is found soon. 0: no
-    // faster than ever.
+    Time exchange_interval{1000};  // between anti-entropy exchanges, each with one peer
+    // The interval for 2 s after a change, so that peers that missed its gossip catch up soon. 0: always
+    // exchange_interval.
     Time fast_exchange_interval{200};
-    UnixMs tombstone_retention = 86'400'000;  // the longest absence that catches up by updates alone
-    // Values set longer ago than this are collected too; 0: never. Above 0 every run of a router is a writer
-    // of its own (nothing is stored), so a writer of which nothing is held any more does not count in the
-    // digest, and is removed after writer_retention.
+    UnixMs tombstone_retention = 86'400'000;  // a replica that was away for longer needs a snapshot
+    // Values set longer ago than this are collected too; 0: never. If it is above 0, nothing is stored and
+    // every run of a router is a writer of its own; a writer of which no change is held any more is left out
+    // of the digest and removed after writer_retention.
     UnixMs value_retention = 0;
     UnixMs writer_retention = 600'000;
-    UnixMs max_clock_skew = 10'000;             // a timestamp further ahead of our clock is rejected
+    UnixMs max_clock_skew = 10'000;             // an update from further in the future is not applied
     std::size_t max_exchange_bytes = 64 << 10;  // of updates in one message
     std::size_t max_entries = 20'000;
     std::size_t max_writers = 4'096;
@@ -58,7 +58,7 @@
 struct ReplicaCounters {
     std::uint64_t applied = 0;
     std::uint64_t duplicates = 0;
-    std::uint64_t ahead = 0;  // from further in the future than clocks may differ
+    std::uint64_t ahead = 0;  // from further in the future than max_clock_skew
     std::uint64_t rejected = 0;
     std::uint64_t snapshots = 0;
     std::uint64_t exchanges = 0;
@@ -72,19 +72,20 @@
     using Entries = std::map<std::string, ReplicatedEntry>;  // by key
     using WriterLogs = std::map<std::string, WriterLog>;     // by writer
 
-    // `writer`: this router's, never used by another, nor by a run that lost what it had given versions to.
+    // `writer`: the name under which this router makes changes. No other router may use it, nor may a later
+    // run that has lost changes made under it.
     Replica(std::string name, std::string address, std::string writer, const ReplicaSettings& settings,
             std::uint64_t random_seed, Time now);
-    // Takes up what was stored, before anything else is called.
+    // Loads the stored state. Must be called before any other function.
     void restore(Entries entries, WriterLogs writers);
 
-    // A change made here. False: out of bounds, or full; nothing was changed.
+    // Make a change. False: nothing was changed, as key or value exceed their limits or the replica is full.
     bool set(const std::string& key, const std::string& value, UnixMs unix_now);
     bool clear(const std::string& key, UnixMs unix_now);
 
-    // Does what is due. `peers`: addresses of the other members alive.
+    // Runs the periodic work that is due. `peers`: addresses of the other members that are alive.
     Outgoing tick(Time now, UnixMs unix_now, const std::vector<std::string>& peers);
-    // Takes in a peer's message. One that breaks a rule is rejected whole, and counted.
+    // Handles a peer's message. A malformed one is rejected as a whole and counted.
     Outgoing receive(const ReplicaMessage& message, Time now, UnixMs unix_now);
 
     const Entries& entries() const {
@@ -93,7 +94,7 @@
     bool is_set(const std::string& key) const;
     // Null: the key is not set.
     const std::string* value(const std::string& key) const;
-    // Another number whenever the value of a key may have changed; never 0.
+    // Changes whenever the value of a key may have changed; never 0.
     std::uint64_t revision() const {
         return revision_;
     }
@@ -107,7 +108,8 @@
         return digest_;
     }
     VersionVector versions() const;
-    // The highest version heard of each writer, held or not: the difference is the lag.
+    // The highest version known of each writer, held here or not: the difference to versions() is the
+    // replication lag.
     const VersionVector& heard_versions() const {
         return heard_versions_;
     }
@@ -115,12 +117,12 @@
         return counters_;
     }
 
-    // What has to be stored since the last call.
+    // The changes since the last call, to be stored.
     struct UnsavedChanges {
-        std::set<std::string> keys;                               // removed, if no longer held
-        std::set<std::string> writers;                            // versions of
-        std::set<std::pair<std::string, std::string>> log_items;  // writer and key: the version of that key
-        bool everything = false;  // a snapshot was installed: what is stored and not held any more is removed
+        std::set<std::string> keys;                               // deleted from the store if no longer held
+        std::set<std::string> writers;                            // whose versions changed
+        std::set<std::pair<std::string, std::string>> log_items;  // writer and key: the version changed
+        bool everything = false;  // a snapshot was installed: what is stored but no longer held is deleted
     };
     UnsavedChanges take_unsaved_changes();
     // Keys whose value may have changed since the last call.
@@ -128,9 +130,9 @@
 
 private:
     struct MergeResult {
-        bool held = true;      // false: there was no room
-        bool changed = false;  // what is held is not what it was
-        bool partial = false;  // part of it was cleared and collected here, and was left out
+        bool held = true;      // false: the key or replica is full
+        bool changed = false;  // the held entry was changed
+        bool partial = false;  // writes that were cleared and collected here were left out
     };
     // A snapshot that is being fetched, page by page.
     struct SnapshotTransfer {
@@ -158,18 +160,18 @@
     void recompute_digest();
 
     // Anti-entropy and gossip (replica_exchange.cpp).
-    void hasten_exchange_after_change(Time now);
+    void schedule_fast_exchange_after_change(Time now);
     void send_gossip(const std::vector<ReplicaUpdate>& updates, const std::vector<std::string>& peers,
                      Outgoing& out);
     void start_exchange(Time now, const std::vector<std::string>& peers, Outgoing& out);
-    bool acceptable(const ReplicaMessage& message) const;
-    void note_heard_versions(const VersionVector& versions);
+    bool is_acceptable(const ReplicaMessage& message) const;
+    void update_heard_versions(const VersionVector& versions);
     void on_digest(const ReplicaMessage& message, Outgoing& out);
     void on_versions(const ReplicaMessage& message, Time now, Outgoing& out);
     void on_delta_exchange(const ReplicaMessage& message, Time now, UnixMs unix_now, Outgoing& out);
     void on_delta(const ReplicaMessage& message, Time now, UnixMs unix_now, Outgoing& out);
     ReplicaMessage make_message(ReplicaMessage::Kind kind) const;
-    void reply(const ReplicaMessage& to, ReplicaMessage answer, Outgoing& out);
+    void reply(const ReplicaMessage& to, ReplicaMessage response, Outgoing& out);
     VersionVector versions_in(std::uint64_t bucket_mask) const;
     // Fills a delta with what the sender of `request` lacks, in the buckets of its mask.
     void add_missing_updates(const ReplicaMessage& request, ReplicaMessage& delta) const;
@@ -200,7 +202,7 @@
     bool add_page(const ReplicaMessage& page, UnixMs unix_now);
     void install_snapshot(const SnapshotTransfer& snapshot);
     std::set<std::string> merge_snapshot(const SnapshotTransfer& snapshot);
-    void remove_what_snapshot_lacks(const SnapshotTransfer& snapshot);
+    void remove_writes_missing_in_snapshot(const SnapshotTransfer& snapshot);
     void raise_versions(const VersionVector& versions);
     void record_snapshot_versions(const SnapshotTransfer& snapshot, const std::set<std::string>& partial);
     void remove_log_items_without_entry(const VersionVector& collected_versions);
@@ -216,7 +218,7 @@
     HybridClock clock_;
     Time next_exchange_;
     Time fast_exchanges_until_{};
-    bool heard_change_ = false;
+    bool change_merged_ = false;
     UnixMs next_collection_ = 0;
     std::vector<ReplicaUpdate> pending_gossip_;
     std::optional<SnapshotTransfer> snapshot_;
--- a/src/cluster/replicated_state/replica_apply.cpp
+++ b/src/cluster/replicated_state/replica_apply.cpp
@@ -1,4 +1,4 @@
-// Updates that come from peers.
+// Applies updates from peers.
 #include <utility>
 
 #include "cluster/replicated_state/replica.h"
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-// A version counts as held only if nothing between it and what is held was left out.
+// A version counts as held only if no version between it and the held ones was left out.
 void Replica::apply_updates(const ReplicaMessage& message, UnixMs unix_now) {
     std::set<std::string> blocked_writers;  // no further version of these counts as held
     std::vector<std::pair<const ReplicaUpdate*, MergeResult>> held;
@@ -30,7 +30,8 @@
             blocked_writers.insert(update.writer);
         }
     }
-    // Only now: until all of a writer's changes are in, its versions vouch for none of them.
+    // Versions are recorded only after all updates are merged: a recorded version marks the writer's changes
+    // up to it as seen, and merge() would take those that are not merged yet for collected ones.
     for (const auto& [update, result] : held)
         record_version(update->writer, update->version, update->key, result.partial);
 }
@@ -41,7 +42,7 @@
         ++counters_.rejected;
         return true;
     }
-    // A replay: what was held once may have been cleared and collected since.
+    // A replay is not applied: the change may have been cleared and collected since.
     if (known != writer_logs_.end() && update.version <= known->second.version) {
         ++counters_.duplicates;
         return true;
@@ -49,7 +50,7 @@
     return false;
 }
 
-// Empty: it was not taken in, and is sent again in a later exchange.
+// Returns nothing if the update was not applied; a later exchange sends it again.
 std::optional<Replica::MergeResult> Replica::apply_update(const ReplicaUpdate& update, UnixMs unix_now) {
     if (is_too_far_ahead(update.entry, unix_now)) {
         ++counters_.ahead;
--- a/src/cluster/replicated_state/replica_collect.cpp
+++ b/src/cluster/replicated_state/replica_collect.cpp
@@ -1,4 +1,4 @@
-// Garbage collection: tombstones, and where values age out, values, go after their retention time.
+// Garbage collection: removes tombstones, and where values age out also values, after their retention time.
 #include <algorithm>
 #include <iterator>
 
@@ -48,8 +48,9 @@
         remove_idle_writers(unix_now);
 }
 
-// A value that ages out goes by every router's clock. A tombstone goes only once its set was seen here:
-// coming later, that would be live again; where values age out it would be past its time.
+// Values age out on each router by its own clock. A tombstone is removed only once the set that it clears was
+// seen here, as a set that arrives later would be live again. Where values age out, a tombstone older than
+// value_retention is removed in any case: a set that arrives later has expired.
 bool Replica::is_collectable(const std::string& writer, const KeyWrite& write, const ReplicatedEntry& entry,
                              UnixMs unix_now) const {
     const bool values_age = settings_.value_retention > 0;
@@ -60,7 +61,8 @@
                                                    (values_age && age > settings_.value_retention));
 }
 
-// Whoever has not seen the versions that the key had is given a snapshot instead of a gap.
+// Marks the key's versions as collected: a peer that has not seen them needs a snapshot, as updates would
+// leave a gap.
 void Replica::mark_collected(const std::string& key, bool key_removed) {
     for (auto& [writer, log] : writer_logs_) {
         const auto version = log.versions_by_key.find(key);
@@ -75,11 +77,11 @@
     }
 }
 
-// The runs that ended: nothing else would ever remove them.
+// Removes the writers of router runs that have ended; nothing else would remove them.
 void Replica::remove_idle_writers(UnixMs unix_now) {
     std::erase_if(writer_logs_, [&](const auto& item) {
         const auto& [writer, log] = item;
-        return writer != writer_ && log.empty() && unix_now - log.advanced > settings_.writer_retention;
+        return writer != writer_ && log.empty() && unix_now - log.advanced_at > settings_.writer_retention;
     });
     std::erase_if(heard_versions_, [this](const auto& item) { return !writer_logs_.contains(item.first); });
     recompute_digest();
--- a/src/cluster/replicated_state/replica_exchange.cpp
+++ b/src/cluster/replicated_state/replica_exchange.cpp
@@ -10,15 +10,15 @@
 
 namespace {
 
-constexpr Time kFastExchangesFor{2000};
-// Of one writer's updates in a message; well below what a frame holds.
+constexpr Time kFastExchangeDuration{2000};
+// The limit of one writer's updates in a message; well below the largest frame.
 constexpr std::size_t kMaxWriterBytes = 512 << 10;
-// A snapshot is given up after so many exchange intervals without a page.
+// A snapshot transfer is abandoned after this many exchange intervals without a page.
 constexpr int kSnapshotTimeoutIntervals = 10;
 
 bool is_valid_update(const ReplicaUpdate& update, ReplicaMessage::Kind kind) {
     const bool has_version = !update.writer.empty() && update.version > 0;
-    // In a snapshot a key may stand without a writer.
+    // A snapshot may contain a key without a writer.
     return is_valid(update.key, update.entry) && update.writer.size() <= kMaxWriterLength &&
            (has_version || kind == ReplicaMessage::Kind::snapshot_page);
 }
@@ -52,7 +52,7 @@
 Replica::Outgoing Replica::tick(Time now, UnixMs unix_now, const std::vector<std::string>& peers) {
     Outgoing out;
     collect_garbage_if_due(unix_now);
-    hasten_exchange_after_change(now);
+    schedule_fast_exchange_after_change(now);
     const auto gossip = std::exchange(pending_gossip_, {});
     if (peers.empty())
         return out;
@@ -63,14 +63,14 @@
     return out;
 }
 
-void Replica::hasten_exchange_after_change(Time now) {
-    if (!std::exchange(heard_change_, false) || settings_.fast_exchange_interval == Time{0})
+void Replica::schedule_fast_exchange_after_change(Time now) {
+    if (!std::exchange(change_merged_, false) || settings_.fast_exchange_interval == Time{0})
         return;
-    fast_exchanges_until_ = now + kFastExchangesFor;
+    fast_exchanges_until_ = now + kFastExchangeDuration;
     next_exchange_ = std::min(next_exchange_, now + random_delay(random_, settings_.fast_exchange_interval));
 }
 
-// Each update to a few peers, drawn anew; whoever is missed is reached by the exchanges.
+// Sends each update to a few random peers; the exchanges reach the others.
 void Replica::send_gossip(const std::vector<ReplicaUpdate>& updates, const std::vector<std::string>& peers,
                           Outgoing& out) {
     for (const auto& update : updates) {
@@ -107,12 +107,12 @@
     return out;
 }
 
-void Replica::reply(const ReplicaMessage& to, ReplicaMessage answer, Outgoing& out) {
-    counters_.updates_sent += answer.updates.size();
-    out.push_back({to.sender_address, std::move(answer)});
+void Replica::reply(const ReplicaMessage& to, ReplicaMessage response, Outgoing& out) {
+    counters_.updates_sent += response.updates.size();
+    out.push_back({to.sender_address, std::move(response)});
 }
 
-bool Replica::acceptable(const ReplicaMessage& message) const {
+bool Replica::is_acceptable(const ReplicaMessage& message) const {
     if (message.channel != settings_.channel || message.sender.empty() || message.sender == name_)
         return false;
     if (message.sender.size() > kMaxNameLength || message.sender_address.size() > kMaxAddressLength ||
@@ -123,7 +123,7 @@
                        [&](const ReplicaUpdate& update) { return is_valid_update(update, message.kind); });
 }
 
-void Replica::note_heard_versions(const VersionVector& versions) {
+void Replica::update_heard_versions(const VersionVector& versions) {
     for (const auto& [writer, version] : versions) {
         if (heard_versions_.size() >= settings_.max_writers && !heard_versions_.contains(writer))
             continue;
@@ -134,11 +134,11 @@
 
 Replica::Outgoing Replica::receive(const ReplicaMessage& message, Time now, UnixMs unix_now) {
     Outgoing out;
-    if (!acceptable(message)) {
+    if (!is_acceptable(message)) {
         ++counters_.rejected;
         return out;
     }
-    note_heard_versions(message.versions);
+    update_heard_versions(message.versions);
     switch (message.kind) {
         case ReplicaMessage::Kind::digest:
             on_digest(message, out);
@@ -166,32 +166,32 @@
 }
 
 void Replica::on_digest(const ReplicaMessage& message, Outgoing& out) {
-    auto answer = make_message(ReplicaMessage::Kind::versions);
+    auto response = make_message(ReplicaMessage::Kind::versions);
     for (std::size_t i = 0; i < kDigestBuckets; ++i)
         if (message.digest[i] != digest_[i])
-            answer.bucket_mask |= std::uint64_t{1} << i;
-    if (answer.bucket_mask == 0)
+            response.bucket_mask |= std::uint64_t{1} << i;
+    if (response.bucket_mask == 0)
         return;
-    answer.versions = versions_in(answer.bucket_mask);
-    reply(message, std::move(answer), out);
+    response.versions = versions_in(response.bucket_mask);
+    reply(message, std::move(response), out);
 }
 
 void Replica::on_versions(const ReplicaMessage& message, Time now, Outgoing& out) {
-    auto answer = make_message(ReplicaMessage::Kind::delta_exchange);
-    add_missing_updates(message, answer);
-    answer.bucket_mask = message.bucket_mask;
-    answer.versions = versions_in(message.bucket_mask);
-    if (!answer.complete)
+    auto response = make_message(ReplicaMessage::Kind::delta_exchange);
+    add_missing_updates(message, response);
+    response.bucket_mask = message.bucket_mask;
+    response.versions = versions_in(message.bucket_mask);
+    if (!response.complete)
         next_exchange_ = now;
-    reply(message, std::move(answer), out);
+    reply(message, std::move(response), out);
 }
 
 void Replica::on_delta_exchange(const ReplicaMessage& message, Time now, UnixMs unix_now, Outgoing& out) {
     apply_updates(message, unix_now);
-    auto answer = make_message(ReplicaMessage::Kind::delta);
-    add_missing_updates(message, answer);
-    if (!answer.updates.empty() || answer.snapshot_needed)
-        reply(message, std::move(answer), out);
+    auto response = make_message(ReplicaMessage::Kind::delta);
+    add_missing_updates(message, response);
+    if (!response.updates.empty() || response.snapshot_needed)
+        reply(message, std::move(response), out);
     request_snapshot_if_needed(message, now, out);
 }
 
@@ -214,9 +214,9 @@
     return out;
 }
 
-// The writers with the newest changes first, as many as the message holds, at least one. A writer goes whole
-// or not at all: a change whose key the writer changed again later stands at the later version only, so that
-// half of the versions would claim what was not sent.
+// Adds the updates of the writers with the newest changes first, of as many writers as the message holds, at
+// least one. A writer's updates are sent all or none: if it changed a key twice, the log has only the later
+// version, so the version of a partial batch would claim a change that was not sent.
 void Replica::add_missing_updates(const ReplicaMessage& request, ReplicaMessage& delta) const {
     std::size_t delta_bytes = 0;
     for (const auto& behind : writers_behind(request, delta.snapshot_needed)) {
@@ -249,7 +249,7 @@
         const auto peer_version = version_of(request.versions, writer);
         if (peer_version >= log.version)
             continue;
-        // Where values age out, the peer's copies of what is gone here end by the clock.
+        // Where values age out, the peer's copies of the removed values expire by its own clock.
         if (settings_.value_retention > 0 && log.empty())
             continue;
         if (peer_version < log.collected_version)
--- a/src/cluster/replicated_state/replica_snapshot.cpp
+++ b/src/cluster/replicated_state/replica_snapshot.cpp
@@ -15,13 +15,13 @@
     reply(message, make_message(ReplicaMessage::Kind::snapshot_request), out);
 }
 
-// The keys after the cursor, in order, as many as a message holds.
+// Returns the entries after the cursor in the order of their keys, as many as a message holds.
 ReplicaMessage Replica::snapshot_page(const std::string& cursor) const {
     auto page = make_message(ReplicaMessage::Kind::snapshot_page);
     page.cursor = cursor;
     if (cursor.empty())
         page.versions = versions();
-    // With each page: the receiver begins anew if it changed meanwhile.
+    // Sent with each page: the receiver starts over if these versions changed between two pages.
     for (const auto& [writer, log] : writer_logs_)
         if (log.collected_version > 0)
             page.base_versions.emplace(writer, log.collected_version);
@@ -41,7 +41,7 @@
     return page;
 }
 
-// The key under every writer whose log has it; without any, under none.
+// One update for each writer whose log has the key; if there is none, one update without a writer.
 std::vector<ReplicaUpdate> Replica::snapshot_updates(const std::string& key,
                                                      const ReplicatedEntry& entry) const {
     std::vector<ReplicaUpdate> out;
@@ -73,14 +73,14 @@
     install_snapshot(snapshot);
 }
 
-// False: the snapshot can't be had whole now.
+// False: this snapshot can't be completed.
 bool Replica::add_page(const ReplicaMessage& page, UnixMs unix_now) {
     if (page.cursor.empty()) {
         snapshot_->versions = page.versions;
         snapshot_->collected_versions = page.base_versions;
     } else if (snapshot_->collected_versions != page.base_versions) {
-        // The sender collected something between two pages: it may be missing although the versions of the
-        // first page do not vouch for it.
+        // The sender collected entries between two pages: they may be missing although the versions of the
+        // first page do not cover their removal.
         return false;
     }
     for (const auto& update : page.updates) {
@@ -94,10 +94,10 @@
     return true;
 }
 
-// The snapshot replaces all that is held, but for what its sender had not seen.
+// Replaces the held state by the snapshot, except for writes that its sender had not seen.
 void Replica::install_snapshot(const SnapshotTransfer& snapshot) {
     const auto partial = merge_snapshot(snapshot);
-    remove_what_snapshot_lacks(snapshot);
+    remove_writes_missing_in_snapshot(snapshot);
     raise_versions(snapshot.versions);
     record_snapshot_versions(snapshot, partial);
     remove_log_items_without_entry(snapshot.collected_versions);
@@ -106,7 +106,7 @@
     ++counters_.snapshots;
 }
 
-// Returns the keys of which a part was collected here.
+// Returns the keys of which some writes were left out, as they had been collected here.
 std::set<std::string> Replica::merge_snapshot(const SnapshotTransfer& snapshot) {
     std::set<std::string> partial;
     for (const auto& update : snapshot.updates)
@@ -115,17 +115,18 @@
     return partial;
 }
 
-// What is held here and not there, although the sender has seen it set, was cleared and collected meanwhile.
-void Replica::remove_what_snapshot_lacks(const SnapshotTransfer& snapshot) {
-    std::map<std::string, const ReplicatedEntry*> theirs;
+// A write that is held here but missing in the snapshot, although the sender has seen its version, was
+// cleared and collected meanwhile.
+void Replica::remove_writes_missing_in_snapshot(const SnapshotTransfer& snapshot) {
+    std::map<std::string, const ReplicatedEntry*> snapshot_entries;
     for (const auto& update : snapshot.updates)
-        theirs[update.key] = &update.entry;
+        snapshot_entries[update.key] = &update.entry;
     for (auto it = entries_.begin(); it != entries_.end();) {
-        const auto there = theirs.find(it->first);
+        const auto in_snapshot = snapshot_entries.find(it->first);
         std::erase_if(it->second.writes, [&](const auto& item) {
             const auto& [writer, write] = item;
             const auto seen = snapshot.versions.find(writer);
-            return (there == theirs.end() || !there->second->writes.contains(writer)) &&
+            return (in_snapshot == snapshot_entries.end() || !in_snapshot->second->writes.contains(writer)) &&
                    seen != snapshot.versions.end() && write.set_version <= seen->second;
         });
         touch(it->first);
@@ -141,11 +142,12 @@
         if (version <= log.version)
             continue;
         log.version = version;
-        log.advanced = unix_ms_of(clock_.latest());
+        log.advanced_at = unix_ms_of(clock_.latest());
     }
 }
 
-// What the sender learned while it sent the pages comes by its version, in an exchange.
+// Records only versions that the first page covers; changes that the sender received while it sent the pages
+// follow in an exchange.
 void Replica::record_snapshot_versions(const SnapshotTransfer& snapshot,
                                        const std::set<std::string>& partial) {
     for (const auto& update : snapshot.updates)
--- a/src/cluster/replicated_state/replicated_entry.h
+++ b/src/cluster/replicated_state/replicated_entry.h
@@ -1,4 +1,4 @@
-// The value of one key of the replicated state, with what is needed to merge it with another copy.
+// The value of one key of the replicated state, with the data needed to merge it with another copy.
 #pragma once
 
 #include <cstdint>
@@ -15,26 +15,27 @@
 inline constexpr std::size_t kMaxWrites = 32;  // of one key
 inline constexpr std::size_t kMaxWriterLength = kMaxNameLength + 24;
 
-// The last write of one writer to a key, by the versions that the writer gave its changes.
+// The last write of one writer to a key. Its versions are those of the writer's changes.
 struct KeyWrite {
     std::uint64_t set_version = 0;      // of its last set
-    std::uint64_t cleared_version = 0;  // its sets up to this one are cleared
+    std::uint64_t cleared_version = 0;  // sets up to this version are cleared
     HybridTimestamp timestamp = 0;      // of the set
     std::string value;
 
     bool is_live() const {
         return set_version > cleared_version;
     }
-    // Clears the set; only the versions are left, as a tombstone.
+    // Turns the write into a tombstone, which keeps only the versions.
     void clear();
     bool operator==(const KeyWrite&) const = default;
 };
 
 struct ReplicatedEntry {
     std::map<std::string, KeyWrite> writes;  // by writer
-    HybridTimestamp changed = 0;             // the last change of any kind
+    HybridTimestamp changed = 0;             // time of the last set or clear
 
-    // The live write with the highest timestamp, then writer; null: the key is not set.
+    // The live write with the highest timestamp; of equal ones that of the writer whose name sorts last.
+    // Null: the key is not set.
     const KeyWrite* winner() const;
     bool is_set() const {
         return winner() != nullptr;
@@ -45,7 +46,7 @@
 // The merge of two copies of one key: commutative, associative, idempotent.
 ReplicatedEntry join(const ReplicatedEntry& a, const ReplicatedEntry& b);
 
-// True if key and entry keep to the bounds above and are consistent in themselves.
+// True if key and entry are within the limits above and the entry is consistent.
 bool is_valid(const std::string& key, const ReplicatedEntry& entry);
 
 }  // namespace silverrail::cluster
