--- a/tests/cluster/replica_test.cpp
+++ b/tests/cluster/replica_test.cpp
@@ -1,5 +1,5 @@
-// The replicated state: merging of copies by a table, which versions count as held, replays and malformed
-// updates, snapshots; then the model check over seeds (src/lab/replication_simulation).
+// The replicated state: merging of copies, which versions count as held, replays, malformed updates and
+// snapshots; then a model check over many seeds (src/lab/replication_simulation).
 #include "cluster/replicated_state/replica.h"
 
 #include <algorithm>
@@ -20,15 +20,15 @@
     return Replica{name, name, name + "@1", settings, 7, 0ms};
 }
 
-// One exchange started by `a`, every message delivered at once.
+// One exchange started by `a`; every message is delivered at once.
 void exchange(Replica& a, Replica& b, UnixMs unix_now = kNow) {
     static Time at{0};
-    at += 10'000ms;  // a round is due
+    at += 10'000ms;  // an exchange is due
     std::vector<OutgoingReplicaMessage> to_b;
     for (auto& s : a.tick(at, unix_now, {"b"}))
         if (s.message.kind == ReplicaMessage::Kind::digest)
             to_b.push_back(std::move(s));
-    for (int hops = 0; !to_b.empty() && hops < 50; ++hops) {
+    for (int round_trips = 0; !to_b.empty() && round_trips < 50; ++round_trips) {
         std::vector<OutgoingReplicaMessage> to_a;
         for (const auto& s : to_b)
             for (auto& r : b.receive(s.message, at, unix_now))
@@ -48,7 +48,7 @@
 }
 
 struct JoinCase {
-    const char* what;
+    const char* description;
     ReplicatedEntry a, b;
     bool is_set;
     const char* value;
@@ -56,29 +56,29 @@
 
 std::vector<JoinCase> join_cases() {
     return {
-        {"set and nothing", {{{"a", set(1, 10, "x")}}, 10}, {{}, 0}, true, "x"},
-        {"set, and cleared by who saw it",
+        {"set in one copy, absent in the other", {{{"a", set(1, 10, "x")}}, 10}, {{}, 0}, true, "x"},
+        {"set, then cleared by a router that saw the set",
          {{{"a", set(1, 10, "x")}}, 10},
          {{{"a", cleared(1)}}, 20},
          false,
          ""},
         {"set again after the clear", {{{"a", set(2, 30, "y")}}, 30}, {{{"a", cleared(1)}}, 20}, true, "y"},
-        {"set elsewhere, unseen by the clear",
+        {"set by another writer, not seen by the clear",
          {{{"a", cleared(1)}}, 50},
          {{{"a", set(1, 10, "x")}, {"b", set(1, 20, "z")}}, 20},
          true,
          "z"},
-        {"the later clear does not undo what it had not seen, whatever its clock said",
+        {"a clear with a later timestamp does not undo a set that it had not seen",
          {{{"a", cleared(4)}}, 1'000'000},
          {{{"b", set(9, 20, "z")}}, 20},
          true,
          "z"},
-        {"two sets at once: the later stamp counts",
+        {"two concurrent sets: the later timestamp wins",
          {{{"a", set(1, 10, "x")}}, 10},
          {{{"b", set(1, 11, "z")}}, 11},
          true,
          "z"},
-        {"the same stamp: the later name counts",
+        {"equal timestamps: the writer that sorts last wins",
          {{{"a", set(1, 10, "x")}}, 10},
          {{{"b", set(1, 10, "z")}}, 10},
          true,
@@ -87,40 +87,40 @@
     };
 }
 
-// Both ways round and with itself.
-void joining_two_copies_follows_the_table() {
+// Joined in both orders and with itself, the result is the same.
+void join_of_two_copies_is_as_expected_in_both_orders() {
     for (const auto& c : join_cases()) {
         const auto ab = join(c.a, c.b);
         const auto ba = join(c.b, c.a);
         const auto* winner = ab.winner();
         if (!(ab == ba) || !(join(ab, ab) == ab) || !(join(ab, c.a) == ab) || ab.is_set() != c.is_set ||
             (winner && winner->value != c.value)) {
-            std::fprintf(stderr, "%s\n", c.what);
+            std::fprintf(stderr, "%s\n", c.description);
             CHECK(false);
         }
     }
 }
 
-void every_grouping_of_three_copies_joins_to_one() {
+void join_is_associative() {
     const auto cases = join_cases();
     for (const auto& x : cases)
         for (const auto& y : cases)
             CHECK(join(join(x.a, x.b), y.a) == join(x.a, join(x.b, y.a)));
 }
 
-// With clocks seconds apart.
+// The routers' clocks differ by 10 s.
 void a_clear_undoes_only_the_sets_it_has_seen() {
     auto a = make_replica("a"), b = make_replica("b");
     CHECK(a.set("ban/x", "", kNow));
     exchange(a, b);
     CHECK(b.is_set("ban/x"));
-    // Apart: a takes it back by a clock five seconds ahead, b bans again by one five behind.
+    // Concurrently, a removes the ban with its clock 5 s ahead and b bans again with its clock 5 s behind.
     CHECK(a.clear("ban/x", kNow + 5'000));
     CHECK(b.set("ban/x", "", kNow - 5'000));
     CHECK(!a.is_set("ban/x") && b.is_set("ban/x"));
     exchange(a, b);
     CHECK(a.is_set("ban/x") && b.is_set("ban/x"));
-    // Seen by both, one takes it back: gone from both.
+    // Both have seen the ban; once one removes it, it is gone on both.
     CHECK(a.clear("ban/x", kNow));
     exchange(b, a);
     CHECK(!a.is_set("ban/x") && !b.is_set("ban/x"));
@@ -141,7 +141,7 @@
     return message;
 }
 
-// The replica "a", that holds the first change of the writer "x@1".
+// The replica "a", holding the first change of the writer "x@1".
 Replica replica_with_first_change() {
     auto replica = make_replica("a");
     replica.receive(delta({update("x@1", 1, "k1", kNow)}, {{"x@1", 0}}), 0ms, kNow);
@@ -161,7 +161,7 @@
     CHECK(replica.is_set("k5") && replica.versions().at("x@1") == 1);
 }
 
-void an_update_from_the_future_is_taken_once_our_clock_is_there() {
+void an_update_from_the_future_is_applied_once_the_clock_has_caught_up() {
     auto replica = replica_with_first_change();
     replica.receive(delta({update("x@1", 2, "k2", kNow + 60'000)}, {{"x@1", 1}}), 0ms, kNow);
     CHECK(!replica.is_set("k2") && replica.counters().ahead == 1 && replica.versions().at("x@1") == 1);
@@ -193,15 +193,15 @@
     }
 }
 
-void a_message_of_another_channel_or_from_ourselves_is_rejected() {
+void a_message_of_another_channel_or_from_itself_is_rejected() {
     auto replica = replica_with_first_change();
     const auto good = update("x@1", 2, "k3", kNow);
     auto other_channel = delta({good}, {{"x@1", 1}});
     other_channel.channel = 3;
     replica.receive(other_channel, 0ms, kNow);
-    auto from_ourselves = delta({good}, {{"x@1", 1}});
-    from_ourselves.sender = "a";
-    replica.receive(from_ourselves, 0ms, kNow);
+    auto from_itself = delta({good}, {{"x@1", 1}});
+    from_itself.sender = "a";
+    replica.receive(from_itself, 0ms, kNow);
     CHECK(replica.counters().rejected == 2 && !replica.is_set("k3"));
 }
 
@@ -217,8 +217,8 @@
     CHECK(!full.set("k9", "", kNow));
 }
 
-// Whoever was away for longer than tombstones are held takes a snapshot.
-void what_was_collected_does_not_come_back_by_a_replay_or_an_absent_router() {
+// A router that was away for longer than tombstones are kept fetches a snapshot.
+void a_collected_entry_is_not_restored_by_a_replay_or_a_returning_router() {
     ReplicaSettings settings;
     settings.tombstone_retention = 1'000;
     auto a = make_replica("a", settings), b = make_replica("b", settings), away = make_replica("c", settings);
@@ -234,23 +234,23 @@
     CHECK(!a.entries().contains("ban/x") && a.counters().collected == 1);
     a.receive(delta({update("a@1", 1, "ban/x", kNow)}, {{"a@1", 0}}), 200'000ms, later);
     CHECK(!a.is_set("ban/x"));
-    CHECK(away.set("ban/z", "", later));  // its own, set while away
+    CHECK(away.set("ban/z", "", later));  // its own change, made while away
     exchange(away, a, later);
     exchange(away, a, later);
     CHECK(away.counters().snapshots == 1);
     CHECK(!away.is_set("ban/x") && away.is_set("ban/y") && away.is_set("ban/z"));
     CHECK(a.is_set("ban/z") && a.digest() == away.digest());
-    // Whoever was away for less fetches updates, no snapshot.
+    // A router that was away for a shorter time fetches updates and no snapshot.
     CHECK(a.set("ban/w", "", later));
     exchange(away, a, later);
     CHECK(away.is_set("ban/w") && away.counters().snapshots == 1);
 }
 
-// Whoever looks through the entries again only at another revision misses nothing.
+// So a reader that reads the entries again only when the revision has changed misses no change.
 void the_revision_changes_whenever_a_value_does() {
-    ReplicaSettings ageing;
-    ageing.value_retention = 60'000;
-    auto a = make_replica("a", ageing), b = make_replica("b", ageing);
+    ReplicaSettings with_retention;
+    with_retention.value_retention = 60'000;
+    auto a = make_replica("a", with_retention), b = make_replica("b", with_retention);
     const auto values = [](const Replica& r) {
         std::map<std::string, std::string> out;
         for (const auto& [key, entry] : r.entries())
@@ -262,7 +262,7 @@
     std::size_t changes = 0;
     auto revision = b.revision();
     auto seen = values(b);
-    const auto look = [&] {
+    const auto check_revision = [&] {
         if (b.revision() == revision) {
             CHECK(values(b) == seen);
             return;
@@ -273,18 +273,18 @@
     };
     CHECK(a.set("k", "1", unix_now) && a.set("l", "1", unix_now));
     exchange(a, b, unix_now);
-    look();
+    check_revision();
     CHECK(a.set("k", "2", unix_now + 1) && b.set("m", "1", unix_now + 1));
-    look();
+    check_revision();
     exchange(a, b, unix_now + 2);
-    look();
+    check_revision();
     CHECK(a.clear("l", unix_now + 3));
     exchange(a, b, unix_now + 3);
-    look();
-    // All of it ages.
+    check_revision();
+    // All values age out.
     for (int s = 1; s < 200; ++s) {
         (void)b.tick(Time{s * 1000}, unix_now + s * 1000, {});
-        look();
+        check_revision();
     }
     CHECK(changes >= 5 && seen.empty() && values(b).empty());
     auto again = make_replica("a");
@@ -293,7 +293,7 @@
     CHECK(again.revision() != before);
 }
 
-void a_restored_replica_is_the_same_and_goes_on_with_its_versions() {
+void a_restored_replica_is_equal_and_continues_its_versions() {
     auto a = make_replica("a"), b = make_replica("b");
     for (int i = 0; i < 20; ++i)
         CHECK(a.set(std::string{"k"}.append(std::to_string(i % 7)), std::to_string(i), kNow));
@@ -308,7 +308,7 @@
     CHECK(b.is_set("k9") && !b.is_set("k3") && *b.value("k6") == "13" && *b.value("k5") == "19");
 }
 
-void all_copies_end_equal_over_a_thousand_seeds() {
+void all_replicas_converge_over_a_thousand_seeds() {
     std::int64_t worst = 0;
     std::uint64_t snapshots = 0, changes = 0;
     const struct {
@@ -324,8 +324,9 @@
             check.reports = run.reports;
             const auto verdict = lab::check_replication(check);
             if (!verdict.violation.empty()) {
-                std::fprintf(stderr, "seed %llu, kept %lld ms: %s\n", static_cast<unsigned long long>(seed),
-                             static_cast<long long>(run.retention), verdict.violation.c_str());
+                std::fprintf(stderr, "seed %llu, tombstone retention %lld ms: %s\n",
+                             static_cast<unsigned long long>(seed), static_cast<long long>(run.retention),
+                             verdict.violation.c_str());
                 CHECK(false);
             }
             worst = std::max(worst, verdict.converged_ms);
@@ -333,28 +334,29 @@
             changes += verdict.changes;
         }
     CHECK(snapshots > 0 && changes > 10'000);
-    std::printf("1000 seeds, %llu changes, %llu full copies: all copies equal, worst after %lld ms\n",
-                static_cast<unsigned long long>(changes), static_cast<unsigned long long>(snapshots),
-                static_cast<long long>(worst));
+    std::printf(
+        "1000 seeds, %llu changes, %llu snapshots: all replicas converged, the slowest after %lld ms\n",
+        static_cast<unsigned long long>(changes), static_cast<unsigned long long>(snapshots),
+        static_cast<long long>(worst));
 }
 
 }  // namespace
 
 int main() {
-    joining_two_copies_follows_the_table();
-    every_grouping_of_three_copies_joins_to_one();
+    join_of_two_copies_is_as_expected_in_both_orders();
+    join_is_associative();
     a_clear_undoes_only_the_sets_it_has_seen();
     a_repeated_update_is_a_duplicate();
     an_update_after_a_gap_is_applied_but_its_version_is_not_held();
-    an_update_from_the_future_is_taken_once_our_clock_is_there();
+    an_update_from_the_future_is_applied_once_the_clock_has_caught_up();
     a_message_with_a_malformed_update_is_rejected_whole();
-    a_message_of_another_channel_or_from_ourselves_is_rejected();
+    a_message_of_another_channel_or_from_itself_is_rejected();
     a_full_replica_takes_no_new_key();
-    what_was_collected_does_not_come_back_by_a_replay_or_an_absent_router();
-    a_restored_replica_is_the_same_and_goes_on_with_its_versions();
+    a_collected_entry_is_not_restored_by_a_replay_or_a_returning_router();
+    a_restored_replica_is_equal_and_continues_its_versions();
     the_revision_changes_whenever_a_value_does();
-    all_copies_end_equal_over_a_thousand_seeds();
+    all_replicas_converge_over_a_thousand_seeds();
     std::puts(
-        "replica: one state in every order of delivery, nothing acknowledged lost, nothing cleared comes "
-        "back");
+        "replica: the state is the same in every order of delivery, no acknowledged change is lost, and no "
+        "cleared value is restored");
 }
--- a/tests/fleet/common.h
+++ b/tests/fleet/common.h
@@ -1,5 +1,5 @@
-// What the tests with a fleet of real processes have in common. A test's program has several scenarios; one
-// run plays the one that its first argument names, so that ctest can run them side by side.
+// Shared by the tests with a fleet of real processes. A test program has several scenarios and runs the one
+// that its first argument names, so that ctest can run them in parallel.
 #pragma once
 
 #include <algorithm>
@@ -20,8 +20,8 @@
 
 using TestClock = std::chrono::steady_clock;
 
-// Probes every 250 ms; a suspicion lasts 3 s at least (12 * 250 ms) and 6 s at most: a stall of 3 s is not a
-// death, a crash is one within 5 s.
+// Probes every 250 ms; a suspicion lasts at least 3 s (12 * 250 ms) and at most 6 s: a member that stalls for
+// 3 s is not declared dead, a crashed one is within 5 s.
 inline lab::FleetOptions fleet_options(std::size_t members) {
     lab::FleetOptions options;
     options.members = members;
@@ -37,39 +37,39 @@
     return options;
 }
 
-// Members `from` to below `to`.
+// Starts the members from `from` up to, but not including, `to`.
 inline void start_all(RouterFleet& fleet, std::size_t from, std::size_t to) {
     for (std::size_t member = from; member < to; ++member)
         fleet.start(member);
 }
 
-// Nothing passes between the members below `border` and the others.
+// Cuts the links between the members below `border` and the others.
 inline void partition_at(RouterFleet& fleet, std::size_t border) {
     for (std::size_t a = 0; a < border; ++a)
         for (std::size_t b = border; b < fleet.members(); ++b)
             fleet.proxy().set_faults_both_ways(a, b, {.cut = true});
 }
 
-inline std::size_t occurrences(const std::string& text, const std::string& what) {
+inline std::size_t occurrences(const std::string& string, const std::string& substring) {
     std::size_t count = 0;
-    for (auto at = text.find(what); at != std::string::npos; at = text.find(what, at + 1))
+    for (auto at = string.find(substring); at != std::string::npos; at = string.find(substring, at + 1))
         ++count;
     return count;
 }
 
-// Whether a command on the control address was carried out, by its answer.
-inline bool accepted(const std::string& answer) {
-    return answer.starts_with("ACK");
+// Whether a control command was accepted or refused, by its response.
+inline bool accepted(const std::string& response) {
+    return response.starts_with("ACK");
 }
-inline bool refused(const std::string& answer) {
-    return answer.starts_with("NAK");
+inline bool refused(const std::string& response) {
+    return response.starts_with("NAK");
 }
 
-inline long long ms_since(TestClock::time_point began) {
-    return std::chrono::duration_cast<std::chrono::milliseconds>(TestClock::now() - began).count();
+inline long long ms_since(TestClock::time_point start) {
+    return std::chrono::duration_cast<std::chrono::milliseconds>(TestClock::now() - start).count();
 }
 
-// All members see each other alive within `timeout`; if not, prints what each sees and has logged.
+// True once all members see each other alive; after `timeout`, prints each member's view and log.
 inline bool all_agree(RouterFleet& fleet, std::chrono::milliseconds timeout) {
     if (fleet.wait_until([&] { return fleet.agree(); }, timeout))
         return true;
@@ -80,7 +80,7 @@
     return false;
 }
 
-// Every running member but those below `first` has `value` in the counter.
+// True if the counter is `value` on every running member from `first` on.
 inline bool all_counters_equal(RouterFleet& fleet, const std::string& counter, std::uint64_t value,
                                std::size_t first = 0) {
     for (std::size_t member = first; member < fleet.members(); ++member) {
@@ -99,14 +99,14 @@
     void (*run)();
 };
 
-// Plays the scenario that the first argument names. Returns the exit code.
+// Runs the scenario that the first argument names. Returns the exit code.
 inline int run_scenario(int argc, char** argv, const std::vector<Scenario>& scenarios) {
     for (const Scenario& scenario : scenarios)
         if (argc > 1 && std::strcmp(argv[1], scenario.name) == 0) {
             scenario.run();
-            std::printf("fleet %s: as it should be\n", scenario.name);
+            std::printf("fleet %s: passed\n", scenario.name);
             return 0;
         }
-    std::fprintf(stderr, "which scenario?\n");
+    std::fprintf(stderr, "the first argument must name a scenario\n");
     return 2;
 }
--- a/tests/fleet/failover_test.cpp
+++ b/tests/fleet/failover_test.cpp
@@ -1,5 +1,5 @@
-// Failover by real processes: nine routers in three zones of two regions before stand-in servers, with faults
-// between them. Every request has to be answered once, and no write may be executed twice.
+// Failover with real processes: nine routers in three zones of two regions, in front of stand-in servers,
+// with faults on the links. Every request must get exactly one response, and no write may be executed twice.
 #include "cluster/failover/failover.h"
 
 #include <algorithm>
@@ -17,7 +17,7 @@
 constexpr std::size_t kRouters = 9;
 constexpr std::size_t kRoutersPerZone = 3;
 constexpr std::size_t kServersPerZone = 4;
-constexpr std::size_t kStore = 3 * kServersPerZone;  // its index in the pool
+constexpr std::size_t kOrigin = 3 * kServersPerZone;  // its index in the pool
 const std::vector<std::size_t> kServersOfZ1{0, 1, 2, 3};
 constexpr auto kHoldDown = 2000ms;
 
@@ -41,15 +41,15 @@
 
 std::vector<lab::FleetServer> server_list(const StandInServerPool& servers, std::size_t router, int weight) {
     std::vector<lab::FleetServer> list;
-    for (std::size_t server = 0; server < kStore; ++server)
+    for (std::size_t server = 0; server < kOrigin; ++server)
         list.push_back({lab::server_id(server), servers.address(server, router),
                         zone_name(server / kServersPerZone), "small-box", "active", weight});
-    list.push_back({"store", servers.address(kStore, router), "north", "origin", "active", 10});
+    list.push_back({"store", servers.address(kOrigin, router), "north", "origin", "active", 10});
     return list;
 }
 
-// m0 to m2 in z1, m3 to m5 in z2, both of r1; m6 to m8 in z3 of r2. `slow_start`: servers that have just
-// started may get few requests only.
+// m0 to m2 are in z1, m3 to m5 in z2, both in region r1; m6 to m8 are in z3 of r2. `slow_start`: servers that
+// have just started may get only few requests.
 lab::FleetOptions options_with(const StandInServerPool& servers, bool slow_start = false) {
     auto options = fleet_options(kRouters);
     options.peers["failover"] = failover_settings();
@@ -69,13 +69,13 @@
     return options;
 }
 
-// A zone as a router's answer to FAILOVER gives it.
+// A zone as reported by a router's response to FAILOVER.
 struct ZoneView {
     std::string health;
     std::string target;
-    std::string pin;
+    std::string override_value;
     std::uint64_t epoch = 0;
-    int moved_percent = -1;  // -1: no answer
+    int moved_percent = -1;  // -1: no response
 };
 
 ZoneView z1_seen_by(RouterFleet& fleet, std::size_t router) {
@@ -83,16 +83,16 @@
     std::string line, name, region, routers;
     ZoneView view;
     while (std::getline(lines, line)) {
-        std::istringstream words{line};
-        if (words >> name >> region >> routers && name == "z1") {
-            words >> view.health >> view.epoch >> view.moved_percent >> view.target >> view.pin;
+        std::istringstream fields{line};
+        if (fields >> name >> region >> routers && name == "z1") {
+            fields >> view.health >> view.epoch >> view.moved_percent >> view.target >> view.override_value;
             return view;
         }
     }
     return view;
 }
 
-// Clients of some of the routers.
+// The load from clients of some of the routers.
 struct Load {
     RouterFleet& fleet;
     std::vector<std::size_t> routers;
@@ -101,7 +101,7 @@
     std::map<int, std::size_t> writes{};
     std::uint64_t object = 0;
 
-    // Some reads at each router that runs, and a write at some of them.
+    // Sends reads to each running router, and a write to some of them.
     void send() {
         for (const auto router : routers) {
             if (!fleet.running(router))
@@ -112,13 +112,13 @@
                 ++writes[fleet.request(router, "lodge", object)];
         }
     }
-    // Answered once, whatever the answer: no answer and two answers are both faults.
+    // Each request must have got exactly one response of any status; none and two are both faults.
     void check(const StandInServerPool& servers) const {
         for (const auto* all : {&reads, &writes})
             for (const auto& [status, count] : *all)
                 if (status <= 0) {
                     std::fprintf(stderr, "%zu requests with %s\n", count,
-                                 status < 0 ? "two answers" : "none");
+                                 status < 0 ? "two responses" : "no response");
                     CHECK(false);
                 }
         const auto executions = servers.write_executions();
@@ -150,11 +150,11 @@
 }
 
 void load_for(RouterFleet& fleet, Load& load, std::chrono::milliseconds span) {
-    const auto began = TestClock::now();
-    load_until(fleet, load, [&] { return ms_since(began) > span.count(); }, span + 1s);
+    const auto start_time = TestClock::now();
+    load_until(fleet, load, [&] { return ms_since(start_time) > span.count(); }, span + 1s);
 }
 
-// Every running router but those in `left_out` has so much of z1's traffic moved.
+// Every running router except those in `left_out` has moved `percent` of z1's requests.
 bool all_moved(RouterFleet& fleet, int percent, const std::vector<std::size_t>& left_out = {}) {
     for (std::size_t router = 0; router < kRouters; ++router)
         if (fleet.running(router) && std::find(left_out.begin(), left_out.end(), router) == left_out.end() &&
@@ -173,7 +173,7 @@
         servers.set_link_up(server, 0, up);
 }
 
-// Until the health of z1 is known to all.
+// Starts all routers and waits until each knows the health of z1.
 void start(RouterFleet& fleet, Load& load) {
     start_all(fleet, 0, kRouters);
     CHECK(all_agree(fleet, 5s));
@@ -193,7 +193,8 @@
     return fleet.counters(0)["ending_no_connection"] + fleet.counters(1)["ending_no_connection"];
 }
 
-// After the decision nobody sends to the lost zone, and everything is served in the region.
+// After the decision no router sends requests to the lost zone, and all requests are served within the
+// region.
 void check_moved_away(RouterFleet& fleet, Load& load) {
     CHECK(z1_seen_by(fleet, 0).target == "z2=100" && z1_seen_by(fleet, 5).epoch == 1);
     const auto connects_before = failed_connects(fleet);
@@ -207,13 +208,13 @@
     CHECK(fleet.counters(0)["failover.sent_out_of_region"] == 0);
 }
 
-// A change of the share of z1's traffic that is moved.
+// A change of the share of z1's requests that is moved.
 struct Step {
     int moved_percent;
     TestClock::time_point seen_at;
 };
 
-// The steps as m0 has them, from 100 percent to 0.
+// The steps from 100 per cent to 0, as m0 sees them.
 std::vector<Step> follow_recovery(RouterFleet& fleet, Load& load, TestClock::time_point lost) {
     std::vector<Step> steps{{100, lost}};
     CHECK(load_until(
@@ -228,7 +229,8 @@
     return steps;
 }
 
-// A quarter first, then as its servers warm, never out again; each at least a hold-down after the one before.
+// The first step returns a quarter, the next ones follow as the servers warm up, and none moves requests out
+// again; each comes at least a hold-down after the one before.
 void check_steps(const std::vector<Step>& steps) {
     CHECK(steps.size() >= 4 && steps[1].moved_percent == 75);
     for (std::size_t i = 2; i < steps.size(); ++i) {
@@ -239,9 +241,9 @@
     }
 }
 
-// What a server that has just started may get in 3 s: N requests of 0.25 s, twice its weight times how warm
-// it is by the end; more by chance only. It counts as started with its first request. Returns the most that
-// any got.
+// A server that has just started may get in 3 s: as many requests of 0.25 s as twice its weight times its
+// warm share at the end serves, and by chance slightly more. It counts as started with its first request.
+// Returns the largest number that a server got in 3 s.
 std::size_t check_slow_start(const std::vector<lab::ReceivedRequest>& received, TestClock::time_point up) {
     std::size_t most = 0;
     for (const auto server : kServersOfZ1) {
@@ -262,28 +264,30 @@
     return most;
 }
 
-// A zone's servers lost: one decision, in force on all routers of the region within 2 s, and nothing goes
-// there any more. Servers back: in steps, and none that is cold gets more than it bears.
+// All servers of a zone are lost: one decision takes effect on all routers within 2 s, and no more requests
+// go there. When the servers return, the requests return in steps, and no cold server gets more than it
+// bears.
 void zone_lost() {
-    StandInServerPool servers{kStore + 1, kRouters};
+    StandInServerPool servers{kOrigin + 1, kRouters};
     RouterFleet fleet{options_with(servers, true)};
     Load load{fleet, {0, 1, 2, 3}, 4};
     start(fleet, load);
-    const auto calm = servers.received();
-    CHECK(std::none_of(calm.begin(), calm.end(), [](const lab::ReceivedRequest& request) {
-        return request.server != kStore &&
-               request.server / kServersPerZone != request.router / kRoutersPerZone;
-    }));
+    const auto received_before_fault = servers.received();
+    CHECK(std::none_of(received_before_fault.begin(), received_before_fault.end(),
+                       [](const lab::ReceivedRequest& request) {
+                           return request.server != kOrigin &&
+                                  request.server / kServersPerZone != request.router / kRoutersPerZone;
+                       }));
     set_z1_up(servers, false);
     const auto lost = TestClock::now();
     CHECK(load_until(fleet, load, [&] { return all_moved(fleet, 100); }, 2s));
-    std::printf("zone lost: decided and known to all nine after %lld ms\n", ms_since(lost));
+    std::printf("zone lost: decision in effect on all nine routers after %lld ms\n", ms_since(lost));
     check_moved_away(fleet, load);
     set_z1_up(servers, true);
     const auto up = TestClock::now();
     const auto steps = follow_recovery(fleet, load, lost);
     check_steps(steps);
-    // m0 saw the step at most one look after it came.
+    // m0 may have seen the step up to one polling interval after it took effect.
     const auto received = servers.received();
     const auto early = std::count_if(received.begin(), received.end(), [&](const auto& request) {
         return request.server < kServersPerZone && request.received_at > lost + 2s &&
@@ -298,43 +302,43 @@
     load.check(servers);
 }
 
-// One router's link to all of its zone's servers is down: nobody moves.
+// One router's links to all of its zone's servers are down most of the time: no failover.
 void flaky_link() {
-    StandInServerPool servers{kStore + 1, kRouters};
+    StandInServerPool servers{kOrigin + 1, kRouters};
     RouterFleet fleet{options_with(servers)};
     Load load{fleet, {0, 1, 2, 4}};
     start(fleet, load);
-    const auto began = TestClock::now();
+    const auto start_time = TestClock::now();
     bool up = false;
     fleet.wait_until(
         [&] {
             set_m0_links_up(servers, up);
-            up = !up && ms_since(began) % 5 == 0;  // down most of the time
+            up = !up && ms_since(start_time) % 5 == 0;  // down most of the time
             load.send();
-            return ms_since(began) > 6000;
+            return ms_since(start_time) > 6000;
         },
         8s);
-    CHECK(fleet.counters(0)["ending_no_connection"] > 5);  // it did see it
+    CHECK(fleet.counters(0)["ending_no_connection"] > 5);  // the faults took effect
     for (std::size_t router = 0; router < kRouters; ++router)
         CHECK(z1_seen_by(fleet, router).epoch == 0 && z1_seen_by(fleet, router).moved_percent == 0);
     CHECK(fleet.counters(1)["failover.sent_out_of_zone"] == 0);
     load.check(servers);
 }
 
-// One router cut off from all others: it serves near, and does not fail its zone over, even if it loses sight
-// of its servers as well.
+// One router is cut off from all others: it serves from its own zone and does not fail the zone over, even if
+// it loses the links to its servers as well.
 void cut_off() {
-    StandInServerPool servers{kStore + 1, kRouters};
+    StandInServerPool servers{kOrigin + 1, kRouters};
     RouterFleet fleet{options_with(servers)};
     Load load{fleet, {0, 1, 4}};
     start(fleet, load);
     partition_at(fleet, 1);
     const auto cut = TestClock::now();
-    // Nobody confirms its suspicions, so each lasts the 6 s of the settings, and its probes, every 250 ms,
-    // come up to nine times as seldom as they fail: the one that ends the majority may begin some 6 s after
-    // the cut.
+    // No other member confirms its suspicions, so each lasts the full 6 s of the settings; and failing probes
+    // slow its probing, one every 250 ms, down by a factor of up to nine. So the suspicion that ends the
+    // majority may begin about 6 s after the cut.
     CHECK(load_until(fleet, load, [&] { return fleet.counters(0)["failover.quorum"] == 0; }, 13s));
-    std::printf("cut off: it knows that it is alone after %lld ms\n", ms_since(cut));
+    std::printf("cut off: quorum lost after %lld ms\n", ms_since(cut));
     CHECK(load.served_reads() == load.all_reads());
     set_m0_links_up(servers, false);
     load_for(fleet, load, 4000ms);
@@ -352,7 +356,7 @@
 }
 
 // The router whose turn it is to write the first decision on z1.
-std::size_t first_decider() {
+std::size_t first_writer() {
     cluster::FailoverSettings settings;
     settings.zones = {{"z1", "r1", 3}, {"z2", "r1", 3}, {"z3", "r2", 3}};
     std::map<std::string, std::string> alive;
@@ -362,30 +366,30 @@
     return static_cast<std::size_t>(std::stoul(name.substr(1)));
 }
 
-// The router whose turn it is to write the decision falls out right when it is due.
-void decider_lost(int signal) {
-    StandInServerPool servers{kStore + 1, kRouters};
+// The router whose turn it is to write the decision fails just when the decision is due.
+void writer_lost(int signal) {
+    StandInServerPool servers{kOrigin + 1, kRouters};
     RouterFleet fleet{options_with(servers)};
     Load load{fleet, {0, 1, 2, 3, 4, 5}};
     start(fleet, load);
-    const auto decider = first_decider();
-    std::erase(load.routers, decider);
+    const auto writer = first_writer();
+    std::erase(load.routers, writer);
     set_z1_up(servers, false);
     const auto lost = TestClock::now();
     load.send();
     if (signal == SIGKILL)
-        fleet.kill(decider);
+        fleet.kill(writer);
     else
-        fleet.signal(decider, signal);
-    CHECK(load_until(fleet, load, [&] { return all_moved(fleet, 100, {decider}); }, 3s));
-    std::printf("decider m%zu lost: decided without it after %lld ms\n", decider, ms_since(lost));
-    CHECK(z1_seen_by(fleet, decider == 1 ? 2 : 1).epoch == 1);
+        fleet.signal(writer, signal);
+    CHECK(load_until(fleet, load, [&] { return all_moved(fleet, 100, {writer}); }, 3s));
+    std::printf("writer m%zu lost: decision without it after %lld ms\n", writer, ms_since(lost));
+    CHECK(z1_seen_by(fleet, writer == 1 ? 2 : 1).epoch == 1);
     if (signal == SIGSTOP) {
         fleet.wait_for(1s);
-        fleet.signal(decider, SIGCONT);
+        fleet.signal(writer, SIGCONT);
         CHECK(fleet.wait_until([&] { return all_moved(fleet, 100); }, 3s));
     }
-    // Once: nothing further is decided, by nobody who woke or came late.
+    // The decision is written once: no router that continues or is late writes another.
     load_for(fleet, load, 3000ms);
     for (std::size_t router = 0; router < kRouters; ++router)
         if (fleet.running(router))
@@ -393,29 +397,29 @@
     load.check(servers);
 }
 
-void decider_killed() {
-    decider_lost(SIGKILL);
+void writer_killed() {
+    writer_lost(SIGKILL);
 }
 
-void decider_stopped() {
-    decider_lost(SIGSTOP);
+void writer_stopped() {
+    writer_lost(SIGSTOP);
 }
 
-// Servers that come and go faster than the hold-down: one change in each at the most.
+// Servers fail and return faster than the hold-down: at most one change per hold-down.
 void flapping() {
-    StandInServerPool servers{kStore + 1, kRouters};
+    StandInServerPool servers{kOrigin + 1, kRouters};
     RouterFleet fleet{options_with(servers)};
     Load load{fleet, {0, 1, 2}};
     start(fleet, load);
-    const auto began = TestClock::now();
+    const auto start_time = TestClock::now();
     fleet.wait_until(
         [&] {
-            set_z1_up(servers, ms_since(began) / 700 % 2 == 1);
+            set_z1_up(servers, ms_since(start_time) / 700 % 2 == 1);
             load.send();
-            return ms_since(began) > 12'000;
+            return ms_since(start_time) > 12'000;
         },
         14s);
-    const auto span_ms = ms_since(began);
+    const auto span_ms = ms_since(start_time);
     std::uint64_t most = 0;
     for (std::size_t router = 0; router < kRouters; ++router) {
         const auto changes = fleet.counters(router)["failover.changes"];
@@ -427,9 +431,10 @@
     load.check(servers);
 }
 
-// An operator moves the zone on any router, and back in steps; it holds over a restart of a router.
-void pinned() {
-    StandInServerPool servers{kStore + 1, kRouters};
+// An operator's override on any router moves the zone's requests, and they return in steps after it; it
+// survives a restart of a router.
+void zone_override() {
+    StandInServerPool servers{kOrigin + 1, kRouters};
     RouterFleet fleet{options_with(servers)};
     Load load{fleet, {0, 1, 2, 3}};
     start(fleet, load);
@@ -437,7 +442,7 @@
     CHECK(accepted(fleet.control(8, "PIN z1 OUT")));
     CHECK(load_until(fleet, load, [&] { return all_moved(fleet, 100); }, 3s));
     for (std::size_t router = 0; router < kRouters; ++router)
-        CHECK(z1_seen_by(fleet, router).pin == "out");
+        CHECK(z1_seen_by(fleet, router).override_value == "out");
     const auto moved = TestClock::now();
     for (int i = 0; i < 10; ++i)
         load.send();
@@ -462,8 +467,8 @@
                         {{"zone_lost", zone_lost},
                          {"flaky_link", flaky_link},
                          {"cut_off", cut_off},
-                         {"decider_killed", decider_killed},
-                         {"decider_stopped", decider_stopped},
+                         {"writer_killed", writer_killed},
+                         {"writer_stopped", writer_stopped},
                          {"flapping", flapping},
-                         {"pinned", pinned}});
+                         {"zone_override", zone_override}});
 }
--- a/tests/fleet/replication_test.cpp
+++ b/tests/fleet/replication_test.cpp
@@ -1,5 +1,5 @@
-// Replicated state of a fleet of real processes: servers that operators take offline and bring online again,
-// on all routers, over restarts, partitions, damaged stores and bad updates.
+// The replicated state in a fleet of real processes: operators take servers offline and online, which has to
+// take effect on all routers despite restarts, partitions, damaged stores and bad updates.
 #include <filesystem>
 #include <fstream>
 #include <optional>
@@ -15,8 +15,8 @@
 namespace asio = net::asio;
 using udp = asio::ip::udp;
 
-// Every running member has `offline` servers taken offline by hand, and all hold the same versions of every
-// writer.
+// Every running member has `offline` servers taken offline by an operator, and all hold the same versions of
+// every writer.
 bool all_offline(RouterFleet& fleet, std::size_t offline) {
     if (!all_counters_equal(fleet, "bans.out", offline))
         return false;
@@ -33,18 +33,20 @@
     return true;
 }
 
-// A ban on one router is in force on all, and so is its end; both over a restart of all.
+// A ban made on one router takes effect on all, and so does its removal; both survive a restart of all
+// routers.
 void bans() {
     RouterFleet fleet{fleet_options(8)};
     start_all(fleet, 0, 8);
     CHECK(all_agree(fleet, 3s));
-    auto began = TestClock::now();
+    auto start = TestClock::now();
     CHECK(accepted(fleet.control(3, "OFFLINE b-1")));
     CHECK(fleet.wait_until([&] { return all_offline(fleet, 1); }, 2s));
-    std::printf("bans: on all 8 after %lld ms\n", ms_since(began));
+    std::printf("bans: in effect on all 8 routers after %lld ms\n", ms_since(start));
     CHECK(accepted(fleet.control(6, "OFFLINE b-2")) && accepted(fleet.control(0, "ONLINE b-1")));
     CHECK(fleet.wait_until([&] { return all_offline(fleet, 1); }, 2s));
-    // Every process killed at once: what was acknowledged is in force from the first moment after.
+    // All processes are killed at once: every acknowledged change is in effect again once they have
+    // restarted.
     for (std::size_t i = 0; i < 8; ++i)
         fleet.kill(i);
     start_all(fleet, 0, 8);
@@ -52,7 +54,8 @@
     CHECK(refused(fleet.control(5, "OFFLINE no-such")));
 }
 
-// One killed, away for 30 s of changes: it catches up with what it missed, not with all there is.
+// A router is killed and misses 30 s of changes: on its return it fetches only the changes that it missed,
+// not the whole state.
 void catch_up() {
     RouterFleet fleet{fleet_options(8)};
     start_all(fleet, 0, 8);
@@ -63,7 +66,7 @@
     fleet.kill(5);
     const auto killed = TestClock::now();
     std::size_t changes = 0;
-    // A change every two seconds or so, until the 30 s are over.
+    // About one change every two seconds, for 30 s.
     while (TestClock::now() - killed < 30s) {
         CHECK(accepted(fleet.control(changes % 4, "OFFLINE " + lab::server_id(20 + changes))));
         ++changes;
@@ -71,43 +74,43 @@
     }
     CHECK(changes >= 10 && changes <= 18);
     fleet.start(5);
-    const auto began = TestClock::now();
+    const auto start = TestClock::now();
     CHECK(fleet.wait_until([&] { return all_offline(fleet, 20 + changes); }, 2s));
     auto c = fleet.counters(5);
     std::printf("catch up: %zu changes missed, %llu fetched after %lld ms, %llu bytes in\n", changes,
-                static_cast<unsigned long long>(c["replica.applied"]), ms_since(began),
+                static_cast<unsigned long long>(c["replica.applied"]), ms_since(start),
                 static_cast<unsigned long long>(c["peers.bytes_in"]));
-    // Each missed change once, as news at most a few times more; none of the twenty from before.
+    // Each missed change once, and up to two more by gossip; none of the twenty from before.
     CHECK(c["replica.applied"] >= changes && c["replica.applied"] <= changes + 2 &&
           c["replica.full_copies"] == 0);
 }
 
-// Bans and unbans on both sides of a cut: after it one state on all, a ban that an unban had not seen in
-// force.
-void split_bans() {
+// Bans are set and removed on both sides of a partition. After it all routers have the same state, and a ban
+// that the removal had not seen is still in effect.
+void concurrent_bans() {
     RouterFleet fleet{fleet_options(8)};
     start_all(fleet, 0, 8);
     CHECK(all_agree(fleet, 3s));
     CHECK(accepted(fleet.control(0, "OFFLINE b-0")) && accepted(fleet.control(1, "OFFLINE b-1")));
     CHECK(fleet.wait_until([&] { return all_offline(fleet, 2); }, 2s));
     partition_at(fleet, 5);
-    CHECK(accepted(fleet.control(0, "ONLINE b-0")));   // seen by all: gone everywhere
-    CHECK(accepted(fleet.control(1, "ONLINE b-1")));   // but said again beyond the cut:
-    CHECK(accepted(fleet.control(6, "OFFLINE b-1")));  // stays
+    CHECK(accepted(fleet.control(0, "ONLINE b-0")));   // seen by all: removed everywhere
+    CHECK(accepted(fleet.control(1, "ONLINE b-1")));   // but set again on the other side of the partition:
+    CHECK(accepted(fleet.control(6, "OFFLINE b-1")));  // it stays
     CHECK(accepted(fleet.control(2, "OFFLINE b-2")) && accepted(fleet.control(7, "OFFLINE b-3")));
-    // Apart long enough for each side to have told all of its own.
+    // The partition lasts until each side has sent its changes to all of its own members.
     fleet.wait_until([&] { return fleet.counters(4)["bans.out"] == 1 && fleet.counters(5)["bans.out"] == 3; },
                      3s);
     CHECK(fleet.counters(4)["bans.out"] == 1 && fleet.counters(5)["bans.out"] == 3);
     fleet.proxy().clear_faults();
     const auto healed = TestClock::now();
     CHECK(fleet.wait_until([&] { return all_offline(fleet, 3); }, 5s));
-    std::printf("split bans: one state %lld ms after healing\n", ms_since(healed));
+    std::printf("concurrent bans: the same state on all routers %lld ms after healing\n", ms_since(healed));
     CHECK(accepted(fleet.control(4, "ONLINE b-1")));
     CHECK(fleet.wait_until([&] { return all_offline(fleet, 2); }, 2s));
 }
 
-// A store that is no store is set aside and named; its member has everything from the others again.
+// A damaged store file is renamed and named in the log; its router fetches the state from the others.
 void damaged_store() {
     RouterFleet fleet{fleet_options(4)};
     start_all(fleet, 0, 4);
@@ -146,7 +149,8 @@
     return message;
 }
 
-// Stale, from the future, malformed and oversize. `writer`: one of the fleet that has changed something.
+// Updates that are stale, from the future, malformed and too large. `writer`: one of the fleet that has made
+// a change.
 std::vector<cluster::ReplicaMessage> bad_update_messages(const std::string& writer) {
     const std::int64_t now_ms = std::chrono::duration_cast<std::chrono::milliseconds>(
                                     std::chrono::system_clock::now().time_since_epoch())
@@ -160,7 +164,7 @@
     return {stale, future, malformed, oversize};
 }
 
-// Bad updates are counted, nothing of them is applied, and the router serves on.
+// Bad updates are counted and not applied, and the router keeps serving.
 void bad_updates() {
     RouterFleet fleet{fleet_options(3)};
     start_all(fleet, 0, 3);
@@ -193,7 +197,7 @@
     return run_scenario(argc, argv,
                         {{"bans", bans},
                          {"catch_up", catch_up},
-                         {"split_bans", split_bans},
+                         {"concurrent_bans", concurrent_bans},
                          {"damaged_store", damaged_store},
                          {"bad_updates", bad_updates}});
 }
