--- a/src/net/asio.cpp
+++ b/src/net/asio.cpp
@@ -7,16 +7,16 @@
 namespace silverrail::net {
 
 core::ClientAddress client_address(const asio::ip::address& address) {
-    core::ClientAddress a;
-    const auto keep = [&a](const auto& bytes) {
-        a.size = static_cast<std::uint8_t>(bytes.size());
-        std::copy(bytes.begin(), bytes.end(), a.bytes.begin());
+    core::ClientAddress result;
+    const auto copy_bytes = [&result](const auto& bytes) {
+        result.size = static_cast<std::uint8_t>(bytes.size());
+        std::copy(bytes.begin(), bytes.end(), result.bytes.begin());
     };
     if (address.is_v4())
-        keep(address.to_v4().to_bytes());
+        copy_bytes(address.to_v4().to_bytes());
     else
-        keep(address.to_v6().to_bytes());
-    return a;
+        copy_bytes(address.to_v6().to_bytes());
+    return result;
 }
 
 }  // namespace silverrail::net
--- a/src/net/asio.h
+++ b/src/net/asio.h
@@ -1,7 +1,7 @@
-// Asio and Beast as this program uses them: compiled once, in asio.cpp.
+// Includes Asio and Beast, whose implementations are compiled once, in asio.cpp.
 #pragma once
 
-// Asio 1.74 uses std::exchange without this header, so it has to come first.
+// Asio 1.74 uses std::exchange without including this header, so it must come first.
 // clang-format off
 #include <utility>
 #include <boost/asio.hpp>
@@ -21,12 +21,12 @@
 using tcp = asio::ip::tcp;
 using boost::system::error_code;
 
-// Beast 1.74 has a string view of its own.
-inline std::string_view to_string_view(beast::string_view text) {
-    return {text.data(), text.size()};
+// Converts Beast 1.74's own string view type.
+inline std::string_view to_string_view(beast::string_view view) {
+    return {view.data(), view.size()};
 }
 
-// As the core has it: bytes, no text.
+// Converts an address to the core's binary form.
 core::ClientAddress client_address(const asio::ip::address& address);
 
 }  // namespace silverrail::net
--- a/src/net/backoff.h
+++ b/src/net/backoff.h
@@ -1,6 +1,6 @@
-// Exponential backoff with jitter, for reconnecting to services that many routers share: bounded, and drawn
-// from the router's own seed, so that routers that lost a service together do not come back in step. The same
-// seed draws the same delays.
+// Exponential backoff with jitter, for reconnecting to services that many routers share. The delays are
+// bounded and drawn from the router's own seed, so that routers that lose a service at the same time do not
+// reconnect at the same time. The same seed gives the same delays.
 #pragma once
 
 #include <algorithm>
@@ -14,23 +14,23 @@
 public:
     using Ms = std::chrono::milliseconds;
     Backoff(Ms first, Ms max, std::uint64_t seed) : first_(first), max_(max), random_(seed) {}
-    // The delay before the next attempt: up to `first` for the first one, then between half and all of a span
-    // that doubles up to `max`.
+    // Returns the delay before the next reconnect: at most `first` for the first one, then between half and
+    // all of an interval that doubles up to `max`.
     Ms next() {
-        const Ms from = span_ == Ms{} ? Ms{} : span_ / 2;
-        const Ms to = span_ == Ms{} ? first_ : span_;
-        span_ = std::clamp(span_ * 2, first_, max_);
-        return Ms{std::uniform_int_distribution<Ms::rep>{from.count(), to.count()}(random_)};
+        const Ms shortest = interval_ == Ms{} ? Ms{} : interval_ / 2;
+        const Ms longest = interval_ == Ms{} ? first_ : interval_;
+        interval_ = std::clamp(interval_ * 2, first_, max_);
+        return Ms{std::uniform_int_distribution<Ms::rep>{shortest.count(), longest.count()}(random_)};
     }
-    // After a success: the next delay is a first one again.
+    // Called after a success: the next delay is drawn like the first one again.
     void reset() {
-        span_ = {};
+        interval_ = {};
     }
 
 private:
     Ms first_;
     Ms max_;
-    Ms span_{};
+    Ms interval_{};
     std::mt19937_64 random_;
 };
 
--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -1,4 +1,4 @@
-// The system's clocks, and the core's timers on the io_context.
+// The system clocks, and the core's timers implemented on an io_context.
 #pragma once
 
 #include <chrono>
@@ -11,7 +11,8 @@
 
 class SystemClock : public core::Clock {
 public:
-    // In whole microseconds: what the module is told can then be kept in a trace at half the bytes, exactly.
+    // Truncated to whole microseconds, so that a trace can store the times passed to the decision module
+    // exactly, in half the bytes.
     core::Time now() const override {
         return core::Time{std::chrono::floor<std::chrono::microseconds>(
             std::chrono::steady_clock::now().time_since_epoch())};
@@ -23,7 +24,7 @@
     }
 };
 
-// All timers on one steady_timer.
+// Runs all timers on one steady_timer.
 class TimerQueue : public core::Timers {
 public:
     explicit TimerQueue(asio::io_context& io) : timer_(io) {}
@@ -41,9 +42,9 @@
     asio::steady_timer timer_;
     SystemClock clock_;
     std::map<Key, std::function<void()>> queue_;
-    std::map<Handle, core::Time> due_;
-    core::Time armed_{};
-    Handle last_ = 0;
+    std::map<Handle, core::Time> due_times_;
+    core::Time armed_for_{};  // when timer_ expires; zero: not armed
+    Handle last_handle_ = 0;
 };
 
 }  // namespace silverrail::net
--- a/src/net/connection_pool.cpp
+++ b/src/net/connection_pool.cpp
@@ -13,16 +13,16 @@
 using core::AttemptStatus;
 using namespace std::chrono_literals;
 
-// Delays double from the first; all of them together stay under a quarter of a second.
+// The delays double from the first one; their sum stays below a quarter of a second.
 constexpr auto kFirstConnectRetryDelay = 5ms;
 constexpr int kMaxConnectRetries = 5;
 
 constexpr auto kExpiryInterval = 1s;
 
-// Idle connections closed when the process has run out of descriptors.
+// Number of idle connections to close when the process has run out of descriptors.
 constexpr std::size_t kDescriptorsToFree = 16;
 
-// This machine lacks a descriptor, buffer, port or route for the moment; not the server's fault.
+// The local host temporarily lacks a descriptor, buffer, port or route; the server has not failed.
 constexpr std::array kLocalErrors{EMFILE, ENFILE,        ENOBUFS,     ENOMEM,   EAGAIN,
                                   EINTR,  EADDRNOTAVAIL, ENETUNREACH, ENETDOWN, EPERM};
 
@@ -37,40 +37,41 @@
     return from_parser && error != http::error::end_of_stream && error != http::error::partial_message;
 }
 
-std::optional<tcp::endpoint> parse_address(const std::string& text) {
-    const auto address = config::parse_endpoint(text);
-    if (!address)
+std::optional<tcp::endpoint> parse_address(const std::string& address) {
+    const auto parsed = config::parse_endpoint(address);
+    if (!parsed)
         return std::nullopt;
     error_code error;
-    const auto host = asio::ip::make_address(address->host, error);
+    const auto host = asio::ip::make_address(parsed->host, error);
     if (error)
         return std::nullopt;
-    return tcp::endpoint{host, address->port};
+    return tcp::endpoint{host, parsed->port};
 }
 
 }  // namespace
 
 struct ConnectionPool::Server {
     std::list<std::shared_ptr<PooledConnection>> idle;  // longest idle first
-    bool discarded = false;                             // while connections to it were in use
+    bool discarded = false;  // connections still in use are closed instead of returned to the pool
 };
 
 struct ConnectionPool::PooledConnection : ServerConnection {
     using ServerConnection::ServerConnection;
-    std::shared_ptr<Server> server;  // that it was opened to; null while it is idle there
+    std::shared_ptr<Server> server;  // the server it is connected to; null while it is in Server::idle
     core::Time idle_since{};
     bool idle = false;
 };
 
 struct ConnectionPool::Attempt {
-    Attempt(asio::io_context& io, core::AttemptRequest o, core::AttemptEvents& e)
-        : order(std::move(o)), events(&e), connect_timer(io) {}
-    core::AttemptRequest order;
+    Attempt(asio::io_context& io, core::AttemptRequest r, core::AttemptEvents& e)
+        : request(std::move(r)), events(&e), connect_timer(io) {}
+    core::AttemptRequest request;
     core::AttemptEvents* events;
-    asio::steady_timer connect_timer;  // the connect's timeout, or the delay before the next one
+    asio::steady_timer connect_timer;  // the connect timeout, or the delay before the next connect
     int connect_retries = 0;
     std::shared_ptr<PooledConnection> connection;
-    std::shared_ptr<HttpExchange> exchange;  // from the first byte on: from then on it may run
+    // Set when the first byte may be sent: from then on the server may run the request.
+    std::shared_ptr<HttpExchange> exchange;
     bool finished = false;
 };
 
@@ -89,16 +90,16 @@
             connection->close();
 }
 
-void ConnectionPool::start(core::AttemptRequest order, core::AttemptEvents& events) {
-    const core::AttemptKey key = order.key;
-    auto attempt = std::make_shared<Attempt>(io_, std::move(order), events);
+void ConnectionPool::start(core::AttemptRequest request, core::AttemptEvents& events) {
+    const core::AttemptKey key = request.key;
+    auto attempt = std::make_shared<Attempt>(io_, std::move(request), events);
     attempts_.emplace(key, attempt);
     acquire_connection(attempt);
 }
 
-// An idle connection, or a new one, or the next that becomes free.
+// Uses an idle connection, opens a new one, or queues the attempt until a connection becomes free.
 void ConnectionPool::acquire_connection(const AttemptPointer& attempt) {
-    attempt->connection = take_idle(attempt->order.target);
+    attempt->connection = take_idle(attempt->request.target);
     if (attempt->connection)
         return send(attempt);
     if (make_room())
@@ -107,19 +108,19 @@
         waiting_.push_back(attempt);
         return;
     }
-    log_.line("pool-full", "%zu sockets, %zu wait", *open_count_, waiting_.size());
+    log_.line("pool-full", "%zu connections open, %zu attempts queued", *open_count_, waiting_.size());
     finish(attempt, {.attempt_status = AttemptStatus::not_sent});
 }
 
 void ConnectionPool::connect(const AttemptPointer& attempt) {
-    const auto endpoint = parse_address(attempt->order.address);
+    const auto endpoint = parse_address(attempt->request.address);
     if (!endpoint) {
-        log_.line("bad-address", "server %s at %s", attempt->order.target.address.c_str(),
-                  attempt->order.address.c_str());
+        log_.line("bad-address", "server %s has the invalid address \"%s\"",
+                  attempt->request.target.address.c_str(), attempt->request.address.c_str());
         return finish(attempt, {.attempt_status = AttemptStatus::not_sent});
     }
     attempt->connection = std::make_shared<PooledConnection>(io_, open_count_);
-    auto& server = servers_[attempt->order.target];
+    auto& server = servers_[attempt->request.target];
     if (!server)
         server = std::make_shared<Server>();
     attempt->connection->server = server;
@@ -132,13 +133,14 @@
         });
 }
 
-// Returns false if there is no descriptor; the attempt is then retried or has ended.
+// Returns false if there is no descriptor; the connect has then been scheduled again or the attempt has
+// ended.
 bool ConnectionPool::open_socket(const AttemptPointer& attempt, const tcp::endpoint& endpoint) {
     auto& socket = attempt->connection->socket;
     error_code error;
     socket.open(endpoint.protocol(), error);
     if (error) {
-        log_.line("no-descriptors", "connect: %s", error.message().c_str());
+        log_.line("no-descriptors", "cannot open a socket to a server: %s", error.message().c_str());
         close_idle(kDescriptorsToFree);
         socket.open(endpoint.protocol(), error);
     }
@@ -169,20 +171,22 @@
     if (is_local_error(error))
         return retry_connect(attempt, error, AttemptStatus::connect_failed);
     if (error != asio::error::connection_refused && error != asio::error::operation_aborted)
-        log_.line("connect-failed", "server %s: %s", attempt->order.target.address.c_str(),
+        log_.line("connect-failed", "server %s: %s", attempt->request.target.address.c_str(),
                   error.message().c_str());
     finish(attempt, {.attempt_status = AttemptStatus::connect_failed});
 }
 
-// After a local error: connects again with backoff, up to a number of times and the attempt's deadline.
+// After a local error, connects again with backoff, at most kMaxConnectRetries times and not past the
+// attempt's deadline.
 void ConnectionPool::retry_connect(const AttemptPointer& attempt, const error_code& error,
-                                   AttemptStatus status_if_given_up) {
-    log_.line("connect-local", "%s to %s: %s", attempt->order.client_request->trace_id.c_str(),
-              attempt->order.target.address.c_str(), error.message().c_str());
+                                   AttemptStatus failure_status) {
+    log_.line("connect-local", "request %s, connect to server %s: %s",
+              attempt->request.client_request->trace_id.c_str(), attempt->request.target.address.c_str(),
+              error.message().c_str());
     const auto delay = kFirstConnectRetryDelay * (1 << attempt->connect_retries);
-    const bool in_time = clock_.now() + delay < attempt->order.deadline;
+    const bool in_time = clock_.now() + delay < attempt->request.deadline;
     if (++attempt->connect_retries > kMaxConnectRetries || !in_time)
-        return finish(attempt, {.attempt_status = status_if_given_up});
+        return finish(attempt, {.attempt_status = failure_status});
     attempt->connection->close();
     attempt->connection = nullptr;
     attempt->connect_timer.expires_after(delay);
@@ -193,7 +197,7 @@
 }
 
 void ConnectionPool::send(const AttemptPointer& attempt) {
-    const auto max_age = attempt->events->before_first_byte(attempt->order.key);
+    const auto max_age = attempt->events->before_first_byte(attempt->request.key);
     if (!max_age) {
         if (!attempt->finished)
             finish(attempt, {.attempt_status = AttemptStatus::not_sent});
@@ -208,31 +212,31 @@
                                         }};
     attempt->exchange =
         std::make_shared<HttpExchange>(attempt->connection, limits_.response, std::move(handlers));
-    const core::Span remaining = attempt->order.deadline - clock_.now();
-    const bool client_has_copy = !attempt->order.client_request->client_tag.empty();
-    attempt->exchange->start(server_request(attempt->order, *max_age, remaining), client_has_copy);
+    const core::Span remaining = attempt->request.deadline - clock_.now();
+    const bool client_has_copy = !attempt->request.client_request->client_tag.empty();
+    attempt->exchange->start(server_request(attempt->request, *max_age, remaining), client_has_copy);
 }
 
-// After an error the request may have run, so it is never sent again from here, not even if the connection
-// had gone stale.
+// After an error the server may have run the request, so it is never sent again here, not even if the
+// connection had become stale.
 void ConnectionPool::on_exchange_done(const AttemptPointer& attempt, HttpExchange::Result result) {
     if (result.error) {
         if (is_malformed_response(result.error))
-            log_.line("bad-answer", "server %s: %s", attempt->order.target.address.c_str(),
-                      result.error.message().c_str());
+            log_.line("bad-answer", "invalid response from server %s: %s",
+                      attempt->request.target.address.c_str(), result.error.message().c_str());
         return finish(attempt, {.attempt_status = AttemptStatus::reset});
     }
     if (result.reusable)
         keep_alive(attempt);
-    finish(attempt, attempt_end(std::move(result.response)));
+    finish(attempt, attempt_result(std::move(result.response)));
 }
 
-void ConnectionPool::finish(const AttemptPointer& attempt, AttemptResult end) {
+void ConnectionPool::finish(const AttemptPointer& attempt, AttemptResult result) {
     if (attempt->finished)
         return;
     release(attempt);
-    attempts_.erase(attempt->order.key);
-    attempt->events->ended(attempt->order.key, std::move(end));
+    attempts_.erase(attempt->request.key);
+    attempt->events->ended(attempt->request.key, std::move(result));
     serve_waiting();
 }
 
@@ -247,7 +251,7 @@
     serve_waiting();
 }
 
-// Ends everything of the attempt that is under way, and its connection unless that was kept.
+// Cancels the attempt's pending operations, and closes its connection unless keep_alive() has taken it.
 void ConnectionPool::release(const AttemptPointer& attempt) {
     attempt->finished = true;
     attempt->connect_timer.cancel();
@@ -259,7 +263,7 @@
     attempt->connection = nullptr;
 }
 
-// Returns the connection to the pool, unless the server has gone or was restarted meanwhile.
+// Returns the connection to the pool, unless the server has been removed or restarted meanwhile.
 void ConnectionPool::keep_alive(const AttemptPointer& attempt) {
     const auto connection = std::exchange(attempt->connection, nullptr);
     const auto server = std::exchange(connection->server, nullptr);
@@ -275,7 +279,7 @@
     watch_idle(server, connection);
 }
 
-// Whatever comes on an idle connection, most often the server's close, ends it.
+// Closes an idle connection when anything arrives on it, most often the server's close.
 void ConnectionPool::watch_idle(const std::shared_ptr<Server>& server,
                                 const std::shared_ptr<PooledConnection>& connection) {
     connection->socket.async_wait(tcp::socket::wait_read,
@@ -293,24 +297,24 @@
                                   });
 }
 
-// The most recently used of those that were quiet for long enough: the longer one is idle, the likelier its
-// server is about to close it.
+// Takes the most recently used of the connections that have been idle for long enough: the longer a
+// connection has been idle, the likelier its server is about to close it.
 std::shared_ptr<ConnectionPool::PooledConnection> ConnectionPool::take_idle(const core::ServerId& id) {
     const auto at = servers_.find(id);
     if (at == servers_.end())
         return nullptr;
     auto& idle = at->second->idle;
-    const core::Time quiet_since = clock_.now() - limits_.quiet_before_reuse;
+    const core::Time idle_since_at_latest = clock_.now() - limits_.min_idle_before_reuse;
     while (true) {
         const auto found = std::find_if(idle.rbegin(), idle.rend(),
-                                        [&](const auto& c) { return c->idle_since <= quiet_since; });
+                                        [&](const auto& c) { return c->idle_since <= idle_since_at_latest; });
         if (found == idle.rend())
             return nullptr;
         const auto connection = std::move(*found);
         idle.erase(std::next(found).base());
         connection->idle = false;
         error_code ignored;
-        connection->socket.cancel(ignored);  // the watch
+        connection->socket.cancel(ignored);  // ends watch_idle()
         if (!connection->stale()) {
             connection->server = at->second;
             return connection;
@@ -379,7 +383,7 @@
     for (auto& [id, server] : servers_)
         while (!server->idle.empty() && server->idle.front()->idle_since + limits_.idle_timeout < now)
             close_longest_idle(*server);
-    // A server with a connection in use has a second owner.
+    // A connection in use holds another reference to its server.
     std::erase_if(servers_, [](const auto& entry) {
         return entry.second->idle.empty() && entry.second.use_count() == 1;
     });
--- a/src/net/connection_pool.h
+++ b/src/net/connection_pool.h
@@ -1,4 +1,4 @@
-// Sends attempts to servers over a bounded pool of keep-alive connections, kept by the server's id.
+// Sends attempts to servers over a bounded pool of keep-alive connections, keyed by server id.
 #pragma once
 
 #include <deque>
@@ -15,14 +15,16 @@
 
 struct ConnectionPoolLimits {
     std::size_t connections = 600;     // open at once, to all servers
-    std::size_t waiting = 512;         // attempts that wait for a connection
-    std::size_t idle_per_server = 64;  // kept open
-    // A second response may follow a good one by some ms, and responses carry no id: a connection is used
-    // again only if nothing has come on it for this long.
-    std::chrono::nanoseconds quiet_before_reuse{std::chrono::milliseconds{20}};
+    std::size_t waiting = 512;         // attempts queued for a connection
+    std::size_t idle_per_server = 64;  // idle connections kept open
+    // A connection is reused only if nothing has arrived on it for this long. A faulty server may send a
+    // second response some ms after a good one, and as responses carry no id, it would be taken for the
+    // response to the next request.
+    std::chrono::nanoseconds min_idle_before_reuse{std::chrono::milliseconds{20}};
     ResponseLimits response{};
     std::chrono::nanoseconds connect_timeout{std::chrono::milliseconds{400}};
-    std::chrono::nanoseconds idle_timeout{std::chrono::seconds{10}};  // shorter than the servers' own
+    // Shorter than the servers' own.
+    std::chrono::nanoseconds idle_timeout{std::chrono::seconds{10}};
 };
 
 class ConnectionPool : public core::AttemptSender {
@@ -30,11 +32,11 @@
     ConnectionPool(asio::io_context& io, ConnectionPoolLimits limits, const core::Clock& clock, Log& log);
     ~ConnectionPool() override;
 
-    void start(core::AttemptRequest order, core::AttemptEvents& events) override;
+    void start(core::AttemptRequest request, core::AttemptEvents& events) override;
     void cancel(const core::AttemptKey& key) override;
     void discard_connections(const core::ServerId& server) override;
 
-    // Changes the limit on open connections; idle ones are closed down to it.
+    // Changes the limit on open connections, and closes idle ones that exceed it.
     void limit_connections(std::size_t max);
     // Closes up to `count` idle connections, the longest idle first.
     void close_idle(std::size_t count);
@@ -52,17 +54,17 @@
     struct Attempt;
     using AttemptPointer = std::shared_ptr<Attempt>;
 
-    // An attempt's way, in this order.
+    // The stages of an attempt, in order.
     void acquire_connection(const AttemptPointer& attempt);
     void connect(const AttemptPointer& attempt);
     bool open_socket(const AttemptPointer& attempt, const tcp::endpoint& endpoint);
     void start_connect_timeout(const AttemptPointer& attempt);
     void on_connect(const AttemptPointer& attempt, const error_code& error);
     void retry_connect(const AttemptPointer& attempt, const error_code& error,
-                       core::AttemptStatus status_if_given_up);
+                       core::AttemptStatus failure_status);
     void send(const AttemptPointer& attempt);
     void on_exchange_done(const AttemptPointer& attempt, HttpExchange::Result result);
-    void finish(const AttemptPointer& attempt, core::AttemptResult end);
+    void finish(const AttemptPointer& attempt, core::AttemptResult result);
     void release(const AttemptPointer& attempt);
 
     // Idle connections.
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -14,14 +14,15 @@
 constexpr std::chrono::milliseconds kMaxBackoff{500};
 constexpr std::chrono::milliseconds kConnectTimeout{1000};
 
-// Under load the server answers slowly; a request that is repeated at each timeout would never be answered.
-// So an unanswered connection is kept waiting beside the next one, for this long and this many.
+// Under load the server responds slowly, and a request that is abandoned and repeated at each timeout would
+// never get a response. So connections without a response are kept open beside the next one, up to this age
+// and number.
 constexpr std::chrono::milliseconds kMaxResponseTime{10'000};
 constexpr std::size_t kMaxUnanswered = 2;
 
-// Missed events come right behind the response header. A line that comes later than this shows that the
-// stream is live, and is early enough for a missed purge to take effect in time. Not counted from the
-// request, as a slow response would use it up.
+// Missed events follow right after the response header, so a line that arrives later than this shows that
+// they have been received; it is early enough for a missed purge to take effect in time. Counted from the
+// response header and not from the request, as a slow response would use the time up.
 constexpr std::chrono::milliseconds kCatchUpTime{300};
 
 constexpr std::size_t kReadBufferBytes = 64UL * 1024;
@@ -30,9 +31,9 @@
 constexpr const char* kStreamPath = "/bulletins";
 constexpr const char* kResumeAfter = "Last-Event-ID";
 
-// 0 if it is no number.
-std::int64_t parse_event_number(const std::string& text) {
-    return config::parse_number<std::int64_t>(text).value_or(0);
+// Returns 0 if the id is not a number.
+std::int64_t parse_event_number(const std::string& id) {
+    return config::parse_number<std::int64_t>(id).value_or(0);
 }
 
 }  // namespace
@@ -54,7 +55,7 @@
     http::response_parser<http::buffer_body> parser;
     std::array<char, kChunkBytes> chunk{};
     SseParser events;
-    std::chrono::steady_clock::time_point answered_at{};
+    std::chrono::steady_clock::time_point response_header_at{};
     bool closed = false;
 };
 
@@ -79,7 +80,8 @@
         return;
     server_ = server;
     set_synchronized(false);
-    // Closed at once, with half an event if need be: the old server may stay open and send nothing more.
+    // Closed at once, even in the middle of an event: the old server may keep the connection open and send
+    // nothing more.
     if (const auto old = std::exchange(current_, nullptr))
         old->close();
     close_all(std::exchange(unanswered_, {}));
@@ -94,7 +96,7 @@
     connection->timeout.expires_after(kConnectTimeout);
     connection->timeout.async_wait([this, connection](const error_code& error) {
         if (!error && !connection->closed)
-            fail(connection, "no connection in time");
+            fail(connection, "connect timed out");
     });
     connection->socket.async_connect(server_, [this, connection](const error_code& error) {
         if (connection->closed)
@@ -108,7 +110,7 @@
 void DiscoveryWatch::reconnect_after_backoff() {
     reconnect_timer_.expires_after(backoff_.next());
     reconnect_timer_.async_wait([this](const error_code& error) {
-        // move_to() may have connected after this wait was over.
+        // move_to() may have connected after this timer expired.
         if (!error && !current_)
             connect();
     });
@@ -142,12 +144,12 @@
                                 if (error)
                                     return fail(connection, error.message().c_str());
                                 if (connection->parser.get().result() != http::status::ok)
-                                    return fail(connection, "not 200");
+                                    return fail(connection, "response status is not 200");
                                 on_response_header(connection);
                             });
 }
 
-// The first connection to be answered is the one that is read.
+// The first connection with a response is read; the others are closed.
 void DiscoveryWatch::on_response_header(const ConnectionPointer& connection) {
     if (current_ != connection) {
         if (current_)
@@ -158,21 +160,21 @@
     std::erase(unanswered_, connection);
     close_all(std::exchange(unanswered_, {}));
     log_.line("discovery-up", "resuming after event %lld", static_cast<long long>(last_event_));
-    connection->answered_at = std::chrono::steady_clock::now();
+    connection->response_header_at = std::chrono::steady_clock::now();
     restart_silence_timer(connection);
     read_events(connection);
 }
 
-// No response in time: the server may be slow or dead. Waits for it beside another connection.
+// No response in time: the server may be slow or dead. Keeps this connection waiting and opens another.
 void DiscoveryWatch::on_slow_response(const ConnectionPointer& connection) {
     if (current_ != connection)
         return;
     ++counters_.slow;
-    log_.line("discovery-slow", "no answer yet; last event %lld", static_cast<long long>(last_event_));
+    log_.line("discovery-slow", "no response yet; last event %lld", static_cast<long long>(last_event_));
     connection->timeout.expires_after(kMaxResponseTime - kSilenceTimeout);
     connection->timeout.async_wait([this, connection](const error_code& error) {
         if (!error && !connection->closed)
-            fail(connection, "no answer");
+            fail(connection, "no response in time");
     });
     unanswered_.push_back(std::exchange(current_, nullptr));
     if (unanswered_.size() > kMaxUnanswered) {
@@ -209,11 +211,11 @@
     if (connection->closed)
         return;
     if (!within_bounds)
-        return fail(connection, "an event over the bound");
+        return fail(connection, "event exceeds the size limit");
     if (error && error != http::error::need_buffer)
         return fail(connection, error.message().c_str());
     if (connection->parser.is_done())
-        return fail(connection, "ended");
+        return fail(connection, "stream ended");
     if (connection->events.lines() != lines_before)
         on_line(connection);
     read_events(connection);
@@ -221,9 +223,10 @@
 
 void DiscoveryWatch::on_line(const ConnectionPointer& connection) {
     restart_silence_timer(connection);
-    if (std::chrono::steady_clock::now() < connection->answered_at + kCatchUpTime)
+    if (std::chrono::steady_clock::now() < connection->response_header_at + kCatchUpTime)
         return;
-    // Not earlier: a server that ends each connection soon would be asked again without a pause.
+    // Not earlier: otherwise a server that closes each connection early would be reconnected to without
+    // delay.
     backoff_.reset();
     set_synchronized(true);
 }
@@ -232,7 +235,7 @@
     connection->timeout.expires_after(kSilenceTimeout);
     connection->timeout.async_wait([this, connection](const error_code& error) {
         if (!error && !connection->closed)
-            fail(connection, "silent");
+            fail(connection, "no complete line in time");
     });
 }
 
@@ -242,7 +245,7 @@
     set_synchronized(false);
     log_.line("discovery-down", "%s; last event %lld", reason, static_cast<long long>(last_event_));
     connection->close();
-    // Another connection is under way already.
+    // Another connection is already open, opening or scheduled.
     if (std::erase(unanswered_, connection) > 0)
         return;
     if (current_ == connection)
@@ -272,19 +275,20 @@
     const bool gap = number > last_event_ + 1;
     if (gap)
         ++counters_.gaps;
-    if (gap && refetch(connection, number, "a number left out"))
+    if (gap && refetch(connection, number, "gap in the event numbers"))
         return;
-    const bool readable = on_event_(number, event.data);
-    if (!readable)
+    const bool parsed = on_event_(number, event.data);
+    if (!parsed)
         ++counters_.unreadable;
-    if (!readable && number != 0 && refetch(connection, number, "an event that can't be read"))
+    if (!parsed && number != 0 && refetch(connection, number, "event cannot be parsed"))
         return;
     if (number != 0)
         last_event_ = number;
 }
 
-// A drain or purge may have been lost on the way, so the stream is resumed from the last good event. Once for
-// each event: what the server sends the same way twice is how it is. Returns false if it was done before.
+// Reconnects and resumes after the last good event, as a drain or purge may have been lost in transit. Done
+// once for each event: if the server sends the same again, it is accepted. Returns false if it was done
+// before.
 bool DiscoveryWatch::refetch(const ConnectionPointer& connection, std::int64_t number, const char* reason) {
     if (number == std::exchange(refetched_event_, number))
         return false;
--- a/src/net/discovery_watch.h
+++ b/src/net/discovery_watch.h
@@ -1,5 +1,5 @@
-// Watches service discovery's event stream: connects, resumes after the last event that was applied, and
-// reconnects with backoff when the stream ends or falls silent.
+// Client of service discovery's event stream: connects, resumes after the last event that was applied, and
+// reconnects with backoff when the stream ends or delivers nothing more.
 #pragma once
 
 #include <functional>
@@ -15,42 +15,43 @@
 
 class DiscoveryWatch {
 public:
-    // Applies an event. Returns false if it cannot be read.
+    // Applies an event. Returns false if it cannot be parsed.
     using EventHandler = std::function<bool(std::int64_t number, std::string_view data)>;
     struct Counters {
         std::uint64_t connects = 0;
-        std::uint64_t unreadable = 0;  // events that cannot be read, counted each time one comes
-        std::uint64_t gaps = 0;        // event numbers left out, counted each time that is seen
-        std::uint64_t slow = 0;        // connections whose request was not answered in time
+        std::uint64_t unreadable = 0;  // events that could not be parsed, counted on every delivery
+        std::uint64_t gaps = 0;        // gaps in the event numbers, counted on every delivery
+        std::uint64_t slow = 0;        // connections without a response within kSilenceTimeout
     };
-    // The server sends a comment each second: without a complete line for this long the connection is taken
-    // for dead. Single bytes do not count, as a stream that never ends a line carries nothing.
+    // The server sends a comment every second; a connection that brings no complete line for this long is
+    // considered dead. Incomplete lines do not count, as a stream that never ends a line delivers no event.
     static constexpr std::chrono::milliseconds kSilenceTimeout{1800};
 
-    // `last_event`: its number; the stream resumes after it.
+    // `last_event`: number of the last applied event; the stream resumes after it.
     DiscoveryWatch(asio::io_context& io, tcp::endpoint server, std::int64_t last_event, EventHandler on_event,
                    Log& log, std::uint64_t seed);
     ~DiscoveryWatch();
-    // Called whenever the watch begins or ceases to be synchronized: to be sure that every event arrives.
+    // `action` is called whenever the watch becomes or ceases to be synchronized. While it is synchronized,
+    // every event is certain to arrive.
     void when_synchronized(std::function<void(bool)> action) {
         on_synchronized_ = std::move(action);
     }
     void start() {
         connect();
     }
-    // Continues at another address; the numbers of the events go on.
+    // Reconnects to another address; the numbering of the events continues.
     void move_to(const tcp::endpoint& server);
     std::int64_t last_event() const {
         return last_event_;
     }
-    // Connected or connecting; else it waits to reconnect.
+    // False while it waits to reconnect.
     bool connected() const {
         return current_ != nullptr;
     }
     const Counters& counters() const {
         return counters_;
     }
-    // How long it has not been synchronized; 0 while it is.
+    // Time since it was last synchronized, or since its construction; 0 while it is.
     std::chrono::steady_clock::duration unsynchronized_for() const;
 
 private:
@@ -79,13 +80,14 @@
     EventHandler on_event_;
     Log& log_;
     asio::steady_timer reconnect_timer_;
-    ConnectionPointer current_;                  // read, or about to be; null: waiting to reconnect
-    std::vector<ConnectionPointer> unanswered_;  // requested earlier, the oldest first
+    ConnectionPointer current_;  // the one that is read or being opened; null: waiting to reconnect
+    std::vector<ConnectionPointer> unanswered_;  // earlier ones still without a response, oldest first
     Backoff backoff_;
     std::function<void(bool)> on_synchronized_;
     bool synchronized_ = false;
     std::chrono::steady_clock::time_point unsynchronized_since_ = std::chrono::steady_clock::now();
-    std::int64_t refetched_event_ = 0;  // the last that was requested again; bad twice, it is skipped
+    // The last event that was requested again; if it is bad twice, it is skipped.
+    std::int64_t refetched_event_ = 0;
     Counters counters_;
 };
 
--- a/src/net/dns_server.cpp
+++ b/src/net/dns_server.cpp
@@ -23,7 +23,8 @@
     virtual void close() = 0;
 };
 
-// A connection. It is kept alive by its reads and writes, and refers to the server until it is closed.
+// One TCP or TLS connection. Its pending reads and writes keep it alive; it refers to the server until it is
+// closed.
 template <class Stream>
 class DnsServer::StreamSession : public Session, public std::enable_shared_from_this<StreamSession<Stream>> {
 public:
@@ -43,7 +44,7 @@
         if constexpr (std::is_same_v<Stream, TcpStream>)
             read_length();
         else
-            shake_hands();
+            start_handshake();
     }
 
     void close() override {
@@ -58,7 +59,7 @@
     }
 
 private:
-    void shake_hands() {
+    void start_handshake() {
         stream_.async_handshake(asio::ssl::stream_base::server,
                                 [self = this->shared_from_this()](const error_code& error) {
                                     if (!self->closed_)
@@ -148,7 +149,7 @@
             on_end_of_input();
     }
 
-    // The client sends nothing more; what it asked before is still answered.
+    // The client has ended its side of the stream; its earlier queries still get their responses.
     void on_end_of_input() {
         input_ended_ = true;
         if (unanswered_ == 0 && unsent_.empty() && !writing_)
@@ -198,7 +199,7 @@
         tcp_acceptor_->close(ignored);
     if (tls_acceptor_)
         tls_acceptor_->close(ignored);
-    // A copy, as each session removes itself.
+    // Iterates over a copy, as each session removes itself from sessions_.
     for (auto& [session, weak] : std::map{sessions_})
         if (const auto alive = weak.lock())
             alive->close();
@@ -231,7 +232,7 @@
     handler_(query, source, [this, to = datagram_sender_, alive = alive_](const DnsReply& reply) {
         if (!*alive || stopped_)
             return;
-        // A response that cannot be sent at once is dropped, as any datagram may be: the resolver asks again.
+        // A response that cannot be sent at once is dropped, as any datagram may be: the resolver retries.
         error_code ignored;
         udp_->send_to(asio::buffer(bytes_to_send(reply)), to, 0, ignored);
     });
@@ -268,7 +269,7 @@
 }
 
 void DnsServer::accept_after_error(tcp::acceptor& acceptor, bool secure, const error_code& error) {
-    log_.line("no-descriptors", "dns accept: %s", error.message().c_str());
+    log_.line("no-descriptors", "cannot accept a DNS connection: %s", error.message().c_str());
     auto timer = std::make_shared<asio::steady_timer>(io_, kAcceptRetryDelay);
     timer->async_wait([this, timer, alive = alive_, &acceptor, secure](const error_code& wait_error) {
         if (!wait_error && *alive && !stopped_)
@@ -278,7 +279,7 @@
 
 void DnsServer::start_session(tcp::socket socket, bool secure) {
     if (sessions_.size() >= limits_.connections) {
-        log_.line("too-many-resolvers", "%zu connections", sessions_.size());
+        log_.line("too-many-resolvers", "%zu DNS connections open, closing a new one", sessions_.size());
         return;
     }
     error_code ignored;
--- a/src/net/dns_server.h
+++ b/src/net/dns_server.h
@@ -1,5 +1,5 @@
-// DNS over UDP, TCP (RFC 7766) and TLS (RFC 7858): datagrams, and streams of messages with their length in
-// front. What the messages say is not known here.
+// DNS transport over UDP, TCP (RFC 7766) and TLS (RFC 7858): datagrams, and streams of length-prefixed
+// messages. It does not interpret the messages.
 #pragma once
 
 #include <array>
@@ -18,7 +18,7 @@
 
 struct DnsReply {
     std::string bytes{};
-    // If it cannot be sent by then, `bytes_if_late` is sent in its place.
+    // If it cannot be sent by then, `bytes_if_late` is sent instead.
     std::optional<core::Time> send_by{};
     std::string bytes_if_late{};
 };
@@ -26,7 +26,7 @@
 using DnsReplyHandler = std::function<void(DnsReply)>;
 
 struct DnsQuerySource {
-    bool datagram = false;  // else a stream, which takes messages of any length
+    bool datagram = false;  // false: a stream, which carries messages of any length
     core::ClientAddress client;
 };
 // `query` is valid during the call only.
@@ -35,9 +35,9 @@
 
 struct DnsServerLimits {
     std::size_t connections = 48;
-    std::size_t queries_per_connection = 32;  // unanswered, or answered and not written
-    std::size_t query_bytes = 4096;           // of a stream's query
-    // Without a query or a written response; a query that came in part does not count.
+    std::size_t queries_per_connection = 32;  // without a response that has been written
+    std::size_t query_bytes = 4096;           // of a query on a stream
+    // Without a complete query or a written response; a partial query does not count.
     std::chrono::milliseconds idle_timeout{5000};
 };
 
@@ -53,14 +53,14 @@
     void listen_udp(const asio::ip::udp::endpoint& at);
     void listen_tcp(const tcp::endpoint& at);
     void listen_tls(const tcp::endpoint& at);
-    // For TLS connections from now on; without a certificate they are closed at once.
+    // Sets the certificate of TLS connections accepted from now on; without one they are closed at once.
     void use_certificate(std::shared_ptr<asio::ssl::context> context) {
         tls_context_ = std::move(context);
     }
     // Closes the listeners and all connections.
     void stop();
 
-    // Valid while the server listens there.
+    // Each is valid only while the server listens on that transport.
     asio::ip::udp::endpoint udp_local() const {
         return udp_->local_endpoint();
     }
--- a/src/net/event_loop_monitor.cpp
+++ b/src/net/event_loop_monitor.cpp
@@ -6,7 +6,7 @@
     const core::Time now = clock_.now();
     if (is_pause(now))
         return last_tick_;
-    // Whatever was ready with the tick that saw the pause is handled right after it.
+    // Handlers that became ready during the pause run right after the tick that detected it.
     const bool right_after_pause = last_pause_begin_ != core::Time{} && now < last_pause_end_ + kInterval;
     return right_after_pause ? last_pause_begin_ : now;
 }
--- a/src/net/event_loop_monitor.h
+++ b/src/net/event_loop_monitor.h
@@ -1,5 +1,6 @@
-// Detects stalls of the event loop: the process had no processor, or was stopped. What is read from a socket
-// right after a stall may have arrived at any moment of it, and counts from its beginning.
+// Detects pauses of the event loop, in which the process had no processor or was stopped. Data read from a
+// socket right after a pause may have arrived at any time during it, so the beginning of the pause is taken
+// as its time of arrival.
 #pragma once
 
 #include "net/asio.h"
@@ -12,8 +13,8 @@
     explicit EventLoopMonitor(asio::io_context& io) : timer_(io), last_tick_(clock_.now()) {
         tick();
     }
-    // The earliest moment at which data can have arrived that is found in a socket now. While the loop runs
-    // as it should, at most kInterval + kMaxDelay before the true one.
+    // The earliest time at which data now found in a socket can have arrived. While the loop runs without
+    // pauses, it is at most kInterval + kMaxDelay before the true time.
     core::Time earliest_arrival() const;
     std::uint64_t pauses() const {
         return pauses_;
@@ -24,7 +25,7 @@
 
 private:
     static constexpr std::chrono::milliseconds kInterval{40};
-    static constexpr std::chrono::milliseconds kMaxDelay{30};  // of a tick, behind other handlers
+    static constexpr std::chrono::milliseconds kMaxDelay{30};  // of a tick that waits for other handlers
     void tick();
     bool is_pause(core::Time now) const {
         return now - last_tick_ > kInterval + kMaxDelay;
--- a/src/net/http_exchange.cpp
+++ b/src/net/http_exchange.cpp
@@ -33,13 +33,13 @@
     request_written_ = !error;
     if (finished_ || !error || error == asio::error::operation_aborted)
         return;
-    // The response may have come before the whole request was read: reading goes on.
+    // The server may have responded without reading the whole request, so the response is still read.
     error_code ignored;
     connection_->socket.shutdown(tcp::socket::shutdown_send, ignored);
 }
 
-// The header by itself: read together with its body, Beast 1.74 loses the error of a length over the limit,
-// and reserves whatever the server claims.
+// Reads the header separately: if it is read together with the body, Beast 1.74 loses the error of a length
+// over the limit, and reserves as many bytes as the server announces.
 void HttpExchange::read_header() {
     parser_.emplace();
     parser_->body_limit(limits_.body);
@@ -60,7 +60,7 @@
             return finish({.error = http::error::bad_status, .response = {}});
         return read_header();
     }
-    // The client has no copy that could be unchanged.
+    // The client has no copy to which 304 could refer.
     if (head.result() == http::status::not_modified && !accepts_not_modified_)
         return finish({.error = http::error::bad_status, .response = {}});
     read_body();
@@ -77,8 +77,8 @@
         return;
     if (error)
         return finish({.error = error, .response = {}});
-    // A response may come before the request is out: what follows it would be read as the rest of the
-    // request.
+    // If the response came before the request was written completely, the server would read the next request
+    // as the rest of this one.
     const bool reusable = parser_->keep_alive() && request_written_;
     finish({.error = {}, .response = parser_->release(), .reusable = reusable});
 }
--- a/src/net/http_exchange.h
+++ b/src/net/http_exchange.h
@@ -1,5 +1,5 @@
-// One request and its response on an open connection to a server. The response is bounded and read completely
-// before it is passed on.
+// One request and its response on an open connection to a server. The response is limited in size and read
+// completely before it is reported.
 #pragma once
 
 #include <functional>
@@ -14,10 +14,10 @@
 struct ResponseLimits {
     std::uint64_t body = 256UL * 1024;  // bytes
     std::uint32_t header = 8U * 1024;   // bytes
-    int interim_responses = 8;          // of status 1xx, before the final one
+    int interim_responses = 8;          // responses of status 1xx before the final one
 };
 
-// Lives while its operations do, as these use its buffers also after cancel().
+// Its pending operations keep it alive, as they use its buffers even after cancel().
 class HttpExchange : public std::enable_shared_from_this<HttpExchange> {
 public:
     struct Result {
@@ -26,16 +26,16 @@
         bool reusable = false;  // the connection may carry another request
     };
     struct Handlers {
-        // The request's last byte is out. Called also after cancel().
+        // The request has been written completely. Also called after cancel().
         std::function<void()> written;
         // Called once, unless cancelled before.
         std::function<void(Result)> done;
     };
 
     HttpExchange(std::shared_ptr<ServerConnection> connection, ResponseLimits limits, Handlers handlers);
-    // `accepts_not_modified`: the client has a copy, so that 304 is an answer.
+    // `accepts_not_modified`: the client has a copy, so 304 is a valid response.
     void start(ServerRequest request, bool accepts_not_modified);
-    // Nothing is reported from now on. The connection is the caller's to close.
+    // `done` is not called from now on. The connection stays open; the caller closes it.
     void cancel() {
         finished_ = true;
     }
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -7,10 +7,11 @@
 namespace silverrail::net {
 
 namespace {
+// By CloseReason; the names appear in counters.
 constexpr std::array<std::string_view, kCloseReasons> kReasonNames{
     "answered_last", "client_left", "broken",     "idle_end",      "silent",
     "slow_request",  "evicted",     "unreadable", "write_stalled", "shut_down"};
-// During a longer write the next request may have arrived and waited.
+// During a longer write the next request may have arrived and have been kept waiting.
 constexpr std::chrono::milliseconds kMaxShortWrite{20};
 }  // namespace
 
@@ -33,48 +34,49 @@
     read();
 }
 
-void HttpSession::set_timeout(Limit limit, void (HttpSession::*end)()) {
-    timeout_.expires_after(limit);
-    // A handler that was due already when the timeout was replaced must not act on what has begun since.
-    timeout_.async_wait([weak = weak_from_this(), end, set = ++timeouts_set_](const error_code& error) {
-        const auto self = weak.lock();
-        if (!error && self && set == self->timeouts_set_)
-            (self.get()->*end)();
-    });
+void HttpSession::set_timeout(std::chrono::milliseconds timeout, void (HttpSession::*action)()) {
+    timeout_.expires_after(timeout);
+    // A handler that was already queued when the timeout was replaced must not behaviour on the new state.
+    timeout_.async_wait(
+        [weak = weak_from_this(), action, generation = ++timeout_generation_](const error_code& error) {
+            const auto self = weak.lock();
+            if (!error && self && generation == self->timeout_generation_)
+                (self.get()->*action)();
+        });
 }
 
-// Bytes may be in the socket already, as the timer's handler may run before the read's. Half a request is
-// answered, so that its client learns why; silence is not.
+// The timer's handler may run before the read's although bytes have arrived in the socket. An incomplete
+// request gets an error response, which tells its client the reason; a connection without any bytes does not.
 void HttpSession::on_request_timeout() {
     if (state_ != State::reading)
         return;
-    if (!std::exchange(read_after_timeout_, true) && peek(socket_) > 0)
+    if (!std::exchange(unread_grace_used_, true) && peek(socket_) > 0)
         return set_timeout(server_.limits_.unread_grace, &HttpSession::on_request_timeout);
     if (nothing_received())
-        return linger(CloseReason::silent);
-    server_.log_.line("slow-request", "half a request, not the rest of it in time");
+        return linger(CloseReason::no_request);
+    server_.log_.line("slow-request", "request not completed in time");
     send_final_error(http::status::request_timeout, CloseReason::slow_request);
 }
 
 void HttpSession::read() {
     state_ = State::reading;
-    read_after_timeout_ = false;
+    unread_grace_used_ = false;
     bytes_seen_ = 0;
     parser_.emplace();
     parser_->header_limit(server_.limits_.header);
     parser_->body_limit(server_.limits_.body);
-    buffered_before_ = buffer_.size();
-    if (unread_since_ && buffered_before_ == 0 && peek(socket_) < 0)
+    buffered_at_start_ = buffer_.size();
+    if (unread_since_ && buffered_at_start_ == 0 && peek(socket_) < 0)
         unread_since_.reset();
-    if (buffered_before_ > 0)
+    if (buffered_at_start_ > 0)
         return on_first_byte();
-    // An idle connection holds no buffer, and has no timeout once it has brought a request.
+    // An idle connection holds no buffer, and has no timeout after its first request.
     buffer_.shrink_to_fit();
     socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](const error_code& error) {
         if (self->state_ != State::reading)
             return;
         if (error)
-            return self->close(CloseReason::broken);
+            return self->close(CloseReason::connection_error);
         self->on_first_byte();
     });
 }
@@ -82,8 +84,8 @@
 void HttpSession::on_first_byte() {
     if (!first_request_)
         set_timeout(server_.limits_.request_timeout, &HttpSession::on_request_timeout);
-    // The header by itself: read together with its body, Beast 1.74 loses the error of a length over the
-    // limit.
+    // Reads the header separately: if it is read together with the body, Beast 1.74 loses the error of a
+    // length over the limit.
     http::async_read_header(socket_, buffer_, *parser_,
                             [self = shared_from_this()](const error_code& error, std::size_t consumed) {
                                 self->on_head(error, consumed);
@@ -94,21 +96,22 @@
     if (state_ != State::reading)
         return;
     if (error)
-        return on_unreadable(error);
-    // A transfer coding other than chunked leaves the length open: a request could be smuggled in the body.
+        return on_read_error(error);
+    // Without chunked as the final transfer coding, the body's length is undefined, and another request could
+    // be smuggled in it.
     if (parser_->get().count(http::field::transfer_encoding) > 0 && !parser_->chunked())
-        return on_unreadable(http::error::bad_transfer_encoding);
+        return on_read_error(http::error::bad_transfer_encoding);
     http::async_read(socket_, buffer_, *parser_,
                      [self = shared_from_this(), consumed](const error_code& e, std::size_t more) {
                          self->on_read(e, consumed + more);
                      });
 }
 
-// The earliest moment at which the last of `consumed` bytes can have arrived. Bytes that were there already
-// have waited for the request before them.
+// The earliest time at which the last of `consumed` bytes can have arrived. Bytes that were buffered already
+// have waited for the previous request to end.
 core::Time HttpSession::arrival(std::size_t consumed) const {
     const core::Time seen = server_.loop_monitor_.earliest_arrival();
-    if (consumed <= buffered_before_)
+    if (consumed <= buffered_at_start_)
         return std::min(buffered_since_, seen);
     return std::min(unread_since_.value_or(seen), seen);
 }
@@ -117,15 +120,15 @@
     if (state_ != State::reading)
         return;
     if (error)
-        return on_unreadable(error);
+        return on_read_error(error);
     arrived_ = arrival(consumed);
-    buffered_since_ = arrived_;  // bytes behind it may have come along
-    // No work may begin for a client that left while its request waited unread.
+    buffered_since_ = arrived_;  // bytes after it may have arrived with it
+    // No work may begin for a client that disconnected while its request was still unread.
     if (client_left()) {
         ++server_.counters_.disconnected_before_handling;
-        return close(CloseReason::client_left);
+        return close(CloseReason::client_disconnected);
     }
-    ++timeouts_set_;
+    ++timeout_generation_;
     timeout_.cancel();
     first_request_ = false;
     HttpRequest request = parser_->release();
@@ -137,22 +140,23 @@
         watch_for_disconnect();
 }
 
-void HttpSession::on_unreadable(const error_code& error) {
-    // Success has the system's category too.
+void HttpSession::on_read_error(const error_code& error) {
     if (error == http::error::end_of_stream)
-        return close(CloseReason::client_left);
+        return close(CloseReason::client_disconnected);
+    // A success would have the system's category too, but is not passed here.
     if (error.category() == boost::system::system_category())
-        return close(CloseReason::broken);
-    // Not HTTP, or over a limit: the connection ends, as its state is not known any more.
+        return close(CloseReason::connection_error);
+    // Not HTTP, or over a limit: the connection is closed, as it is unknown where the next request would
+    // begin.
     server_.log_.line("bad-request", "%s", error.message().c_str());
     parser_.reset();
     send_final_error(error == http::error::body_limit     ? http::status::payload_too_large
                      : error == http::error::header_limit ? http::status::request_header_fields_too_large
                                                           : http::status::bad_request,
-                     CloseReason::unreadable);
+                     CloseReason::malformed_request);
 }
 
-// Answers a request that is incomplete or given up; the connection ends with it.
+// Responds to a request that is incomplete or malformed, and closes the connection after the response.
 void HttpSession::send_final_error(http::status status, CloseReason reason) {
     keep_alive_ = false;
     close_reason_ = reason;
@@ -160,8 +164,9 @@
     respond({status, 11});
 }
 
-// Closing with unread bytes would reset the connection and might lose the last response. So the sending side
-// is closed, and what still arrives is discarded; its client sees the end and retries elsewhere.
+// Closing with unread bytes would reset the connection, and the last response might be lost. So only the
+// sending side is closed, and further input is discarded; a client that has sent another request sees the end
+// of the stream and retries elsewhere.
 void HttpSession::linger(CloseReason reason) {
     if (state_ == State::lingering || state_ == State::closed)
         return;
@@ -175,7 +180,7 @@
     discard();
 }
 
-// Not into the connection's own buffer, which a read under way may still use.
+// Does not read into the connection's own buffer, which a pending read may still use.
 void HttpSession::discard() {
     socket_.async_read_some(asio::buffer(server_.discarded_),
                             [self = shared_from_this()](const error_code& error, std::size_t got) {
@@ -188,8 +193,8 @@
                             });
 }
 
-// While a response is pending, the client may disconnect. What it sends meanwhile is read, up to a bound, as
-// the end of the stream would not be seen behind it.
+// The client may disconnect while its response is pending. Bytes that it sends meanwhile are read, up to a
+// limit, as they would hide the end of the stream.
 void HttpSession::watch_for_disconnect() {
     if (buffer_.size() >= server_.limits_.read_ahead) {
         ++server_.counters_.read_ahead_full;
@@ -204,7 +209,7 @@
 void HttpSession::on_readable(const error_code& error) {
     if (state_ != State::open || error == asio::error::operation_aborted)
         return;
-    const auto got = take_now(socket_, buffer_.prepare(server_.limits_.read_ahead - buffer_.size()));
+    const auto got = read_available(socket_, buffer_.prepare(server_.limits_.read_ahead - buffer_.size()));
     if (got == 0 || (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK))
         return on_disconnect();
     if (got > 0 && buffer_.size() == 0)
@@ -214,8 +219,8 @@
     watch_for_disconnect();
 }
 
-// The read-ahead is full and the rest waits in the socket, so only the system can tell whether the client is
-// still there.
+// The read-ahead is full and further bytes stay in the socket, so only the socket's state tells whether the
+// client is still connected.
 void HttpSession::check_for_disconnect() {
     if (state_ != State::open)
         return;
@@ -226,10 +231,10 @@
 
 void HttpSession::on_disconnect() {
     const auto self = shared_from_this();
-    const auto gone = std::exchange(on_disconnected_, nullptr);
-    close(CloseReason::client_left);
-    if (gone)
-        gone();
+    const auto on_disconnected = std::exchange(on_disconnected_, nullptr);
+    close(CloseReason::client_disconnected);
+    if (on_disconnected)
+        on_disconnected();
 }
 
 bool HttpSession::client_left() {
@@ -240,7 +245,7 @@
         return errno != EAGAIN && errno != EWOULDBLOCK;
     if (got == 0)
         return true;
-    // The end of the stream may stand behind unread bytes.
+    // The end of the stream may follow unread bytes.
     pollfd ended{socket_.native_handle(), POLLRDHUP, 0};
     return ::poll(&ended, 1, 0) > 0 && (ended.revents & (POLLRDHUP | POLLERR | POLLHUP)) != 0;
 }
@@ -256,18 +261,18 @@
         return;
     state_ = State::writing;
     on_disconnected_ = nullptr;
-    // Retiring, the end is said with the last answer that is owed here.
+    // Once accepting has stopped, the last response due on this connection announces its close.
     response.keep_alive(keep_alive_ && (!server_.accepting_stopped_ || has_pipelined_bytes()));
     keep_alive_ = response.keep_alive();
     response.prepare_payload();
     response_.emplace(std::move(response));
     serializer_.emplace(*response_);
-    socket_.cancel();  // the watch
+    socket_.cancel();  // ends watch_for_disconnect()
     since_ = std::chrono::steady_clock::now();
     write_some();
 }
 
-// A reader that is slow but moves is waited for, one that has stopped is not.
+// A client that reads slowly gets its whole response; one that has stopped reading is disconnected.
 void HttpSession::write_some() {
     set_timeout(server_.limits_.write_stall_timeout, &HttpSession::write_stalled);
     http::async_write_some(socket_, *serializer_,
@@ -277,10 +282,9 @@
                                if (!error && self->serializer_->is_done())
                                    return self->on_response_written();
                                const auto passed = std::chrono::steady_clock::now() - self->since_;
-                               // An answer that breaks off is cut short for the client to see: its length was
-                               // told.
+                               // The client detects an incomplete response, as its length was announced.
                                if (error)
-                                   return self->close(CloseReason::broken);
+                                   return self->close(CloseReason::connection_error);
                                if (passed > self->server_.limits_.write_timeout)
                                    return self->write_stalled();
                                self->write_some();
@@ -291,21 +295,21 @@
     serializer_.reset();
     response_.reset();
     if (!keep_alive_)
-        return linger(CloseReason::answered_last);
-    ++timeouts_set_;
+        return linger(CloseReason::final_response_sent);
+    ++timeout_generation_;
     timeout_.cancel();
     const auto began = std::exchange(since_, std::chrono::steady_clock::now());
-    // Bytes that came during a long write may be as old as its beginning.
+    // Bytes that arrived during a long write may have arrived at its beginning.
     if (buffer_.size() == 0 && since_ - began > kMaxShortWrite)
         read_pipelined(core::Time{began.time_since_epoch()});
     read();
-    // The response had promised keep-alive, so a request that has come since is still served.
+    // The response announced keep-alive, so a request that has arrived since is still served.
     if (server_.stopping_)
         close_if_idle();
 }
 
 void HttpSession::read_pipelined(core::Time since) {
-    const auto got = take_now(socket_, buffer_.prepare(server_.limits_.read_ahead));
+    const auto got = read_available(socket_, buffer_.prepare(server_.limits_.read_ahead));
     if (got <= 0)
         return;
     buffer_.commit(static_cast<std::size_t>(got));
@@ -315,11 +319,12 @@
 void HttpSession::close(CloseReason reason) {
     if (state_ == State::closed)
         return;
-    const CloseReason why = close_reason_.value_or(reason);
-    const bool by_client = why == CloseReason::client_left || why == CloseReason::broken;
-    if (state_ == State::open && !by_client && why != CloseReason::shut_down)
+    const CloseReason first_reason = close_reason_.value_or(reason);
+    const bool by_client =
+        first_reason == CloseReason::client_disconnected || first_reason == CloseReason::connection_error;
+    if (state_ == State::open && !by_client && first_reason != CloseReason::server_destroyed)
         ++server_.counters_.closed_unanswered;
-    ++server_.counters_.closed[static_cast<std::size_t>(why)];
+    ++server_.counters_.closed[static_cast<std::size_t>(first_reason)];
     state_ = State::closed;
     timeout_.cancel();
     error_code ignored;
@@ -336,10 +341,10 @@
 
 void HttpSession::close_if_idle() {
     if (state_ == State::reading && nothing_received())
-        linger(CloseReason::idle_end);
+        linger(CloseReason::idle_at_shutdown);
 }
 
-// Bytes of the request that is being read; unread ones count as one.
+// Bytes of the request that is being read; bytes still in the socket count as one.
 std::size_t HttpSession::bytes_received() {
     std::size_t bytes = buffer_.size();
     if (parser_)
@@ -374,13 +379,13 @@
 HttpServer::~HttpServer() {
     for (auto& [session, weak] : std::exchange(sessions_, {}))
         if (const auto alive = weak.lock())
-            alive->close(CloseReason::shut_down);
+            alive->close(CloseReason::server_destroyed);
 }
 
 void HttpServer::admit(tcp::socket socket) {
     if (sessions_.size() >= limits_.connections && !evict_connection()) {
-        log_.line("too-many-clients", "%zu connections", sessions_.size());
-        return;  // closed
+        log_.line("too-many-clients", "%zu client connections open, closing a new one", sessions_.size());
+        return;  // the socket's destructor closes the connection
     }
     error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
@@ -389,19 +394,20 @@
     session->start();
 }
 
-// Evicts the connection of the most dispensable kind, and of these the one without progress for longest.
-// Returns false if all have a request open.
+// Evicts a connection of the first eviction class that is present, and of these the one without progress for
+// longest. Returns false if all connections have an open request.
 bool HttpServer::evict_connection() {
     std::shared_ptr<HttpSession> victim;
-    std::optional<limits::EvictionPriority> kind;
+    std::optional<limits::EvictionClass> victim_class;
     const auto now = std::chrono::steady_clock::now();
     for (const auto& [session, weak] : sessions_) {
         const auto alive = weak.lock();
-        const auto gives = alive ? limits::eviction_priority(alive->activity(now)) : std::nullopt;
-        if (!gives || (victim && std::pair{*kind, victim->since()} <= std::pair{*gives, alive->since()}))
+        const auto candidate_class = alive ? limits::eviction_class(alive->activity(now)) : std::nullopt;
+        if (!candidate_class || (victim && std::pair{*victim_class, victim->since()} <=
+                                               std::pair{*candidate_class, alive->since()}))
             continue;
         victim = alive;
-        kind = gives;
+        victim_class = candidate_class;
     }
     if (!victim)
         return false;
@@ -409,9 +415,9 @@
     return true;
 }
 
-void HttpServer::limit_connections(std::size_t most) {
-    limits_.connections = most;
-    while (sessions_.size() > most && evict_connection()) {}
+void HttpServer::limit_connections(std::size_t max) {
+    limits_.connections = max;
+    while (sessions_.size() > max && evict_connection()) {}
 }
 
 void HttpServer::stop_accepting() {
--- a/src/net/https_client.cpp
+++ b/src/net/https_client.cpp
@@ -14,22 +14,22 @@
 constexpr std::string_view kScheme = "https://";
 constexpr const char* kDefaultPort = "443";
 
-// Blanks, control characters, or a user's name before the host.
-bool has_forbidden_character(std::string_view text) {
-    return std::any_of(text.begin(), text.end(),
+// Blanks, control characters, or the '@' after a user name.
+bool has_forbidden_character(std::string_view part) {
+    return std::any_of(part.begin(), part.end(),
                        [](unsigned char c) { return c <= ' ' || c == '\x7f' || c == '@'; });
 }
 
 http::request<http::string_body> http_request(const acme::HttpRequest& request, const HttpsUrl& url) {
-    http::request<http::string_body> out{http::string_to_verb(request.method), url.target, kHttp11};
-    out.set(http::field::host, url.port == kDefaultPort ? url.host : url.host + ":" + url.port);
-    out.set(http::field::user_agent, "silverrail");
-    out.set(http::field::connection, "close");
-    if (out.method() == http::verb::post)
-        out.set(http::field::content_type, "application/jose+json");
-    out.body() = request.body;
-    out.prepare_payload();
-    return out;
+    http::request<http::string_body> result{http::string_to_verb(request.method), url.target, kHttp11};
+    result.set(http::field::host, url.port == kDefaultPort ? url.host : url.host + ":" + url.port);
+    result.set(http::field::user_agent, "silverrail");
+    result.set(http::field::connection, "close");
+    if (result.method() == http::verb::post)
+        result.set(http::field::content_type, "application/jose+json");
+    result.body() = request.body;
+    result.prepare_payload();
+    return result;
 }
 
 acme::HttpResponse acme_response(http::response<http::string_body>& response) {
@@ -45,16 +45,16 @@
 
 }  // namespace
 
-std::optional<HttpsUrl> parse_https_url(std::string_view text) {
-    if (!text.starts_with(kScheme))
+std::optional<HttpsUrl> parse_https_url(std::string_view url_string) {
+    if (!url_string.starts_with(kScheme))
         return std::nullopt;
-    text.remove_prefix(kScheme.size());
-    const auto target_at = std::min(text.find('/'), text.size());
-    std::string_view host = text.substr(0, target_at);
+    url_string.remove_prefix(kScheme.size());
+    const auto target_at = std::min(url_string.find('/'), url_string.size());
+    std::string_view host = url_string.substr(0, target_at);
     HttpsUrl url;
-    url.target = target_at < text.size() ? std::string{text.substr(target_at)} : "/";
+    url.target = target_at < url_string.size() ? std::string{url_string.substr(target_at)} : "/";
     url.port = kDefaultPort;
-    // The colons of an IPv6 address stand inside brackets.
+    // The colons of an IPv6 address are inside brackets.
     if (const auto colon = host.rfind(':'); colon != std::string_view::npos && host.back() != ']') {
         url.port = host.substr(colon + 1);
         host = host.substr(0, colon);
@@ -68,7 +68,7 @@
     return url;
 }
 
-// One request and its response. The handlers of its operations keep it alive; the timer's does not.
+// One request and its response. The handlers of its operations keep it alive, except the timer's.
 class HttpsClient::Exchange : public std::enable_shared_from_this<HttpsClient::Exchange> {
 public:
     Exchange(asio::io_context& io, asio::ssl::context& tls, std::function<void(acme::HttpResponse)> done)
@@ -111,10 +111,10 @@
                             [self = shared_from_this()](const error_code& error, const auto&) {
                                 if (error)
                                     return self->finish(error);
-                                self->shake_hands();
+                                self->start_handshake();
                             });
     }
-    void shake_hands() {
+    void start_handshake() {
         stream_.async_handshake(asio::ssl::stream_base::client,
                                 [self = shared_from_this()](const error_code& error) {
                                     if (error)
@@ -135,7 +135,7 @@
             stream_, buffer_, parser_,
             [self = shared_from_this()](const error_code& error, std::size_t) { self->finish(error); });
     }
-    // Ends whatever is under way; the first call reports the outcome.
+    // Cancels pending operations; only the first call reports the result.
     void finish(const error_code& error) {
         if (!done_)
             return;
--- a/src/net/https_client.h
+++ b/src/net/https_client.h
@@ -1,4 +1,5 @@
-// HTTPS requests of the ACME client, on Asio: the server is verified, size and time are bounded.
+// HTTPS transport of the ACME client, on Asio. It verifies the server's certificate and limits the size and
+// time of a response.
 #pragma once
 
 #include <optional>
@@ -13,14 +14,14 @@
     std::string port;
     std::string target;
 };
-// Absent if it is no https URL with a host, or holds a blank, a control character or an '@'.
+// Returns nothing if it is not an https URL with a host, or contains a blank, a control character or an '@'.
 std::optional<HttpsUrl> parse_https_url(std::string_view url);
 
-// Each request has a connection of its own. The answer may take 20 s and its body have 256 KB; beyond that it
-// is an error.
+// Opens a connection for each request. A response that takes more than 20 s, or whose body is over 256 KB, is
+// an error.
 class HttpsClient : public acme::HttpTransport {
 public:
-    // `trusted_file`: the certificates to trust, in PEM; empty: the system's. Throws
+    // `trusted_file`: the trusted certificates, in PEM; empty: the system's. Throws
     // boost::system::system_error if it cannot be read.
     HttpsClient(asio::io_context& io, const std::string& trusted_file);
     void send(acme::HttpRequest request, std::function<void(acme::HttpResponse)> done) override;
--- a/src/net/line_server.cpp
+++ b/src/net/line_server.cpp
@@ -7,17 +7,17 @@
 
 namespace silverrail::net {
 
-struct LineServer::Caller {
+struct LineServer::Connection {
     enum class State { reading, writing, lingering, closed };
-    Caller(asio::io_context& io, tcp::socket s) : socket(std::move(s)), limit(io) {}
-    // It is about to be served, so it is not evicted.
+    Connection(asio::io_context& io, tcp::socket s) : socket(std::move(s)), timer(io) {}
+    // If so, it is about to get its response and not evicted if another can be.
     bool has_unread_bytes() {
         return peek(socket) > 0;
     }
     TcpStream socket;
-    asio::steady_timer limit;
+    asio::steady_timer timer;
     std::string line;
-    std::string answer;
+    std::string response;
     std::size_t discarded = 0;
     State state = State::reading;
 };
@@ -30,8 +30,8 @@
       handler_(std::move(handler)) {}
 
 LineServer::~LineServer() {
-    while (!callers_.empty())
-        close(std::shared_ptr{callers_.front()});
+    while (!connections_.empty())
+        close(std::shared_ptr{connections_.front()});
 }
 
 void LineServer::start() {
@@ -39,32 +39,32 @@
 }
 
 void LineServer::on_accept(tcp::socket socket) {
-    if (callers_.size() >= limits_.connections)
-        evict_caller();
+    if (connections_.size() >= limits_.connections)
+        evict_connection();
     error_code ignored;
     socket.non_blocking(true, ignored);
-    const auto caller = std::make_shared<Caller>(io_, std::move(socket));
-    callers_.push_back(caller);
-    set_timeout(caller, limits_.total_timeout);
-    read(caller);
+    const auto connection = std::make_shared<Connection>(io_, std::move(socket));
+    connections_.push_back(connection);
+    set_timeout(connection, limits_.total_timeout);
+    read(connection);
 }
 
-// Evicts first a caller that has had its answer, then the longest silent one.
-void LineServer::evict_caller() {
-    using State = Caller::State;
-    auto at = std::find_if(callers_.begin(), callers_.end(),
+// Evicts a connection that has had its response; else the oldest one without unread bytes; else the oldest.
+void LineServer::evict_connection() {
+    using State = Connection::State;
+    auto at = std::find_if(connections_.begin(), connections_.end(),
                            [](const auto& c) { return c->state == State::lingering; });
-    if (at == callers_.end())
-        at = std::find_if(callers_.begin(), callers_.end(),
+    if (at == connections_.end())
+        at = std::find_if(connections_.begin(), connections_.end(),
                           [](const auto& c) { return c->state == State::reading && !c->has_unread_bytes(); });
-    if (at == callers_.end())
-        at = callers_.begin();
+    if (at == connections_.end())
+        at = connections_.begin();
     close(std::shared_ptr{*at});
 }
 
-void LineServer::set_timeout(const std::shared_ptr<Caller>& caller, std::chrono::milliseconds limit) {
-    caller->limit.expires_after(limit);
-    caller->limit.async_wait([this, weak = std::weak_ptr{caller}](const error_code& error) {
+void LineServer::set_timeout(const ConnectionPointer& connection, std::chrono::milliseconds timeout) {
+    connection->timer.expires_after(timeout);
+    connection->timer.async_wait([this, weak = std::weak_ptr{connection}](const error_code& error) {
         if (error)
             return;
         if (const auto alive = weak.lock())
@@ -72,63 +72,63 @@
     });
 }
 
-void LineServer::read(const std::shared_ptr<Caller>& caller) {
-    asio::async_read_until(caller->socket, asio::dynamic_buffer(caller->line, limits_.line), '\n',
-                           [this, caller](const error_code& error, std::size_t) {
-                               if (caller->state != Caller::State::reading)
+void LineServer::read(const ConnectionPointer& connection) {
+    asio::async_read_until(connection->socket, asio::dynamic_buffer(connection->line, limits_.line), '\n',
+                           [this, connection](const error_code& error, std::size_t) {
+                               if (connection->state != Connection::State::reading)
                                    return;
                                if (!error)
-                                   return on_line(caller, true);
-                               const bool complete_input =
+                                   return on_line(connection, true);
+                               const bool input_ended =
                                    error == asio::error::not_found || error == asio::error::eof;
-                               // No line came that could be answered.
-                               if (!complete_input || caller->line.empty())
-                                   return close(caller);
-                               on_line(caller, false);
+                               // There is no line to respond to.
+                               if (!input_ended || connection->line.empty())
+                                   return close(connection);
+                               on_line(connection, false);
                            });
 }
 
-void LineServer::on_line(const std::shared_ptr<Caller>& caller, bool terminated) {
-    // One line a connection: what follows it is discarded.
-    const std::size_t end = terminated ? caller->line.find('\n') : caller->line.size();
-    caller->answer = handler_(std::string_view{caller->line}.substr(0, end), terminated);
-    caller->state = Caller::State::writing;
-    asio::async_write(caller->socket, asio::buffer(caller->answer),
-                      [this, caller](const error_code& error, std::size_t) {
-                          if (caller->state != Caller::State::writing)
+void LineServer::on_line(const ConnectionPointer& connection, bool terminated) {
+    // Only the first line is handled; anything after it is discarded.
+    const std::size_t end = terminated ? connection->line.find('\n') : connection->line.size();
+    connection->response = handler_(std::string_view{connection->line}.substr(0, end), terminated);
+    connection->state = Connection::State::writing;
+    asio::async_write(connection->socket, asio::buffer(connection->response),
+                      [this, connection](const error_code& error, std::size_t) {
+                          if (connection->state != Connection::State::writing)
                               return;
                           if (error)
-                              return close(caller);
-                          // Closing with bytes unread would reset the connection and may take the answer
-                          // along.
-                          caller->state = Caller::State::lingering;
+                              return close(connection);
+                          // Closing with unread bytes would reset the connection, and the response
+                          // might be lost.
+                          connection->state = Connection::State::lingering;
                           error_code ignored;
-                          caller->socket.shutdown(tcp::socket::shutdown_send, ignored);
-                          set_timeout(caller, limits_.linger_timeout);
-                          discard(caller);
+                          connection->socket.shutdown(tcp::socket::shutdown_send, ignored);
+                          set_timeout(connection, limits_.linger_timeout);
+                          discard(connection);
                       });
 }
 
-void LineServer::discard(const std::shared_ptr<Caller>& caller) {
-    caller->line.resize(limits_.line);
-    caller->socket.async_read_some(asio::buffer(caller->line),
-                                   [this, caller](const error_code& error, std::size_t got) {
-                                       if (caller->state != Caller::State::lingering)
-                                           return;
-                                       caller->discarded += got;
-                                       if (error || caller->discarded > limits_.max_linger_bytes)
-                                           return close(caller);
-                                       discard(caller);
-                                   });
+void LineServer::discard(const ConnectionPointer& connection) {
+    connection->line.resize(limits_.line);
+    connection->socket.async_read_some(asio::buffer(connection->line),
+                                       [this, connection](const error_code& error, std::size_t got) {
+                                           if (connection->state != Connection::State::lingering)
+                                               return;
+                                           connection->discarded += got;
+                                           if (error || connection->discarded > limits_.max_linger_bytes)
+                                               return close(connection);
+                                           discard(connection);
+                                       });
 }
 
-void LineServer::close(const std::shared_ptr<Caller>& caller) {
-    if (std::exchange(caller->state, Caller::State::closed) == Caller::State::closed)
+void LineServer::close(const ConnectionPointer& connection) {
+    if (std::exchange(connection->state, Connection::State::closed) == Connection::State::closed)
         return;
-    caller->limit.cancel();
+    connection->timer.cancel();
     error_code ignored;
-    caller->socket.close(ignored);
-    callers_.remove(caller);
+    connection->socket.close(ignored);
+    connections_.remove(connection);
 }
 
 }  // namespace silverrail::net
--- a/src/net/line_server.h
+++ b/src/net/line_server.h
@@ -1,5 +1,5 @@
-// A server that answers one line a connection: the control address's protocol. Bounded in bytes, time and
-// number; a silent caller is evicted for a new one.
+// The server of the control address: on each connection it reads one line and sends one response. It limits
+// bytes, times and the number of connections; a connection that has sent nothing is evicted for a new one.
 #pragma once
 
 #include <functional>
@@ -13,16 +13,16 @@
 
 struct LineLimits {
     std::size_t connections = 16;
-    std::size_t line = 256;                          // bytes, with its end
-    std::chrono::milliseconds total_timeout{6'000};  // from connecting to the end of the answer
-    std::chrono::milliseconds linger_timeout{500};   // for the caller to close after its answer
+    std::size_t line = 256;                          // bytes, including the newline
+    std::chrono::milliseconds total_timeout{6'000};  // from connecting to the end of the response
+    std::chrono::milliseconds linger_timeout{500};   // for the client to close after its response
     std::size_t max_linger_bytes = 64UL * 1024;
 };
 
 class LineServer {
 public:
-    // Returns the answer to a line, which is given without its end. `terminated`: it had one; else the caller
-    // has closed or the limit was reached.
+    // Returns the response to a line, which is passed without its newline. `terminated`: it had one;
+    // otherwise the client has ended its side of the stream, or the line has reached the size limit.
     using Handler = std::function<std::string(std::string_view line, bool terminated)>;
 
     // Binds at once; throws boost::system::system_error if it cannot.
@@ -33,28 +33,29 @@
         return listener_.local();
     }
     std::size_t connections() const {
-        return callers_.size();
+        return connections_.size();
     }
+    // Called when the process runs out of descriptors, to free some.
     void when_out_of_descriptors(std::function<void()> action) {
         listener_.when_out_of_descriptors(std::move(action));
     }
 
 private:
-    struct Caller;
-    using Callers = std::list<std::shared_ptr<Caller>>;  // the longest connected first
+    struct Connection;
+    using ConnectionPointer = std::shared_ptr<Connection>;
     void on_accept(tcp::socket socket);
-    void evict_caller();
-    void read(const std::shared_ptr<Caller>& caller);
-    void on_line(const std::shared_ptr<Caller>& caller, bool terminated);
-    void discard(const std::shared_ptr<Caller>& caller);
-    void set_timeout(const std::shared_ptr<Caller>& caller, std::chrono::milliseconds limit);
-    void close(const std::shared_ptr<Caller>& caller);
+    void evict_connection();
+    void read(const ConnectionPointer& connection);
+    void on_line(const ConnectionPointer& connection, bool terminated);
+    void discard(const ConnectionPointer& connection);
+    void set_timeout(const ConnectionPointer& connection, std::chrono::milliseconds timeout);
+    void close(const ConnectionPointer& connection);
 
     asio::io_context& io_;
     Listener listener_;
     LineLimits limits_;
     Handler handler_;
-    Callers callers_;
+    std::list<ConnectionPointer> connections_;  // oldest first
 };
 
 }  // namespace silverrail::net
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -11,16 +11,16 @@
 namespace {
 constexpr int kBacklog = 4096;  // the system's own limit may be lower
 constexpr std::chrono::milliseconds kRetryDelay{20};
-constexpr int kMaxDrainAttempts = 20;  // at the backlog, a delay apart
-constexpr int kMaxAborted = 4096;      // failed connections skipped in one attempt
+constexpr int kMaxBacklogTries = 20;  // to accept the backlog, kRetryDelay apart
+constexpr int kMaxAborted = 4096;     // failed connections skipped in one try
 using ReusePort = asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>;
 }  // namespace
 
 Listener::Listener(asio::io_context& io, const tcp::endpoint& at, Port port, Log& log)
     : io_(io), acceptor_(io), retry_timer_(io), port_(port), log_(log) {
     acceptor_.open(at.protocol());
-    // Reported rather than hidden, so that the loop accepts the next connection. Asio itself would wait for
-    // another to arrive and leave those in the queue there.
+    // Aborted connections are reported as errors, so that the loop accepts the next connection. Otherwise
+    // Asio would wait for another one to arrive, and leave those in the backlog there.
     acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
     if (port == Port::shared)
@@ -28,16 +28,19 @@
     acceptor_.bind(at);
 }
 
-// Of two processes that share the port, all new connections go to the one that listens later. So the backlog
-// of the earlier one is empty long before it closes; what arrives between the last accept and the close is
-// reset. Where the kernel refuses the filter, it spreads connections over both.
+// Routes all new connections to the process that started to listen later, of two that share the port. So the
+// backlog of the earlier one is empty long before it closes its socket; a connection that arrives between its
+// last accept and the close would be reset. If the kernel rejects the filter, it distributes connections over
+// both.
 void Listener::route_to_latest() {
     sock_filter latest[] = {
-        BPF_STMT(BPF_RET | BPF_K, 1)};  // index of the second of two listeners; ignored while there is one
+        BPF_STMT(BPF_RET | BPF_K, 1)};  // index of the second of two listeners; ignored if there is only one
     const sock_fprog program{1, latest};
     if (::setsockopt(acceptor_.native_handle(), SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, &program,
                      sizeof program) != 0)
-        log_.line("shared-port", "connections are spread over all processes: %s", std::strerror(errno));
+        log_.line("shared-port",
+                  "cannot attach the filter, connections are distributed over all processes: %s",
+                  std::strerror(errno));
 }
 
 void Listener::start(AcceptHandler on_accept) {
@@ -57,7 +60,7 @@
 Listener::AcceptError Listener::classify(const error_code& error) {
     if (error == asio::error::would_block || error == asio::error::try_again)
         return AcceptError::backlog_empty;
-    // As accept(2) lists them: errors of the accepted connection itself.
+    // Errors of the accepted connection itself, as listed in accept(2).
     for (const int connection_error : {ECONNABORTED, EPROTO, EINTR, ENETDOWN, ENOPROTOOPT, EHOSTDOWN, ENONET,
                                        EHOSTUNREACH, ENETUNREACH, ETIMEDOUT})
         if (error.value() == connection_error)
@@ -68,7 +71,7 @@
 void Listener::handle_accept(const error_code& error, tcp::socket socket) {
     if (error == asio::error::operation_aborted)
         return;
-    // A connection accepted in the same turn as the stop is served like any other.
+    // A connection accepted in the same iteration of the event loop as the stop is still handled.
     if (stopping_ && error)
         return;
     if (error && classify(error) == AcceptError::out_of_resources) {
@@ -85,10 +88,10 @@
         accept();
 }
 
-// The connection stays in the backlog while some descriptors are freed; the caller pauses.
+// Frees some descriptors. The connection stays in the backlog, and the caller pauses.
 void Listener::on_out_of_resources(const error_code& error) {
     ++counters_.pauses;
-    log_.line("no-descriptors", "accept: %s", error.message().c_str());
+    log_.line("no-descriptors", "cannot accept a connection: %s", error.message().c_str());
     if (free_descriptors_)
         free_descriptors_();
 }
@@ -104,28 +107,28 @@
 void Listener::stop() {
     if (std::exchange(stopping_, true))
         return;
-    drain_attempts_left_ = kMaxDrainAttempts;
+    backlog_tries_left_ = kMaxBacklogTries;
     retry_timer_.cancel();
-    drain_backlog();
+    accept_backlog();
 }
 
-void Listener::drain_backlog() {
+void Listener::accept_backlog() {
     if (closed())
         return;
     for (int skipped = 0; on_accept_ && skipped < kMaxAborted;) {
         error_code error;
         tcp::socket socket{io_};
         acceptor_.accept(socket, error);
-        const AcceptError trouble = error ? classify(error) : AcceptError::backlog_empty;
+        const AcceptError accept_error = error ? classify(error) : AcceptError::backlog_empty;
         if (!error) {
             ++counters_.accepted;
             on_accept_(std::move(socket));
-        } else if (trouble == AcceptError::connection_failed) {
+        } else if (accept_error == AcceptError::connection_failed) {
             ++counters_.aborted;
             ++skipped;
-        } else if (trouble == AcceptError::out_of_resources && --drain_attempts_left_ > 0) {
+        } else if (accept_error == AcceptError::out_of_resources && --backlog_tries_left_ > 0) {
             on_out_of_resources(error);
-            return pause(&Listener::drain_backlog);
+            return pause(&Listener::accept_backlog);
         } else {
             break;
         }
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -1,6 +1,6 @@
-// A listening TCP socket and its accept loop. Out of descriptors it pauses; stopping accepts what is in the
-// backlog first, as closing would reset it. A connection that fails before it is accepted costs the others
-// nothing.
+// A listening TCP socket and its accept loop. The loop pauses while the process is out of descriptors.
+// Stopping first accepts the connections in the backlog, as closing the socket would reset them. A connection
+// that fails before it is accepted does not affect the others.
 #pragma once
 
 #include <functional>
@@ -19,14 +19,15 @@
         std::uint64_t pauses = 0;   // for lack of descriptors, buffers or memory
     };
 
-    // exclusive: a second listener at the address is an error. shared: processes of one router may listen
-    // there together, and the latest accepts.
+    // exclusive: a second listener at the address is an error. shared: several processes of one router may
+    // listen there; the one that started to listen last accepts the connections.
     enum class Port { exclusive, shared };
     // Binds at once; throws boost::system::system_error if it cannot.
     Listener(asio::io_context& io, const tcp::endpoint& at, Port port, Log& log);
-    // Listens from now on: nobody can connect before.
+    // Starts to listen; no client can connect before.
     void start(AcceptHandler on_accept);
-    // Accepts what is in the backlog, then closes: at once, or after some retries if descriptors are lacking.
+    // Accepts the connections in the backlog, then closes the socket: at once, or after some retries if the
+    // process is out of descriptors.
     void stop();
     bool closed() const {
         return !acceptor_.is_open();
@@ -43,8 +44,8 @@
     }
 
 private:
-    // What an error of accept means: the backlog is empty; one connection has failed, the next may be good;
-    // this machine has no resources for any.
+    // The meaning of an accept error: the backlog is empty; one connection has failed, but the next may not;
+    // the process or host lacks the resources to accept any.
     enum class AcceptError { backlog_empty, connection_failed, out_of_resources };
     static AcceptError classify(const error_code& error);
     void route_to_latest();
@@ -52,7 +53,7 @@
     void handle_accept(const error_code& error, tcp::socket socket);
     void on_out_of_resources(const error_code& error);
     void pause(void (Listener::*then)());
-    void drain_backlog();
+    void accept_backlog();
     void close();
 
     asio::io_context& io_;
@@ -63,7 +64,7 @@
     AcceptHandler on_accept_;
     std::function<void()> free_descriptors_;
     Counters counters_;
-    int drain_attempts_left_ = 0;
+    int backlog_tries_left_ = 0;
     bool stopping_ = false;
 };
 
--- a/src/net/peek.h
+++ b/src/net/peek.h
@@ -1,4 +1,4 @@
-// What a socket holds, without reading it.
+// Non-blocking reads and peeks of a socket, whatever its own mode.
 #pragma once
 
 #include <sys/socket.h>
@@ -9,8 +9,8 @@
 
 namespace silverrail::net {
 
-// recv, begun anew where a signal came between.
-inline ssize_t receive_now(tcp::socket& socket, void* into, std::size_t size, int flags) {
+// Non-blocking recv(), restarted if a signal interrupts it.
+inline ssize_t recv_nonblocking(tcp::socket& socket, void* into, std::size_t size, int flags) {
     while (true) {
         const auto got = ::recv(socket.native_handle(), into, size, flags | MSG_DONTWAIT);
         if (got >= 0 || errno != EINTR)
@@ -18,15 +18,17 @@
     }
 }
 
-// As recv of one byte: 1, or 0 at the other side's end, or -1 with errno, EAGAIN where nothing has come.
+// Peeks at one byte. Returns 1, or 0 at the end of the stream, or -1 and sets errno: EAGAIN if nothing has
+// arrived.
 inline ssize_t peek(tcp::socket& socket) {
     char byte = 0;
-    return receive_now(socket, &byte, 1, MSG_PEEK);
+    return recv_nonblocking(socket, &byte, 1, MSG_PEEK);
 }
 
-// The same, and what was read is taken out of the socket.
-inline ssize_t take_now(tcp::socket& socket, const asio::mutable_buffer& into) {
-    return receive_now(socket, into.data(), into.size(), 0);
+// Reads what has arrived, up to the size of `into`. Returns the number of bytes read, or 0 or -1 as peek()
+// does.
+inline ssize_t read_available(tcp::socket& socket, const asio::mutable_buffer& into) {
+    return recv_nonblocking(socket, into.data(), into.size(), 0);
 }
 
 }  // namespace silverrail::net
--- a/src/net/peer_transport.cpp
+++ b/src/net/peer_transport.cpp
@@ -27,7 +27,7 @@
     return codec::frame_header(body.size()) + body;
 }
 
-// Gossip is piggybacked as far as there is room: records are dropped from the end until the message fits.
+// Gossip is piggybacked as far as there is space: records are dropped from the end until the message fits.
 std::string encode_datagram(const PeerTransport::Message& message) {
     std::string bytes = encode(message);
     const auto* membership = std::get_if<cluster::MembershipMessage>(&message);
@@ -49,7 +49,7 @@
     asio::steady_timer timer;
     std::array<unsigned char, kFrameHeaderBytes> header{};
     std::string body;
-    std::string out;  // what is written
+    std::string out;  // the frame that is being written
 };
 
 std::optional<udp::endpoint> PeerTransport::endpoint_of(std::string_view address) {
@@ -141,11 +141,11 @@
     }
     const std::string bytes = encode_datagram(message.message);
     if (bytes.size() > codec::kMaxDatagramBytes) {
-        ++counters_.unsendable;  // one large entry: push-pull carries it
+        ++counters_.unsendable;  // a single large entry, which push-pull will transfer
         return;
     }
     error_code error;
-    udp_.send_to(asio::buffer(bytes), *to, 0, error);  // a full buffer drops a datagram, as a network would
+    udp_.send_to(asio::buffer(bytes), *to, 0, error);  // lost if the send buffer is full, as on a network
     if (error) {
         ++counters_.unsendable;
         return;
@@ -171,11 +171,11 @@
                                  [this, stream](const error_code& error) {
                                      if (error)
                                          return close(stream);
-                                     write_request(stream);
+                                     write_message(stream);
                                  });
 }
 
-// Bound to this router's own address, by which the other side can tell who asks.
+// Binds the stream to this router's own address, by which the peer can tell who sends the message.
 bool PeerTransport::open_socket(const StreamPointer& stream, const udp::endpoint& to) {
     error_code error;
     stream->socket.open(to.protocol() == udp::v4() ? tcp::v4() : tcp::v6(), error);
@@ -184,7 +184,7 @@
     return !error;
 }
 
-// A peer that stays silent or sends half a message is closed at the timeout.
+// Closes the stream at the timeout, if the peer sends nothing or only a part of a message.
 void PeerTransport::start_timeout(const StreamPointer& stream) {
     stream->timer.expires_after(limits_.stream_timeout);
     stream->timer.async_wait([this, stream](const error_code& error) {
@@ -195,7 +195,7 @@
     });
 }
 
-void PeerTransport::write_request(const StreamPointer& stream) {
+void PeerTransport::write_message(const StreamPointer& stream) {
     asio::async_write(stream->socket, asio::buffer(stream->out),
                       [this, stream](const error_code& error, std::size_t size) {
                           if (error)
@@ -266,20 +266,20 @@
     send(replies);
 }
 
-// The first stream reply goes back on the stream that asked; the others are sent like any message.
+// Sends the first stream reply on the stream that the message came on, and the others like any message.
 void PeerTransport::reply(const StreamPointer& stream, std::vector<Outgoing> messages) {
     std::vector<Outgoing> others;
-    std::optional<Outgoing> answer;
+    std::optional<Outgoing> stream_reply;
     for (auto& message : messages) {
-        if (!answer && message.stream)
-            answer = std::move(message);
+        if (!stream_reply && message.stream)
+            stream_reply = std::move(message);
         else
             others.push_back(std::move(message));
     }
     send(others);
-    if (!answer)
+    if (!stream_reply)
         return close(stream);
-    stream->out = frame(answer->message);
+    stream->out = frame(stream_reply->message);
     asio::async_write(stream->socket, asio::buffer(stream->out),
                       [this, stream](const error_code&, std::size_t size) {
                           counters_.bytes_out += size;
--- a/src/net/peer_transport.h
+++ b/src/net/peer_transport.h
@@ -1,7 +1,8 @@
-// The transport between routers: datagrams for probes and gossip, a stream for push-pull, both at one address
-// and port. It carries messages as cluster/codec encodes them and decides nothing: what arrives goes to the
-// handler, and what the handler returns is sent. Bounded: one datagram buffer, at most `streams` streams each
-// way, each within `stream_timeout` and kMaxFrameBytes bytes. Addresses are numeric: nothing is looked up.
+// The transport between routers: datagrams for probes and gossip, streams for push-pull, both at one address
+// and port. It carries messages as encoded by cluster/codec and decides nothing itself: it passes received
+// messages to the handler and sends those that the handler returns. Its resources are limited to one datagram
+// buffer and, in each direction, `streams` streams, each with at most `stream_timeout` and frames of
+// kMaxFrameBytes bytes. Addresses are numeric, so no name is resolved.
 #pragma once
 
 #include <array>
@@ -19,7 +20,7 @@
 using udp = asio::ip::udp;
 
 struct PeerTransportLimits {
-    std::size_t streams = 8;  // each way
+    std::size_t streams = 8;  // in each direction
     std::chrono::milliseconds stream_timeout{2'000};
 };
 
@@ -38,7 +39,7 @@
         Message message;
         bool stream = false;
     };
-    // The state machines' messages in the transport's form.
+    // Converts messages of the cluster's state machines.
     template <class From>
     static std::vector<Outgoing> outgoing(std::vector<From> from) {
         std::vector<Outgoing> out;
@@ -49,11 +50,12 @@
         }
         return out;
     }
-    // Returns the replies to a message. The first stream reply to a message that came by a stream goes back
-    // on it.
+    // Returns the replies to a message. The first stream reply to a message that came on a stream is sent on
+    // the same stream.
     using Handler = std::function<std::vector<Outgoing>(const Message&)>;
 
-    // Binds at once, datagrams and stream on the same port; throws boost::system::system_error if it cannot.
+    // Binds at once, for datagrams and streams on the same port; throws boost::system::system_error if it
+    // cannot.
     PeerTransport(asio::io_context& io, const std::string& bind, PeerTransportLimits limits, Handler handler,
                   Log& log);
     ~PeerTransport();
@@ -67,7 +69,7 @@
         return counters_;
     }
 
-    // "a.b.c.d:port" or "[v6]:port"; nothing else, so that nothing is looked up.
+    // Parses "a.b.c.d:port" or "[v6]:port". Returns nothing for a host name, as none is ever resolved.
     static std::optional<udp::endpoint> endpoint_of(std::string_view address);
 
 private:
@@ -78,13 +80,13 @@
     void accept();
     void on_accept(tcp::socket socket);
     void count_refused(cluster::codec::DecodeError reason);
-    // The message in the bytes; absent if it was refused, which is counted.
+    // Decodes a message. Returns nothing if it is refused, and counts that.
     std::optional<Message> decode(std::string_view bytes, bool stream);
     void send_datagram(const Outgoing& message);
     void open_stream(const Outgoing& message);
     bool open_socket(const StreamPointer& stream, const udp::endpoint& to);
     void start_timeout(const StreamPointer& stream);
-    void write_request(const StreamPointer& stream);
+    void write_message(const StreamPointer& stream);
     void read_frame(const StreamPointer& stream, bool incoming);
     void read_body(const StreamPointer& stream, bool incoming);
     void on_frame(const StreamPointer& stream, bool incoming);
--- a/src/net/server_connection.h
+++ b/src/net/server_connection.h
@@ -13,7 +13,7 @@
 
 class ServerConnection {
 public:
-    // `open_count` counts the connections that hold a descriptor or are about to.
+    // `open_count` counts the connections that hold a descriptor or are about to open one.
     ServerConnection(asio::io_context& io, std::shared_ptr<std::size_t> open_count)
         : socket(io), open_count_(std::move(open_count)) {
         ++*open_count_;
@@ -28,7 +28,7 @@
         error_code ignored;
         socket.close(ignored);
     }
-    // No response is expected on an idle connection: any bytes, or its end, make it unusable.
+    // No response is expected on an idle connection: any bytes, or the end of the stream, make it unusable.
     bool stale() {
         const auto result = peek(socket);
         return result >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK);
--- a/src/net/server_protocol.h
+++ b/src/net/server_protocol.h
@@ -1,4 +1,5 @@
-// The servers' protocol: an attempt as an HTTP request, and a response as the attempt's outcome.
+// The HTTP protocol of the servers: encodes an attempt as a request, and decodes a response to the attempt's
+// result.
 #pragma once
 
 #include <string_view>
@@ -11,19 +12,19 @@
 using ServerRequest = http::request<http::string_body>;
 using ServerResponse = http::response<http::string_body>;
 
-// `max_age`: of a cached object, as asked right before the first byte; 0: no bound. `remaining`: until the
-// attempt's deadline.
-ServerRequest server_request(const core::AttemptRequest& order, core::Span max_age, core::Span remaining);
+// `max_age`: of a cached object, as determined right before the first byte is sent; 0: no limit. `remaining`:
+// time until the attempt's deadline.
+ServerRequest server_request(const core::AttemptRequest& attempt, core::Span max_age, core::Span remaining);
 
-// What a complete response means.
-core::AttemptResult attempt_end(ServerResponse response);
+// Converts a complete response to the result of its attempt.
+core::AttemptResult attempt_result(ServerResponse response);
 
-// How the server came by the answer; `none` for a word that is not known.
-core::CacheStatus parse_cache_status(std::string_view word);
-// The server's name for a status; empty for `none`.
-std::string_view cache_status_word(core::CacheStatus status);
+// How the server obtained the object, by the header's value; `none` if the value is unknown.
+core::CacheStatus parse_cache_status(std::string_view name);
+// The header's value for a status; empty for `none`.
+std::string_view cache_status_name(core::CacheStatus status);
 
-// "NAME:VALUE;..."; fields that are not known or not numbers are skipped.
-routing::LoadReport parse_load_report(std::string_view text);
+// Parses "NAME:VALUE;..."; skips fields that are unknown or not numbers.
+routing::LoadReport parse_load_report(std::string_view header);
 
 }  // namespace silverrail::net
--- a/src/net/sse_parser.cpp
+++ b/src/net/sse_parser.cpp
@@ -10,7 +10,7 @@
 
 bool SseParser::feed(std::string_view bytes, const std::function<void(const Event&)>& on_event) {
     for (const char c : bytes) {
-        if (c == '\n' && after_cr_) {  // the second half of a CR LF
+        if (c == '\n' && after_cr_) {  // the LF of a CR LF
             after_cr_ = false;
             continue;
         }
--- a/src/net/sse_parser.h
+++ b/src/net/sse_parser.h
@@ -1,4 +1,4 @@
-// A parser of server-sent events (HTML standard), bounded in memory.
+// A parser of server-sent events (HTML standard), with a limit on its memory.
 #pragma once
 
 #include <cstdint>
@@ -14,12 +14,12 @@
         std::string id;
         std::string data;
     };
-    // `max_bytes`: of one event.
+    // `max_bytes`: the maximum size of an event.
     explicit SseParser(std::size_t max_bytes = 1 << 20) : max_bytes_(max_bytes) {}
-    // Calls `on_event` with each complete event; bytes may be cut anywhere. Returns false if an event is
-    // longer than the bound; nothing more can be parsed then.
+    // Calls `on_event` with each complete event; the input may be split at any byte. Returns false if an
+    // event exceeds the limit; nothing more can be parsed then.
     bool feed(std::string_view bytes, const std::function<void(const Event&)>& on_event);
-    // Complete lines so far, comments among them.
+    // Number of complete lines so far, including comments.
     std::uint64_t lines() const {
         return lines_;
     }
--- a/src/net/tcp_health_check.h
+++ b/src/net/tcp_health_check.h
@@ -1,5 +1,5 @@
-// A TCP health check: whether something listens at an address, found by a connect that sends nothing and is
-// closed at once. Bounded in number and time.
+// A TCP health check: finds out whether a process listens at an address, by a connection that sends nothing
+// and is closed at once. The number and duration of checks are limited.
 #pragma once
 
 #include <functional>
@@ -21,8 +21,8 @@
     ~TcpHealthCheck() {
         stop();
     }
-    // Returns false if too many checks are under way, or if `address` is not ADDRESS:PORT. Else `done` is
-    // called once, unless stop() comes first.
+    // Returns false if too many checks are pending, or if `address` is not ADDRESS:PORT. Otherwise `done` is
+    // called once, unless stop() is called before.
     bool check(const std::string& address, std::function<void(bool listens)> done);
     void stop();
 
--- a/src/net/tcp_stream.h
+++ b/src/net/tcp_stream.h
@@ -1,7 +1,7 @@
-// A TCP socket whose writes go on after the system has taken them only in part. Asio 1.74 takes a short write
-// for a full buffer and waits for an event that says otherwise; events are told at their edge, so where the
-// buffer was not full none ever comes. Here the socket is asked anew after a short write, which arms the
-// edge.
+// A TCP socket that continues writing after a short write. Asio 1.74 takes a short write as a sign of a full
+// send buffer and waits for the event that the socket is writable. The events are edge-triggered, so if the
+// buffer was not full, the event never comes. This class waits for writability anew after a short write,
+// which rearms the event.
 #pragma once
 
 #include <type_traits>
@@ -10,18 +10,18 @@
 
 namespace silverrail::net {
 
-// To be used wherever something is written to a stream socket, by itself or below TLS.
+// Must be used wherever a stream socket is written to, directly or below TLS.
 class TcpStream : public tcp::socket {
 public:
     using tcp::socket::socket;
     explicit TcpStream(tcp::socket&& socket) : tcp::socket(std::move(socket)) {}
     TcpStream& operator=(tcp::socket&& socket) {
         tcp::socket::operator=(std::move(socket));
-        cut_short_ = false;
+        short_write_ = false;
         return *this;
     }
 
-    // As the socket's own, which it hides. One write at a time, as composed operations make them.
+    // Like the socket's own, which it hides. Only one write may be pending, as in composed operations.
     template <class Buffers, class Token>
     auto async_write_some(const Buffers& buffers, Token&& token) {
         return asio::async_compose<Token, void(error_code, std::size_t)>(Write<Buffers>{*this, buffers},
@@ -37,8 +37,8 @@
         Step step = Step::begin;
 
         template <class Self>
-        void operator()(Self& self, error_code error = {}, std::size_t put = 0) {
-            if (step == Step::begin && stream.cut_short_) {
+        void operator()(Self& self, error_code error = {}, std::size_t written = 0) {
+            if (step == Step::begin && stream.short_write_) {
                 step = Step::waiting;
                 return stream.async_wait(tcp::socket::wait_write, std::move(self));
             }
@@ -46,12 +46,12 @@
                 step = Step::writing;
                 return static_cast<tcp::socket&>(stream).async_write_some(buffers, std::move(self));
             }
-            stream.cut_short_ = !error && put < asio::buffer_size(buffers);
-            self.complete(error, put);
+            stream.short_write_ = !error && written < asio::buffer_size(buffers);
+            self.complete(error, written);
         }
     };
 
-    bool cut_short_ = false;  // the last write was taken in part
+    bool short_write_ = false;  // the last write was short
 };
 
 }  // namespace silverrail::net
--- a/tests/connections/client_disconnect_test.cpp
+++ b/tests/connections/client_disconnect_test.cpp
@@ -1,4 +1,5 @@
-// A client leaves, or a rule changes, while its request waits: nothing is sent that is owed to nobody.
+// A client disconnects, or a rule changes, while its request waits for a connection or a hedge. Guards
+// against a request that is sent for a client that has left, or in violation of the changed rule.
 #include <optional>
 
 #include "fixture.h"
@@ -9,24 +10,25 @@
 
 namespace {
 
-net::ConnectionPoolLimits patient() {
+net::ConnectionPoolLimits long_connect_timeout() {
     net::ConnectionPoolLimits limits;
-    limits.connect_timeout =
-        10s;  // a held connection comes up when its opening is sent again, after a second
+    limits.connect_timeout = 10s;  // a pending connect succeeds when the SYN is sent again, after a second
     return limits;
 }
 
-enum class Way { closes, resets, closes_behind_bytes, resets_behind_bytes };
-constexpr Way kWays[] = {Way::closes, Way::resets, Way::closes_behind_bytes, Way::resets_behind_bytes};
+enum class Disconnect { close, reset, close_after_bytes, reset_after_bytes };
+constexpr Disconnect kDisconnects[] = {Disconnect::close, Disconnect::reset, Disconnect::close_after_bytes,
+                                       Disconnect::reset_after_bytes};
 
-// The client goes while its call is open; the router has seen that when the call is open no more.
-void go(asio::io_context& io, Router& router, RawClient& client, Way way) {
+// Disconnects the client while its request is open, and waits until the router has noticed and ended the
+// request.
+void disconnect_client(asio::io_context& io, Router& router, RawClient& client, Disconnect how) {
     const std::size_t open = router.engine.open();
-    if (way == Way::closes_behind_bytes || way == Way::resets_behind_bytes) {
+    if (how == Disconnect::close_after_bytes || how == Disconnect::reset_after_bytes) {
         client.send("GET /early");
         run_until(io, [&] { return io.poll() == 0; });
     }
-    if (way == Way::closes || way == Way::closes_behind_bytes)
+    if (how == Disconnect::close || how == Disconnect::close_after_bytes)
         client.half_close();
     else
         client.reset();
@@ -34,36 +36,37 @@
     CHECK(router.engine.counters().abandoned == 1 && router.engine.counters().past_deadline == 0);
 }
 
-// What was waited for comes about, and whatever had been waiting for it would be heard before this.
-void nothing_but_a_mark(asio::io_context& io, HeldServer& held) {
-    held.open();
-    tcp::socket mark{io};
-    mark.connect(held.endpoint());
-    asio::write(mark, asio::buffer(std::string{"mark"}));
-    run_until(io, [&] { return held.heard.find("mark") != std::string::npos; });
-    CHECK(held.heard == "mark");
+// Lets the pending connects succeed and sends a marker to the server: any request that waited for a
+// connection would arrive before the marker.
+void check_only_marker_arrives(asio::io_context& io, FullBacklogServer& delayed) {
+    delayed.accept_connections();
+    tcp::socket marker{io};
+    marker.connect(delayed.endpoint());
+    asio::write(marker, asio::buffer(std::string{"mark"}));
+    run_until(io, [&] { return delayed.received.find("mark") != std::string::npos; });
+    CHECK(delayed.received == "mark");
 }
 
-// Nothing goes out for a request whose client has gone while it waited: here for a socket, ...
-void nothing_is_sent_for_a_client_that_left_waiting_for_a_socket() {
-    for (const Way way : kWays) {
+// The client disconnects while its request is queued for a free connection to a server.
+void nothing_is_sent_for_a_client_that_left_waiting_for_a_connection() {
+    for (const Disconnect how : kDisconnects) {
         asio::io_context io;
         Server server{io};
-        auto limits = patient();
+        auto limits = long_connect_timeout();
         limits.connections = 1;
         Router router{io, {}, 1000, limits};
         server.behaviour = Server::Behaviour::never_respond;
         router.list_with_sources({listed("s-a", server.address())});
-        Client holds{io, router.server.local()};  // the only socket to servers
+        Client holds{io, router.server.local()};  // uses the only connection to servers
         holds.send(make_request("pages", kObject));
         run_until(io, [&] { return server.seen.size() == 1; });
-        RawClient leaves{io, router.server.local(), text_of(make_request("pages", "00000000000000aa"))};
+        RawClient leaves{io, router.server.local(), serialize(make_request("pages", "00000000000000aa"))};
         run_until(io, [&] { return router.engine.open() == 2; });
-        go(io, router, leaves, way);
+        disconnect_client(io, router, leaves, how);
         server.behaviour = Server::Behaviour::answer;
         holds.leave();
         run_until(io, [&] { return router.engine.open() == 0; });
-        // The socket is free; the next who asks gets it.
+        // The connection is free, and the next request gets it.
         Client next{io, router.server.local()};
         next.send(make_request("pages", "00000000000000bb"));
         run_until(io, [&] { return next.done; });
@@ -72,106 +75,109 @@
     }
 }
 
-// ... for a connection, at the first attempt or at a retry, ...
+// The client disconnects while the connection for its first attempt or for a retry is being established.
 void nothing_is_sent_for_a_client_that_left_during_a_connect() {
     for (const bool retry : {false, true})
-        for (const Way way : kWays) {
+        for (const Disconnect how : kDisconnects) {
             asio::io_context io;
             Server server{io};
-            HeldServer held{io};
-            Router router{io, {}, 1000, patient()};
+            FullBacklogServer delayed{io};
+            Router router{io, {}, 1000, long_connect_timeout()};
             server.behaviour = Server::Behaviour::never_respond;
-            router.list_with_sources({listed("s-a", retry ? server.address() : held.address())});
-            RawClient leaves{io, router.server.local(), text_of(make_request("pages", kObject))};
+            router.list_with_sources({listed("s-a", retry ? server.address() : delayed.address())});
+            RawClient leaves{io, router.server.local(), serialize(make_request("pages", kObject))};
             run_until(io, [&] { return router.engine.counters().sent == 1; });
             if (retry) {
                 run_until(io, [&] { return server.seen.size() == 1; });
-                router.list({listed("s-b", held.address())}, false);
+                router.list({listed("s-b", delayed.address())}, false);
                 server.reset_connections();
                 run_until(io, [&] { return router.engine.counters().sent == 2; });
             }
-            go(io, router, leaves, way);
-            nothing_but_a_mark(io, held);
+            disconnect_client(io, router, leaves, how);
+            check_only_marker_arrives(io, delayed);
             CHECK(router.engine.open() == 0 && server.seen.size() == (retry ? 1 : 0));
         }
 }
 
-// ... and for the time at which another server would be asked.
+// The client disconnects before a second attempt would be sent to another server.
 void nothing_is_sent_for_a_client_that_left_before_a_hedge() {
-    std::optional<core::Span> usual;  // until that, for one who stays
-    for (const std::optional<Way> way :
-         {std::optional<Way>{}, std::optional{kWays[0]}, std::optional{kWays[1]}, std::optional{kWays[2]},
-          std::optional{kWays[3]}}) {
+    std::optional<core::Span> hedge_delay;  // until the second attempt, measured with a client that stays
+    for (const std::optional<Disconnect> how :
+         {std::optional<Disconnect>{}, std::optional{kDisconnects[0]}, std::optional{kDisconnects[1]},
+          std::optional{kDisconnects[2]}, std::optional{kDisconnects[3]}}) {
         asio::io_context io;
         Server one{io}, other{io};
         one.behaviour = other.behaviour = Server::Behaviour::never_respond;
         Router router{io};
         router.list_with_sources({listed("s-a", one.address()), listed("s-b", other.address())});
         const auto begin = router.clock.now();
-        RawClient client{io, router.server.local(), text_of(make_request("pages", kObject))};
+        RawClient client{io, router.server.local(), serialize(make_request("pages", kObject))};
         const auto seen = [&] {
             return one.seen.size() + other.seen.size();
         };
         run_until(io, [&] { return seen() == 1; });
-        if (!way) {
+        if (!how) {
             run_until(io, [&] { return seen() == 2; });
-            usual = router.clock.now() - begin;
+            hedge_delay = router.clock.now() - begin;
             continue;
         }
-        go(io, router, client, *way);
-        run_until(io, [&] { return router.clock.now() >= begin + 2 * *usual; });
+        disconnect_client(io, router, client, *how);
+        run_until(io, [&] { return router.clock.now() >= begin + 2 * *hedge_delay; });
         CHECK(seen() == 1 && router.engine.counters().sent == 1);
     }
 }
 
-// A keyed request may have run; its repeat waits for a connection until the window of 900 ms is over.
-void repeats_are_checked_again_when_a_connection_comes_up() {
+// A request with an idempotency key may have run, and its retry waits for a connection until the retry window
+// of 900 ms is over: the retry must not be sent then.
+void retry_window_is_checked_when_a_connection_is_established() {
     asio::io_context io;
     Server server{io};
-    HeldServer held{io};
-    Router router{io, {}, 1000, patient()};
+    FullBacklogServer delayed{io};
+    Router router{io, {}, 1000, long_connect_timeout()};
     server.behaviour = Server::Behaviour::never_respond;
     router.list_with_sources({listed("s-a", server.address())});
     Client client{io, router.server.local()};
     const auto begin = router.clock.now();
     client.send(make_request("order", kObject));
     run_until(io, [&] { return server.seen.size() == 1; });
-    router.list({listed("s-b", held.address())}, false);
+    router.list({listed("s-b", delayed.address())}, false);
     server.reset_connections();
     run_until(io, [&] { return router.engine.counters().sent == 2; });
     run_until(io, [&] { return router.clock.now() >= begin + 900ms; });
-    held.open();
-    run_until(io, [&] { return held.connections == 1; });
+    delayed.accept_connections();
+    run_until(io, [&] { return delayed.connections == 1; });
     run_until(io, [&] { return client.done; });
-    CHECK(client.status() == 503 && held.heard.empty());
+    CHECK(client.status() == 503 && delayed.received.empty());
     CHECK(router.engine.counters().held_at_first_byte == 1);
 }
 
-// The request is not given up for another server meanwhile, as one that may be repeated would be.
-void drains_are_checked_again_when_a_connection_comes_up() {
+// The server begins to drain while the connection for an attempt is being established: the request goes to
+// another server. Its class may not be retried, so the attempt is not abandoned earlier in favour of that
+// server.
+void drain_is_checked_when_a_connection_is_established() {
     asio::io_context io;
     Server server{io};
-    HeldServer held{io};
-    Router router{io, {}, 1000, patient()};
-    auto draining = listed("s-a", held.address());
+    FullBacklogServer delayed{io};
+    Router router{io, {}, 1000, long_connect_timeout()};
+    auto draining = listed("s-a", delayed.address());
     router.list_with_sources({draining});
     Client client{io, router.server.local()};
     client.send(make_request("lodge", kObject));
     run_until(io, [&] { return router.engine.counters().sent == 1; });
     draining.entry.condition = Condition::draining;
     router.list({listed("s-b", server.address()), draining}, false);
-    held.open();
+    delayed.accept_connections();
     run_until(io, [&] { return client.done; });
-    CHECK(client.status() == 200 && server.seen.size() == 1 && held.heard.empty());
+    CHECK(client.status() == 200 && server.seen.size() == 1 && delayed.received.empty());
 }
 
 }  // namespace
 
 int main() {
-    nothing_is_sent_for_a_client_that_left_waiting_for_a_socket();
+    nothing_is_sent_for_a_client_that_left_waiting_for_a_connection();
     nothing_is_sent_for_a_client_that_left_during_a_connect();
     nothing_is_sent_for_a_client_that_left_before_a_hedge();
-    repeats_are_checked_again_when_a_connection_comes_up();
-    drains_are_checked_again_when_a_connection_comes_up();
-    std::puts("endings: nothing is sent for clients that have left");
+    retry_window_is_checked_when_a_connection_is_established();
+    drain_is_checked_when_a_connection_is_established();
+    std::puts("client_disconnect: nothing is sent for clients that have left");
 }
--- a/tests/connections/connection_reuse_test.cpp
+++ b/tests/connections/connection_reuse_test.cpp
@@ -1,4 +1,5 @@
-// When a connection to a server may be used again.
+// When a connection to a server may be reused. Guards against a response that is taken for the response to
+// another request.
 #include "fixture.h"
 
 using namespace silverrail;
@@ -6,7 +7,7 @@
 
 namespace {
 
-// An answer that comes before its request is out: the connection is of no further use.
+// A response arrives before its request has been written completely: the connection cannot be reused.
 void early_responses_end_the_connection() {
     asio::io_context io;
     tcp::acceptor acceptor{io};
@@ -30,19 +31,20 @@
     large.body() = std::string(60'000, 'x');
     Client client{io, router.server.local()};
     client.send(large);
-    // Its connection has been asked for and is not written to yet: from here on it takes little at once.
+    // Its connection is being established and has not been written to: from now on it accepts few bytes at
+    // once.
     run_until(io, [&] { return router.engine.counters().sent == 1; });
-    CHECK(narrow(acceptor.local_endpoint()) == 1);
+    CHECK(shrink_send_buffers(acceptor.local_endpoint()) == 1);
     run_until(io, [&] { return servers.size() == 1 && servers[0]->available() > 0; });
     CHECK(router.engine.counters().backend_calls == 0);
-    const std::string answer = "HTTP/1.1 500 Early\r\nContent-Length: 0\r\n\r\n";
-    asio::write(*servers[0], asio::buffer(answer));
+    const std::string response = "HTTP/1.1 500 Early\r\nContent-Length: 0\r\n\r\n";
+    asio::write(*servers[0], asio::buffer(response));
     run_until(io, [&] { return client.done; });
     CHECK(client.status() == 502 && router.pool.connections() == 0);
 }
 
-// A second answer, some ms after a good one, is not taken for the next request's: a connection rests before
-// it is used again.
+// A second response, some ms after a good one, must not be taken for the response to the next request: a
+// connection is reused only after a minimum idle time.
 void second_responses_are_not_taken_for_the_next_request() {
     asio::io_context io;
     Server server{io};
@@ -55,8 +57,8 @@
     run_until(io, [&] { return server.seen.size() == 2; });
     CHECK(server.seen[0].connection != server.seen[1].connection);
     run_until(io, [&] { return client.done; });
-    // Rested, it is used.
-    rest(io, router);
+    // After that time it is reused.
+    wait_until_reusable(io, router);
     client.send(make_request("pages", "00000000000000bb"));
     run_until(io, [&] { return client.done; });
     CHECK(server.connections == 2 && server.seen.size() == 3 && client.status() == 200);
@@ -67,5 +69,5 @@
 int main() {
     early_responses_end_the_connection();
     second_responses_are_not_taken_for_the_next_request();
-    std::puts("endings: no response is taken for another request's");
+    std::puts("connection_reuse: no response is taken for another request's");
 }
--- a/tests/silverrail/misbehaving_endpoints_test.cpp
+++ b/tests/silverrail/misbehaving_endpoints_test.cpp
@@ -1,4 +1,5 @@
-// What clients and servers do wrong: every case ends in time, within its bounds, and harms nobody else.
+// Misbehaving clients and servers: malformed, oversized, incomplete or missing requests and responses. Guards
+// against resources held without limit, smuggled requests and stored bad responses.
 #include "test_fixture.h"
 
 using namespace silverrail;
@@ -11,8 +12,8 @@
 
 const std::string kFields = "Host: a\r\nTrace-Id: 9b1f03aa5c7e2d41\r\nMax-Wait-Ms: 1500\r\nX-Lot: 17\r\n";
 
-// Each gets its error whole, though bytes are left unread, and then the end of the connection.
-void unreadable_requests_are_answered() {
+// Each gets its whole error response although bytes remain unread, and then the connection is closed.
+void malformed_requests_get_an_error_response() {
     struct Case {
         std::string bytes;
         const char* status;
@@ -40,15 +41,17 @@
             {listed("s-a", server.address()), listed("s-o", server.address(), "origin")});
         RawClient client{io, router.server.local(), c.bytes};
         run_until(io, [&] { return client.ended; });
-        CHECK(client.heard.starts_with(std::string{"HTTP/1.1 "} + c.status));
-        CHECK(!client.cut_short);                                      // no reset with the answer in flight
-        CHECK(client.heard.find("HTTP/1.1", 8) == std::string::npos);  // nothing hidden was answered
+        CHECK(client.received.starts_with(std::string{"HTTP/1.1 "} + c.status));
+        CHECK(!client.write_failed);  // no reset while the response is on its way
+        // No smuggled request got a response.
+        CHECK(client.received.find("HTTP/1.1", 8) == std::string::npos);
         run_until(io, [&] { return router.server.connections() == 0; });
         CHECK(router.engine.counters().taken == 0 && server.seen.empty());
     }
 }
 
-// Silence and half requests end by a limit that runs from connecting; idle usual clients are left alone.
+// Connections without a complete request are closed at a timeout that runs from connecting; idle connections
+// of clients that have sent a request stay open.
 void silent_connections_are_closed() {
     asio::io_context io;
     Server server{io};
@@ -56,22 +59,23 @@
     limits.first_request_timeout = limits.request_timeout = 100ms;
     Router router{io, limits};
     router.list_with_sources({listed("s-a", server.address())});
-    Client usual{io, router.server.local()};
-    usual.send(make_request("pages", kObject));
-    run_until(io, [&] { return usual.done; });
+    Client normal{io, router.server.local()};
+    normal.send(make_request("pages", kObject));
+    run_until(io, [&] { return normal.done; });
     RawClient silent{io, router.server.local()};
-    RawClient half{io, router.server.local(), "GET /ops/pages/" + kObject};
-    run_until(io, [&] { return silent.ended && half.ended; });
-    usual.send(make_request("pages", kObject));
-    run_until(io, [&] { return usual.done; });
-    CHECK(!usual.broken && usual.status() == 200);
-    // Also once a request has been read: half of a further one does not hold its connection.
+    RawClient incomplete{io, router.server.local(), "GET /ops/pages/" + kObject};
+    run_until(io, [&] { return silent.ended && incomplete.ended; });
+    normal.send(make_request("pages", kObject));
+    run_until(io, [&] { return normal.done; });
+    CHECK(!normal.broken && normal.status() == 200);
+    // The same holds after a complete request: an incomplete second one does not keep the connection open.
     RawClient second{io, router.server.local(), "GET /alive HTTP/1.1\r\n\r\nGET /al"};
     run_until(io, [&] { return second.ended; });
-    CHECK(second.heard.starts_with("HTTP/1.1 200"));
+    CHECK(second.received.starts_with("HTTP/1.1 200"));
 }
 
-// Connections run short: who never asked goes first, then who is idle; a request that is open never does.
+// At the limit on connections, one without any request is evicted first, then an idle one; one with an open
+// request never is.
 void idle_connections_are_evicted_first() {
     asio::io_context io;
     Server server{io};
@@ -83,31 +87,32 @@
     idle.send(make_request("pages", kObject));
     run_until(io, [&] { return idle.done; });
     server.behaviour = Server::Behaviour::never_respond;
-    Client asking{io, router.server.local()};
-    asking.send(make_request("pages", kObject));
+    Client waiting{io, router.server.local()};
+    waiting.send(make_request("pages", kObject));
     run_until(io, [&] { return server.seen.size() == 2; });
     std::vector<std::unique_ptr<RawClient>> silent;
     for (int i = 0; i < 2; ++i) {
         silent.push_back(std::make_unique<RawClient>(io, router.server.local()));
         run_until(io, [&] { return router.server.connections() == 3u + i; });
     }
-    bool passed = false;  // past the time in which a client that has just connected asks
-    asio::steady_timer a_while{io, 1100ms};
-    a_while.async_wait([&](const net::error_code&) { passed = true; });
+    bool passed = false;  // the time within which a new client is expected to send its request
+    asio::steady_timer timer{io, 1100ms};
+    timer.async_wait([&](const net::error_code&) { passed = true; });
     run_until(io, [&] { return passed; });
     silent.push_back(std::make_unique<RawClient>(io, router.server.local()));
     run_until(io, [&] { return silent[0]->ended; });
     CHECK(!silent[1]->ended && !silent[2]->ended);
     server.behaviour = Server::Behaviour::answer;
-    for (Client* usual : {&idle, &asking}) {
-        if (usual == &idle)
-            usual->send(make_request("pages", "00000000000000aa", 5000));
-        run_until(io, [&] { return usual->done; });
-        CHECK(!usual->broken);
+    for (Client* client : {&idle, &waiting}) {
+        if (client == &idle)
+            client->send(make_request("pages", "00000000000000aa", 5000));
+        run_until(io, [&] { return client->done; });
+        CHECK(!client->broken);
     }
 }
 
-// An id that is open stands for one request; what no class can mean is not sent either.
+// A request is not sent to a server if its trace id is that of an open request, or if its method or maximum
+// wait does not suit its class.
 void invalid_requests_fail_unsent() {
     asio::io_context io;
     Server server{io};
@@ -134,7 +139,7 @@
     CHECK(router.engine.counters().unfit == 4 && router.engine.counters().sent == 1);
     first.leave();
     run_until(io, [&] { return router.engine.open() == 0; });
-    // Its id is free again.
+    // Its id may be used again.
     server.behaviour = Server::Behaviour::answer;
     Client again{io, router.server.local()};
     again.send(request);
@@ -142,13 +147,13 @@
     CHECK(again.status() == 200);
 }
 
-// Spoilt answers fail at once and are not stored; good ones that bring more than theirs are served, and no
-// connection of either is used again.
+// Malformed responses fail at once and are not stored; good ones followed by further bytes are served. No
+// connection of either kind is reused.
 void server_responses_are_bounded() {
     struct Case {
         std::string bytes;
         bool served;
-        bool kept;
+        bool reused;
     };
     const std::string good = "HTTP/1.1 200 OK\r\nTag: 4be0\r\nContent-Length: 5\r\n\r\nwhole";
     const std::string filler(1 << 20, 'x');
@@ -170,28 +175,28 @@
         Router router{io};
         router.list_with_sources(
             {listed("s-o", server.address(), "origin"), listed("s-a", server.address())});
-        server.behaviour = Server::Behaviour::say_raw;
-        server.raw = c.bytes;
+        server.behaviour = Server::Behaviour::send_raw_response;
+        server.raw_response = c.bytes;
         Client client{io, router.server.local()};
         client.send(make_request("pages", kObject, 10'000));
         const auto begin = std::chrono::steady_clock::now();
         run_until(io, [&] { return client.done; });
         CHECK(!client.broken && (client.status() == 200) == c.served);
         CHECK(!c.served || client.response.body() == "whole");
-        CHECK(std::chrono::steady_clock::now() - begin < 5s);  // not by its deadline
-        if (!c.kept)
+        CHECK(std::chrono::steady_clock::now() - begin < 5s);  // not only at its deadline
+        if (!c.reused)
             run_until(io, [&] { return server.closed == server.connections; });
-        CHECK(router.pool.connections() == (c.kept ? 1u : 0u));
+        CHECK(router.pool.connections() == (c.reused ? 1u : 0u));
     }
 }
 
 }  // namespace
 
 int main() {
-    unreadable_requests_are_answered();
+    malformed_requests_get_an_error_response();
     silent_connections_are_closed();
     idle_connections_are_evicted_first();
     invalid_requests_fail_unsent();
     server_responses_are_bounded();
-    std::puts("rough: bad clients and bad servers harm nobody else");
+    std::puts("misbehaving_endpoints: all cases end within their limits");
 }
--- a/tests/silverrail/parsers_test.cpp
+++ b/tests/silverrail/parsers_test.cpp
@@ -1,4 +1,4 @@
-// Tables of cases for the parsers, well-formed and not.
+// Tables of well-formed and malformed input for the parsers.
 #include <map>
 
 #include "check.h"
@@ -16,7 +16,7 @@
 
 namespace {
 
-void sse_events_are_parsed_however_the_bytes_are_cut() {
+void sse_events_are_parsed_however_the_input_is_split() {
     struct Case {
         const char* bytes;
         std::size_t events;
@@ -36,7 +36,7 @@
         {"data\n\n", 1, "", ""},
     };
     for (const Case& c : cases)
-        for (const std::size_t step : {std::size_t{1}, std::size_t{1000}}) {  // however the bytes are cut
+        for (const std::size_t step : {std::size_t{1}, std::size_t{1000}}) {
             net::SseParser parser;
             std::size_t events = 0;
             net::SseParser::Event last;
@@ -113,7 +113,7 @@
     }
 }
 
-void server_responses_become_attempt_ends() {
+void server_responses_are_converted_to_attempt_results() {
     using core::AttemptStatus;
     struct Case {
         unsigned status;
@@ -127,7 +127,7 @@
         {304, "", "stale", AttemptStatus::success, core::CacheStatus::stale},
         {404, "", "src_lacks", AttemptStatus::miss, core::CacheStatus::source_missing},
         {503, "1", "no_slot", AttemptStatus::overloaded, core::CacheStatus::no_fill_slot},
-        {503, "", "", AttemptStatus::error, core::CacheStatus::none},  // nothing says that it never ran
+        {503, "", "", AttemptStatus::error, core::CacheStatus::none},  // without Not-Begun it may have run
         {504, "1", "", AttemptStatus::not_sent, core::CacheStatus::none},
         {504, "", "", AttemptStatus::error, core::CacheStatus::none},
         {500, "", "origin_failed", AttemptStatus::error, core::CacheStatus::origin_failed},
@@ -139,17 +139,17 @@
         if (*c.never_ran)
             r.set("Not-Begun", c.never_ran);
         r.set("Detail", c.detail);
-        const auto end = net::attempt_end(std::move(r));
-        CHECK(end.attempt_status == c.attempt_status && end.cache_status == c.cache_status);
+        const auto result = net::attempt_result(std::move(r));
+        CHECK(result.attempt_status == c.attempt_status && result.cache_status == c.cache_status);
     }
     const auto load = net::parse_load_report("inflight:7;util:0.61;x1:oops;;x0:0.4");
     CHECK(load.in_flight == 7 && load.utilisation == 0.61 && load.hit_ratio == 0.4 && !load.link_utilisation);
 }
 
-// The servers' words for how they came by an answer, both ways.
-void cache_status_words_are_translated_both_ways() {
+// The servers' names for how they obtained an object.
+void cache_status_names_are_converted_both_ways() {
     using core::CacheStatus;
-    const std::pair<const char*, CacheStatus> words[] = {{"hit", CacheStatus::hit},
+    const std::pair<const char*, CacheStatus> names[] = {{"hit", CacheStatus::hit},
                                                          {"filled", CacheStatus::filled},
                                                          {"via_origin", CacheStatus::filled_from_origin},
                                                          {"joined", CacheStatus::coalesced},
@@ -159,15 +159,15 @@
                                                          {"src_lacks", CacheStatus::source_missing},
                                                          {"no_slot", CacheStatus::no_fill_slot},
                                                          {"origin_failed", CacheStatus::origin_failed}};
-    for (const auto& [word, status] : words) {
-        CHECK(net::parse_cache_status(word) == status);
-        CHECK(net::cache_status_word(status) == word);
+    for (const auto& [name, status] : names) {
+        CHECK(net::parse_cache_status(name) == status);
+        CHECK(net::cache_status_name(status) == name);
     }
     CHECK(net::parse_cache_status("unheard-of") == CacheStatus::none);
-    CHECK(net::cache_status_word(CacheStatus::none).empty());
+    CHECK(net::cache_status_name(CacheStatus::none).empty());
 }
 
-std::string query(const std::string& name, std::uint16_t type, const std::string& more = {},
+std::string query(const std::string& name, std::uint16_t type, const std::string& suffix = {},
                   std::uint16_t additional = 0, std::uint16_t flags = 0x0100) {
     std::string q = "\x12\x34"s;
     for (const std::uint16_t v : {flags, std::uint16_t{1}, std::uint16_t{0}, std::uint16_t{0}, additional})
@@ -175,7 +175,7 @@
     q += front::dns::encode_name(*front::dns::parse_name(name));
     for (const std::uint16_t v : {type, std::uint16_t{1}})
         q += {static_cast<char>(v >> 8), static_cast<char>(v)};
-    return q + more;
+    return q + suffix;
 }
 
 void dns_queries_are_parsed_or_refused() {
@@ -183,22 +183,22 @@
     const std::string opt = "\0\0\x29\x04\xd0\0\0\0\0\0\0"s;
     struct Case {
         std::string bytes;
-        int rcode;  // -1: read; -2: dropped
+        int rcode;  // -1: parsed; -2: dropped
     };
     const Case cases[] = {
         {query("a.example", 1), -1},
         {query("a.example", 1, opt, 1), -1},
         {query("a.example", 1, opt + opt, 2), 1},                         // two OPT
         {query("a.example", 1, "\1x" + opt, 1), 1},                       // OPT not at the root
-        {query("a.example", 1, opt, 2), 1},                               // one record short
-        {query("a.example", 1, "junk"), 1},                               // something behind
+        {query("a.example", 1, opt, 2), 1},                               // one record missing
+        {query("a.example", 1, "junk"), 1},                               // trailing bytes
         {query("a.example", 1, {}, 0, 0x2800), 4},                        // UPDATE
-        {query("a.example", 1, {}, 0, 0x8000), -2},                       // an answer
-        {query("a.example", 1).substr(0, 20), 1},                         // cut in the name
-        {query("a.example", 1).substr(0, 11), -2},                        // cut in the header
+        {query("a.example", 1, {}, 0, 0x8000), -2},                       // a response
+        {query("a.example", 1).substr(0, 20), 1},                         // truncated in the name
+        {query("a.example", 1).substr(0, 11), -2},                        // truncated in the header
         {"\x12\x34\1\0\0\1\0\0\0\0\0\0\xc0\x0c\0\1\0\1"s, 1},             // a pointer to itself
         {"\x12\x34\1\0\0\2\0\0\0\0\0\0\0\0\1\0\1\0\0\1\0\1"s, 1},         // two questions
-        {"\x12\x34\1\0\0\1\0\0\0\0\0\0\x40"s + std::string(80, 'a'), 1},  // a label over 63
+        {"\x12\x34\1\0\0\1\0\0\0\0\0\0\x40"s + std::string(80, 'a'), 1},  // a label over 63 bytes
     };
     for (const Case& c : cases) {
         const auto parsed = parse_query(c.bytes);
@@ -215,13 +215,13 @@
     CHECK(!parse_name(long_name));
     CHECK(!parse_name("a..b"));
 
-    // Over the limit: the question and TC, and nothing else.
+    // Over the size limit: only the question, with the TC flag.
     const auto q = std::get<Query>(parse_query(query("a.example", 16)));
     Response r;
     for (int i = 0; i < 4; ++i)
         r.answers.push_back({false, RecordType::txt, 0, text_data(std::string(200, 'x'))});
-    const std::string cut = encode_response(q, r, *parse_name("example"), max_udp_response(q));
-    CHECK(cut.size() <= 512 && (cut[2] & 2) && cut[7] == 0);
+    const std::string truncated = encode_response(q, r, *parse_name("example"), max_udp_response(q));
+    CHECK(truncated.size() <= 512 && (truncated[2] & 2) && truncated[7] == 0);
     CHECK(!(encode_response(q, r, *parse_name("example"), 65535)[2] & 2));
 }
 
@@ -265,7 +265,7 @@
         CHECK(find_entry(*parse_name(c.name), zone, classes, texts).kind == c.kind);
 }
 
-void numbers_are_the_whole_text() {
+void numbers_must_fill_the_whole_string() {
     using config::parse_number;
     for (const char* bad : {"", " 1", "1 ", "+1", "-1", "1.5", "0x1", "4294967296", "one"})
         CHECK(!parse_number<std::uint32_t>(bad));
@@ -276,42 +276,42 @@
     CHECK(!parse_number<double>("1.5;") && !parse_number<double>("+1.5"));
 }
 
-// Growing, bounded, out of step with other seeds and the same for the same one.
+// The delays grow up to a limit, differ between seeds, and are the same for the same seed.
 void backoff_grows_and_differs_between_routers() {
     using Ms = std::chrono::milliseconds;
-    std::map<std::int64_t, int> firsts;
+    std::map<std::int64_t, int> first_delays;
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
         net::Backoff a{Ms{50}, Ms{500}, seed};
-        net::Backoff again{Ms{50}, Ms{500}, seed};
-        Ms span{50};
+        net::Backoff same_seed{Ms{50}, Ms{500}, seed};
+        Ms interval{50};
         for (int i = 0; i < 8; ++i) {
-            const Ms pause = a.next();
-            CHECK(pause == again.next());
+            const Ms delay = a.next();
+            CHECK(delay == same_seed.next());
             if (i == 0) {
-                CHECK(pause <= Ms{50});
-                ++firsts[pause.count()];
+                CHECK(delay <= Ms{50});
+                ++first_delays[delay.count()];
             } else {
-                CHECK(pause >= span / 2 && pause <= span);
-                span = std::min(span * 2, Ms{500});
+                CHECK(delay >= interval / 2 && delay <= interval);
+                interval = std::min(interval * 2, Ms{500});
             }
         }
         a.reset();
         CHECK(a.next() <= Ms{50});
     }
-    CHECK(firsts.size() > 30);  // 200 routers over 51 ms, none at which many meet
-    for (const auto& [ms, count] : firsts)
+    CHECK(first_delays.size() > 30);  // 200 routers spread over 51 ms, without a peak
+    for (const auto& [ms, count] : first_delays)
         CHECK(count < 20);
 }
 
 }  // namespace
 
 int main() {
-    numbers_are_the_whole_text();
+    numbers_must_fill_the_whole_string();
     backoff_grows_and_differs_between_routers();
-    sse_events_are_parsed_however_the_bytes_are_cut();
+    sse_events_are_parsed_however_the_input_is_split();
     platform_requests_are_parsed_or_refused();
-    server_responses_become_attempt_ends();
-    cache_status_words_are_translated_both_ways();
+    server_responses_are_converted_to_attempt_results();
+    cache_status_names_are_converted_both_ways();
     dns_queries_are_parsed_or_refused();
     dns_names_find_their_entries();
     std::puts("parsers: all cases hold");
--- a/tests/silverrail/sockets_test.cpp
+++ b/tests/silverrail/sockets_test.cpp
@@ -1,4 +1,4 @@
-// One test with real sockets for each rule, and for what the wire does to attempts.
+// Tests each rule with real sockets, and how attempts end when connections fail.
 #include <sys/resource.h>
 
 #include <fstream>
@@ -20,7 +20,7 @@
     return {v.data(), v.size()};
 }
 
-void answers_pass_unchanged() {
+void responses_pass_unchanged() {
     net::asio::io_context io;
     Server server{io};
     Router router{io};
@@ -40,25 +40,26 @@
     CHECK(value(at_server, "Call-Id") == value(request, "Trace-Id") &&
           value(at_server, "Miss-To") == "s-parent");
     CHECK(value(at_server, "Have") == "aa11" && value(at_server, "Store-As").empty());
-    const int left = std::stoi(value(at_server, "Call-Ms"));
-    CHECK(left > 0 && left <= 5000);
+    const int remaining_ms = std::stoi(value(at_server, "Call-Ms"));
+    CHECK(remaining_ms > 0 && remaining_ms <= 5000);
 
-    // Kept alive on both sides, and a 304 passes without bytes.
+    // Both connections are kept alive, and a 304 passes without a body.
     server.response = Server::hit("");
     server.response.result(net::http::status::not_modified);
-    rest(io, router);
+    wait_until_reusable(io, router);
     client.send(request);
     run_until(io, [&] { return client.done; });
     CHECK(client.status() == 304 && client.response.body().empty());
     CHECK(server.connections == 1 && server.seen.size() == 2);
-    CHECK(value(server.seen[1].request, "Store-As") == "3");  // tracked, and among the hottest: there are few
+    // Tracked, and among the hottest objects, as there are few.
+    CHECK(value(server.seen[1].request, "Store-As") == "3");
 }
 
-// Rule 1: one final answer by the deadline, whatever the servers do.
-void every_request_is_answered() {
+// Rule 1: exactly one response by the deadline, whatever the servers do.
+void every_request_gets_a_response() {
     for (const Server::Behaviour behaviour :
          {Server::Behaviour::never_respond, Server::Behaviour::reset_after_reading,
-          Server::Behaviour::break_off}) {
+          Server::Behaviour::truncate_response}) {
         net::asio::io_context io;
         Server server{io};
         Router router{io};
@@ -75,7 +76,7 @@
         const auto& c = router.engine.counters();
         CHECK(c.taken == 1 && c.served == 0 && c.refused + c.failed == 1);
     }
-    // What is no call at all is told so.
+    // An invalid path gets a 400.
     net::asio::io_context io;
     Router router{io};
     Client client{io, router.server.local()};
@@ -84,8 +85,8 @@
     CHECK(client.status() == 400);
 }
 
-// A request that the module gives up on is answered at once, and told when to come back.
-void rejections_come_at_once() {
+// A request that the decision module rejects gets its response at once, with the time after which to retry.
+void rejections_are_immediate() {
     net::asio::io_context io;
     Router router{io};
     router.list_with_sources({});  // no server in this zone
@@ -95,15 +96,15 @@
     CHECK(client.status() == 503 && client.response["Hold-Off-Ms"] == "250");
 }
 
-// Rule 2: a class that must never run twice, on every way an attempt can end.
+// Rule 2: a request of a class that must never run twice is sent once, however its attempt ends.
 void non_idempotent_requests_never_run_twice() {
     struct Case {
         Server::Behaviour behaviour;
         bool may_have_run;
     };
     for (const Case& c :
-         {Case{Server::Behaviour::reset_after_reading, true}, Case{Server::Behaviour::break_off, true},
-          Case{Server::Behaviour::never_respond, true}}) {
+         {Case{Server::Behaviour::reset_after_reading, true},
+          Case{Server::Behaviour::truncate_response, true}, Case{Server::Behaviour::never_respond, true}}) {
         net::asio::io_context io;
         Server first{io};
         Server second{io};
@@ -114,18 +115,18 @@
         client.send(make_request("lodge", kObject, 400));
         run_until(io, [&] { return client.done; });
         CHECK(first.seen.size() + second.seen.size() == 1);
-        // Neither 429 nor 503, which would say that a further try is harmless.
+        // Neither 429 nor 503, which would tell the client that a retry is harmless.
         CHECK(client.status() != 503 && client.status() != 429 && client.status() >= 500);
     }
-    // Refused connections prove that nothing ran: the other server gets it.
+    // A refused connection proves that nothing ran, so the request goes to the other server.
     net::asio::io_context io;
     Server up{io};
     Server down{io};
-    const std::string dead = down.address();
+    const std::string refusing = down.address();
     down.stop_listening();
     for (int i = 0; i < 8; ++i) {
         Router router{io};
-        router.list_with_sources({listed("s-a", dead), listed("s-b", up.address())});
+        router.list_with_sources({listed("s-a", refusing), listed("s-b", up.address())});
         Client client{io, router.server.local()};
         client.send(make_request("lodge", "00000000000000" + std::to_string(10 + i)));
         run_until(io, [&] { return client.done; });
@@ -134,8 +135,8 @@
     CHECK(up.seen.size() == 8 && up.seen[0].request.body() == "timesheet");
 }
 
-// A repeat of a keyed request is told from a new one by its key: each attempt carries the client's own, and
-// one that has none is not sent.
+// A server recognises a retry by its idempotency key: each attempt carries the client's key, and a request
+// without a key is not sent.
 void idempotency_keys_are_passed_on() {
     net::asio::io_context io;
     Server up{io};
@@ -159,8 +160,8 @@
     CHECK(router.engine.counters().unfit == 1);
 }
 
-// A kept connection that breaks with the request on it is no reason to send that again.
-void no_repeat_on_a_stale_connection() {
+// A request is not sent again if the kept-alive connection it was sent on is reset.
+void no_retry_after_a_stale_connection() {
     net::asio::io_context io;
     Server server{io};
     Router router{io};
@@ -169,14 +170,14 @@
     client.send(make_request("lodge", kObject));
     run_until(io, [&] { return client.done; });
     server.behaviour = Server::Behaviour::reset_after_reading;
-    rest(io, router);
+    wait_until_reusable(io, router);
     client.send(make_request("lodge", kObject));
     run_until(io, [&] { return client.done; });
     CHECK(server.seen.size() == 2 && server.seen[1].connection == 1 && server.connections == 1);
     CHECK(client.status() == 502);
 }
 
-// Rule 3: nothing new to a server that drains or is gone, and no connection of it is used again.
+// Rule 3: a draining or removed server gets no new requests, and its connections are not reused.
 void draining_servers_get_nothing_new() {
     net::asio::io_context io;
     Server first{io};
@@ -184,47 +185,47 @@
     Router router{io};
     router.list_with_sources({listed("s-a", first.address()), listed("s-b", second.address())});
     Client client{io, router.server.local()};
-    const auto ask_all = [&] {
+    const auto send_requests = [&] {
         for (int i = 10; i < 30; ++i) {
             client.send(make_request("pages", "00000000000000" + std::to_string(i)));
             run_until(io, [&] { return client.done; });
             CHECK(client.status() == 200);
         }
     };
-    ask_all();
+    send_requests();
     const std::size_t before = first.seen.size();
     CHECK(before > 0 && second.seen.size() > 0);
     router.list({listed("s-a", first.address(), "small-box", Condition::draining)}, false);
-    ask_all();
+    send_requests();
     CHECK(first.seen.size() == before);
     router.list({listed("s-a", first.address(), "small-box", Condition::gone)}, false);
     run_until(io, [&] { return first.closed == first.connections; });
-    // A new server at the old one's address is another server, with connections of its own.
+    // A new server at a removed one's address gets connections of its own.
     router.list(
         {listed("s-c", first.address()), listed("s-b", second.address(), "small-box", Condition::gone)},
         false);
-    const std::size_t old = first.connections;
-    ask_all();
-    CHECK(first.seen.size() == before + 20 && first.seen.back().connection > old);
-    // What came and went leaves nothing behind, also where a request was open when it went.
+    const std::size_t connections_before = first.connections;
+    send_requests();
+    CHECK(first.seen.size() == before + 20 && first.seen.back().connection > connections_before);
+    // Removed servers leave nothing in the pool, even if a request was open when they were removed.
     for (int i = 0; i < 20; ++i) {
         const std::string id = "s-new" + std::to_string(i);
         router.list({listed(id, second.address())});
         second.behaviour = i % 2 ? Server::Behaviour::answer : Server::Behaviour::never_respond;
         const std::size_t seen = second.seen.size();
-        Client asks{io, router.server.local()};
-        asks.send(make_request("pages", kObject));
+        Client requester{io, router.server.local()};
+        requester.send(make_request("pages", kObject));
         run_until(io, [&] { return second.seen.size() > seen; });
         if (i % 2)
-            run_until(io, [&] { return asks.done; });
+            run_until(io, [&] { return requester.done; });
         router.list({listed(id, second.address(), "small-box", Condition::gone)}, false);
-        asks.leave();
+        requester.leave();
         run_until(io, [&] { return router.engine.open() == 0; });
     }
     CHECK(router.pool.servers() == 0);
 }
 
-// Rule 4: a server that has just started is not sent more than its share, however many ask.
+// Rule 4: a server in slow start gets no more than its share, however many requests arrive.
 void warming_up_servers_get_only_their_share() {
     net::asio::io_context io;
     Server server{io};
@@ -234,18 +235,20 @@
     cold.started_ms = router.clock.unix_ms();
     router.list_with_sources({cold});
     Client client{io, router.server.local()};
-    int refused = 0;
+    int rejected = 0;
     for (int i = 0; i < 300; ++i) {
         client.send(make_request("pages", kObject));
         run_until(io, [&] { return client.done; });
-        refused += client.status() == 503;
+        rejected += client.status() == 503;
     }
-    // In 3 s it bears 2 x 26% x 10 answers at a time; each counts 0.25 s, the aim of its class.
+    // During 3 s it may process 2 x 26% x 10 requests at a time; each counts for 0.25 s, the latency
+    // objective of its class.
     CHECK(static_cast<double>(server.seen.size()) * 0.25 <= 2 * 0.26 * 10 * 3);
-    CHECK(refused == 300 - static_cast<int>(server.seen.size()));
+    CHECK(rejected == 300 - static_cast<int>(server.seen.size()));
 }
 
-// Rule 5: after a purge the server is told how old a copy may be, also where the purge came last of all.
+// Rule 5: after a purge the server is told the maximum age of a copy, even if the purge came just before the
+// first byte was sent.
 void purges_bound_the_age_of_cached_objects() {
     net::asio::io_context io;
     Server server{io};
@@ -255,7 +258,7 @@
     router.engine.apply(core::PurgeNotice{{}, silverrail::routing::GroupId{17}, issued});
     Client client{io, router.server.local()};
     client.send(make_request("pages", kObject));
-    // Told while the connection is still coming up: the first byte has not gone out.
+    // This purge arrives while the connection is being established and the first byte has not been sent.
     run_until(io, [&] { return router.engine.counters().sent == 1; });
     router.engine.apply(
         core::PurgeNotice{silverrail::routing::ObjectId{0x7f3a9c21e0b4d655}, {}, issued + 190});
@@ -270,7 +273,7 @@
     CHECK(value(server.seen.at(1).request, "No-Older-Than").empty());
 }
 
-// The client has gone: the server is told by the end of the connection.
+// When a client disconnects, the router cancels its attempt by closing the connection to the server.
 void disconnected_clients_cancel_their_attempts() {
     net::asio::io_context io;
     Server server{io};
@@ -282,12 +285,13 @@
     run_until(io, [&] { return server.seen.size() == 1; });
     client.leave();
     run_until(io, [&] { return server.closed == 1; });
-    // Withdrawn at once, not timed out at the deadline.
+    // Cancelled at once, not at the deadline.
     CHECK(router.engine.counters().cancelled == 1 && router.engine.counters().abandoned == 1);
     CHECK(router.engine.open() == 0);
 }
 
-// Out of descriptors: what has come in waits in the backlog and is served once some are free.
+// While the process is out of descriptors, new connections wait in the backlog; they are accepted once some
+// are free.
 void connections_wait_while_descriptors_are_lacking() {
     net::asio::io_context io;
     Router router{io};
@@ -307,10 +311,10 @@
     CHECK(!files.back());
     client.send(make_request("pages", kObject));
     bool passed = false;
-    net::asio::steady_timer a_while{io, 100ms};
-    a_while.async_wait([&](const net::error_code&) { passed = true; });
+    net::asio::steady_timer timer{io, 100ms};
+    timer.async_wait([&](const net::error_code&) { passed = true; });
     run_until(io, [&] { return passed; });
-    CHECK(!client.done);  // nothing could be accepted, and nothing broke
+    CHECK(!client.done);  // its connection was neither accepted nor closed
     files.clear();
     CHECK(::setrlimit(RLIMIT_NOFILE, &before) == 0);
     run_until(io, [&] { return client.done; });
@@ -320,12 +324,12 @@
 }  // namespace
 
 int main() {
-    answers_pass_unchanged();
-    every_request_is_answered();
-    rejections_come_at_once();
+    responses_pass_unchanged();
+    every_request_gets_a_response();
+    rejections_are_immediate();
     non_idempotent_requests_never_run_twice();
     idempotency_keys_are_passed_on();
-    no_repeat_on_a_stale_connection();
+    no_retry_after_a_stale_connection();
     draining_servers_get_nothing_new();
     warming_up_servers_get_only_their_share();
     purges_bound_the_age_of_cached_objects();
--- a/tests/silverrail/test_fixture.h
+++ b/tests/silverrail/test_fixture.h
@@ -1,5 +1,5 @@
-// Stand-ins for the tests: servers, clients and a router's parts on loopback, ports chosen by the system, one
-// thread. Nothing here waits for a time to pass as proof of anything.
+// Stand-in servers, clients and a router's parts for the tests, on loopback with ports chosen by the system
+// and on one thread. Nothing here takes the passing of time as proof of anything.
 #pragma once
 
 #include <memory>
@@ -26,27 +26,27 @@
     return at.address().to_string() + ":" + std::to_string(at.port());
 }
 
-// Runs until it is so; the bound only ends a test that has gone wrong.
-template <class Test>
-void run_until(net::asio::io_context& io, Test test) {
-    const auto bound = std::chrono::steady_clock::now() + 20s;
-    while (!test()) {
-        CHECK(std::chrono::steady_clock::now() < bound);
+// Runs the event loop until the condition holds; the deadline only ends a test that fails.
+template <class Condition>
+void run_until(net::asio::io_context& io, Condition condition) {
+    const auto deadline = std::chrono::steady_clock::now() + 20s;
+    while (!condition()) {
+        CHECK(std::chrono::steady_clock::now() < deadline);
         io.restart();
         io.run_one_for(20ms);
     }
 }
 
-// A server that answers as it is told to.
+// A stand-in server with configurable behaviour.
 class Server {
 public:
     enum class Behaviour {
         answer,
         never_respond,
         reset_after_reading,
-        break_off,
+        truncate_response,
         close_after_answer,
-        say_raw
+        send_raw_response
     };
     struct Seen {
         Request request;
@@ -62,21 +62,21 @@
     void stop_listening() {
         acceptor_.close();
     }
-    // Whatever is open now, as a process that dies does.
+    // Resets all open connections, as a process does that dies.
     void reset_connections() {
-        for (const auto& weak : links_)
-            if (const auto link = weak.lock(); link && link->socket.is_open()) {
-                link->socket.set_option(net::asio::socket_base::linger(true, 0));
-                link->socket.close();
+        for (const auto& weak : open_connections_)
+            if (const auto connection = weak.lock(); connection && connection->socket.is_open()) {
+                connection->socket.set_option(net::asio::socket_base::linger(true, 0));
+                connection->socket.close();
             }
     }
 
     Behaviour behaviour = Behaviour::answer;
     Response response = hit("bytes of the object");
-    std::string raw;  // said as it is, with the connection left open
+    std::string raw_response;  // sent unchanged; the connection stays open
     std::vector<Seen> seen;
     std::size_t connections = 0;
-    std::size_t closed = 0;  // by the other side
+    std::size_t closed = 0;  // by the router
 
     static Response hit(std::string body) {
         Response r{net::http::status::ok, 11};
@@ -88,8 +88,8 @@
     }
 
 private:
-    struct Link {
-        explicit Link(tcp::socket s) : socket(std::move(s)) {}
+    struct Connection {
+        explicit Connection(tcp::socket s) : socket(std::move(s)) {}
         tcp::socket socket;
         net::beast::flat_buffer buffer;
         Request request;
@@ -100,53 +100,53 @@
         acceptor_.async_accept([this](const net::error_code& error, tcp::socket socket) {
             if (error)
                 return;
-            auto link = std::make_shared<Link>(std::move(socket));
-            link->number = ++connections;
-            links_.push_back(link);
-            read(link);
+            auto connection = std::make_shared<Connection>(std::move(socket));
+            connection->number = ++connections;
+            open_connections_.push_back(connection);
+            read(connection);
             accept();
         });
     }
-    void read(const std::shared_ptr<Link>& link) {
-        link->request = {};
-        net::http::async_read(link->socket, link->buffer, link->request,
-                              [this, link](const net::error_code& error, std::size_t) {
+    void read(const std::shared_ptr<Connection>& connection) {
+        connection->request = {};
+        net::http::async_read(connection->socket, connection->buffer, connection->request,
+                              [this, connection](const net::error_code& error, std::size_t) {
                                   if (error) {
                                       ++closed;
                                       return;
                                   }
-                                  seen.push_back({link->request, link->number});
-                                  reply(link);
+                                  seen.push_back({connection->request, connection->number});
+                                  reply(connection);
                               });
     }
-    void reply(const std::shared_ptr<Link>& link) {
+    void reply(const std::shared_ptr<Connection>& connection) {
         if (behaviour == Behaviour::never_respond)
-            return read(link);
+            return read(connection);
         if (behaviour == Behaviour::reset_after_reading) {
-            link->socket.set_option(net::asio::socket_base::linger(true, 0));
-            link->socket.close();
+            connection->socket.set_option(net::asio::socket_base::linger(true, 0));
+            connection->socket.close();
             return;
         }
-        if (behaviour == Behaviour::say_raw) {
-            net::asio::write(link->socket, net::asio::buffer(raw));
-            return read(link);
+        if (behaviour == Behaviour::send_raw_response) {
+            net::asio::write(connection->socket, net::asio::buffer(raw_response));
+            return read(connection);
         }
-        link->response = response;
-        link->response.prepare_payload();
-        if (behaviour == Behaviour::break_off)
-            link->response.set(net::http::field::content_length, "100000");
-        net::http::async_write(link->socket, link->response,
-                               [this, link](const net::error_code& error, std::size_t) {
+        connection->response = response;
+        connection->response.prepare_payload();
+        if (behaviour == Behaviour::truncate_response)
+            connection->response.set(net::http::field::content_length, "100000");
+        net::http::async_write(connection->socket, connection->response,
+                               [this, connection](const net::error_code& error, std::size_t) {
                                    if (error)
                                        return;
                                    if (behaviour == Behaviour::answer)
-                                       return read(link);
-                                   link->socket.close();
+                                       return read(connection);
+                                   connection->socket.close();
                                });
     }
     net::asio::io_context& io_;
     tcp::acceptor acceptor_;
-    std::vector<std::weak_ptr<Link>> links_;
+    std::vector<std::weak_ptr<Connection>> open_connections_;
 };
 
 // One client connection with one request at a time.
@@ -188,15 +188,15 @@
     Request request_;
 };
 
-// A connection on which bytes are written as they are.
+// A connection on which bytes are written unchanged.
 class RawConnection {
 public:
     explicit RawConnection(net::asio::io_context& io) : socket_(io) {}
     void send(const std::string& bytes) {
         net::asio::write(socket_, net::asio::buffer(bytes));
     }
-    // False: the other side has reset the connection.
-    bool takes_more() {
+    // Returns false if the other side has reset the connection.
+    bool accepts_writes() {
         net::error_code error;
         net::asio::write(socket_, net::asio::buffer("x", 1), error);
         return !error;
@@ -209,18 +209,18 @@
     tcp::socket socket_;
 };
 
-// Writes bytes as they are and collects what comes back until the end of the connection.
+// Writes bytes unchanged, and collects what it receives until the connection ends.
 class RawClient : public RawConnection {
 public:
     RawClient(net::asio::io_context& io, const tcp::endpoint& to, std::string bytes = {})
         : RawConnection(io), bytes_(std::move(bytes)) {
         socket_.open(to.protocol());
-        socket_.set_option(
-            net::asio::socket_base::send_buffer_size(16 * 1024));  // more waits for the other side
+        // Small, so that further bytes wait until the other side has read.
+        socket_.set_option(net::asio::socket_base::send_buffer_size(16 * 1024));
         socket_.connect(to);
         net::asio::async_write(
             socket_, net::asio::buffer(bytes_),
-            [this](const net::error_code& error, std::size_t) { cut_short = bool(error); });
+            [this](const net::error_code& error, std::size_t) { write_failed = bool(error); });
         read();
     }
     void reset() {
@@ -228,15 +228,15 @@
         socket_.close();
     }
     bool ended = false;
-    bool clean = false;      // it ended, and was not reset
-    bool cut_short = false;  // what it writes was not taken
-    std::string heard;
+    bool clean = false;         // it ended and was not reset
+    bool write_failed = false;  // of the initial bytes
+    std::string received;
 
 private:
     void read() {
         socket_.async_read_some(net::asio::buffer(part_),
                                 [this](const net::error_code& error, std::size_t got) {
-                                    heard.append(part_, got);
+                                    received.append(part_, got);
                                     if (!error)
                                         return read();
                                     clean = error == net::asio::error::eof;
@@ -247,14 +247,14 @@
     char part_[4096];
 };
 
-// One line at a second address, and all that comes back until the other side closes.
+// A client of the control address: sends one line, and collects what it receives until the other side closes.
 class ControlClient : public RawConnection {
 public:
-    ControlClient(net::asio::io_context& io, const tcp::endpoint& to, const std::string& says)
+    ControlClient(net::asio::io_context& io, const tcp::endpoint& to, const std::string& line)
         : RawConnection(io) {
         socket_.connect(to);
-        if (!says.empty())
-            net::asio::write(socket_, net::asio::buffer(says));
+        if (!line.empty())
+            net::asio::write(socket_, net::asio::buffer(line));
         net::asio::async_read(socket_, net::asio::dynamic_buffer(answer),
                               [this](const net::error_code& error, std::size_t) {
                                   clean = error == net::asio::error::eof;
@@ -263,26 +263,27 @@
     }
     std::string answer;
     bool done = false;
-    bool clean = false;  // it ended, and was not reset
+    bool clean = false;  // it ended and was not reset
 };
 
 inline std::string send_command(net::asio::io_context& io, const tcp::endpoint& to, const std::string& line) {
-    ControlClient caller{io, to, line + "\n"};
-    run_until(io, [&] { return caller.done; });
-    CHECK(caller.clean);
-    return caller.answer;
+    ControlClient client{io, to, line + "\n"};
+    run_until(io, [&] { return client.done; });
+    CHECK(client.clean);
+    return client.answer;
 }
 
-inline Request make_request(const std::string& class_name, const std::string& object, int wait_ms = 5000) {
+inline Request make_request(const std::string& class_name, const std::string& object,
+                            int max_wait_ms = 5000) {
     const bool write = class_name == "lodge" || class_name == "order";
     Request r{write ? net::http::verb::put : net::http::verb::get,
               "/ops/" + class_name + "/" + object + "/piece-3", 11};
     r.set("Host", "app.svc");
-    static std::uint64_t asked = 0;
+    static std::uint64_t last_id = 0;
     char id[17];
-    std::snprintf(id, sizeof id, "9b1f%012llx", static_cast<unsigned long long>(++asked));
+    std::snprintf(id, sizeof id, "9b1f%012llx", static_cast<unsigned long long>(++last_id));
     r.set("Trace-Id", id);
-    r.set("Max-Wait-Ms", std::to_string(wait_ms));
+    r.set("Max-Wait-Ms", std::to_string(max_wait_ms));
     r.set("X-Lot", "17");
     if (write)
         r.body() = "timesheet";
@@ -294,14 +295,14 @@
 using core::test::listed;
 using core::test::settings;
 
-// The router's parts as main.cpp wires them, in this process.
+// The router's parts in this process, connected as in the program.
 class Router {
 public:
-    explicit Router(net::asio::io_context& io, net::HttpLimits limits = {}, std::size_t most_open = 1000,
-                    net::ConnectionPoolLimits to_servers = {})
+    explicit Router(net::asio::io_context& io, net::HttpLimits limits = {},
+                    std::size_t max_open_requests = 1000, net::ConnectionPoolLimits pool_limits = {})
         : timers(io),
-          pool(io, to_servers, clock, log),
-          engine(settings(), 7, most_open, clock, timers, pool, log),
+          pool(io, pool_limits, clock, log),
+          engine(settings(), 7, max_open_requests, clock, timers, pool, log),
           platform(engine, lifecycle, log),
           server(
               io, loopback(), limits,
@@ -312,7 +313,7 @@
     void list(std::vector<core::Server> servers, bool complete = true) {
         engine.apply(core::ServerChange{complete, std::move(servers)});
     }
-    // The servers given, and a hub cache and an origin that only ever appear as sources.
+    // Lists the given servers, and a parent and an origin that are used only as sources.
     void list_with_sources(std::vector<core::Server> servers) {
         servers.push_back(listed("s-parent", "127.0.0.1:9", "parent"));
         servers.push_back(listed("s-origin", "127.0.0.1:9", "origin"));
@@ -328,10 +329,10 @@
     net::HttpServer server;
 };
 
-// Until a connection to a server that has just answered is used again.
-inline void rest(net::asio::io_context& io, const Router& router) {
-    const auto rested = router.clock.now() + net::ConnectionPoolLimits{}.quiet_before_reuse;
-    run_until(io, [&] { return router.clock.now() > rested; });
+// Waits until a connection to a server that has just responded may be reused.
+inline void wait_until_reusable(net::asio::io_context& io, const Router& router) {
+    const auto reusable_at = router.clock.now() + net::ConnectionPoolLimits{}.min_idle_before_reuse;
+    run_until(io, [&] { return router.clock.now() > reusable_at; });
 }
 
 }  // namespace silverrail::test
