--- a/src/core/accounting.h
+++ b/src/core/accounting.h
@@ -1,4 +1,4 @@
-// Accounting: counts how an attempt ended and makes of it the outcome for the decision module.
+// Counts ended attempts by status and converts their results into outcomes for the decision module.
 #pragma once
 
 #include "core/active_request.h"
@@ -9,7 +9,7 @@
 class Accounting {
 public:
     explicit Accounting(Counters& counters) : counters_(counters) {}
-    // `request_completed`: the client has its final answer, or gets it by this attempt.
+    // `request_completed`: the request has been answered, or is answered with this result.
     routing::Outcome record(const AttemptKey& key, const AttemptResult& result, const ActiveAttempt& attempt,
                             bool request_completed, Time now);
 
--- a/src/core/active_request.h
+++ b/src/core/active_request.h
@@ -1,4 +1,4 @@
-// The requests that are open, with their attempts; shared by the stages.
+// The open requests and their attempts, shared by the engine's stages.
 #pragma once
 
 #include <algorithm>
@@ -14,16 +14,16 @@
     Time started{};
     bool in_flight = true;
     Timers::Handle timeout_timer = 0;
-    std::optional<AttemptRequest> request{};  // absent before it is sent and once it has ended
+    std::optional<AttemptRequest> request{};  // set from the time it is sent until it ends
 };
 
 struct ActiveRequest {
     static constexpr std::size_t kNoClass = static_cast<std::size_t>(-1);
-    RequestId id{};  // 0: answered at intake, never open
+    RequestId id{};  // 0: answered at intake, so never open
     std::shared_ptr<const ClientRequest> client_request;
     std::size_t class_index = kNoClass;
     Time received{};
-    std::shared_ptr<ResponseSink> sink;  // absent once the final answer is given or the client has closed
+    std::shared_ptr<ResponseSink> sink;  // null once answered or once the client has closed
     Timers::Handle deadline_timer = 0;
     std::vector<ActiveAttempt> attempts;
     std::optional<AttemptStatus> last_attempt_status{};
--- a/src/core/admission.h
+++ b/src/core/admission.h
@@ -1,4 +1,4 @@
-// Admission control: bounds how many requests are open at once.
+// Admission control: limits the number of open requests.
 #pragma once
 
 #include <cstddef>
--- a/src/core/attempt_builder.cpp
+++ b/src/core/attempt_builder.cpp
@@ -32,8 +32,8 @@
 
 AttemptBuilder::CopyAge AttemptBuilder::copy_age_at_first_byte(const AttemptRequest& request,
                                                                Span class_max_age, Time now) const {
-    // Guards rule 5 (purges): one that came during the wait binds by the time of the first byte. It may be
-    // older than what the attempt allows, and must not loosen that.
+    // Guards rule 5 (no purged copy): a purge received while the attempt waited for its connection applies
+    // from the first byte on. Its age may exceed the attempt's max_age, which it must not raise.
     const auto limit = purges_.max_copy_age(*request.client_request, now, unix_time_);
     const Span allowed = request.max_age > Span{} ? request.max_age : class_max_age;
     if (limit && (allowed == Span{} || *limit < allowed))
@@ -43,15 +43,15 @@
 
 std::optional<std::string> AttemptBuilder::redirect_address(const AttemptRequest& request,
                                                             const std::string& parent_kind, Time now) const {
-    // Neither a limit on a copy's age nor a fill's conditions fit into a name, and left out they would change
-    // what the server does. Nor does a source other than the ordinary one.
+    // A redirect cannot carry a limit on a copy's age, conditions for a fill, or a source other than the
+    // default one. The server would behave differently without them.
     if (request.max_age != Span{} || request.only_if_cached || !request.source)
         return std::nullopt;
     const Server* source = servers_.find(*request.source);
     if (!source || (!parent_kind.empty() && source->entry.kind != parent_kind))
         return std::nullopt;
     if (purges_.max_copy_age(*request.client_request, now, unix_time_))
-        return std::nullopt;  // also where its group is not known
+        return std::nullopt;  // also if the request's group is not known
     const Server* server = servers_.find(request.target);
     if (!server || !servers_.is_usable(request.target))
         return std::nullopt;
--- a/src/core/attempt_builder.h
+++ b/src/core/attempt_builder.h
@@ -1,4 +1,4 @@
-// Makes attempts of the decision module's Send actions, and checks them again right before their first byte.
+// Builds attempts from the decision module's Send actions, and re-evaluates them before their first byte.
 #pragma once
 
 #include "core/active_request.h"
@@ -11,18 +11,18 @@
 public:
     AttemptBuilder(const ServerRegistry& servers, const Purges& purges, const UnixTime& unix_time)
         : servers_(servers), purges_(purges), unix_time_(unix_time) {}
-    // The attempt that `send` asks for. Absent: its server is not known, so nothing may be sent.
+    // The attempt described by `send`. Absent: the target is not a known server, so nothing may be sent.
     std::optional<AttemptRequest> build(const routing::Send& send, const ActiveRequest& request,
                                         std::uint32_t attempt, Time now) const;
-    // The greatest age of a copy that the server may answer with.
+    // The maximum age of a cached copy that the server may respond with.
     struct CopyAge {
         Span max_age{};          // as in AttemptRequest
-        bool tightened = false;  // by a purge that came after the decision
+        bool tightened = false;  // by a purge received after the decision
     };
-    // `class_max_age` is that of the request's class; 0: its copies do not age.
+    // `class_max_age`: max_age of the request's class; 0: its copies do not expire by age.
     CopyAge copy_age_at_first_byte(const AttemptRequest& request, Span class_max_age, Time now) const;
-    // The address to redirect a client to. It carries nothing but the server's name: absent where the attempt
-    // needs more than that, or the server must not be named.
+    // The address to redirect a client to. A redirect carries nothing but an address. Absent: the attempt has
+    // parameters that would be lost, or the server is not usable.
     std::optional<std::string> redirect_address(const AttemptRequest& request, const std::string& parent_kind,
                                                 Time now) const;
 
--- a/src/core/completion.cpp
+++ b/src/core/completion.cpp
@@ -4,19 +4,19 @@
 
 namespace silverrail::core {
 
-void Completion::complete(ActiveRequest& request, ClientResponse answer) {
-    // Guards rule 1 (one final answer): the sink is given up with its answer.
+void Completion::complete(ActiveRequest& request, ClientResponse response) {
+    // Guards rule 1 (one final response): the sink is released with the first response.
     const auto sink = std::exchange(request.sink, nullptr);
     if (!sink)
         return;
-    count(request.class_index, answer.kind);
+    count(request.class_index, response.kind);
     if (state_.observer)
-        state_.observer->answered(request.id, answer, state_.clock.now());
-    sink->reply(std::move(answer));
+        state_.observer->answered(request.id, response, state_.clock.now());
+    sink->reply(std::move(response));
     state_.guard.answered(request.id);
 }
 
-// Every front's requests end here, and nowhere else are they counted.
+// The only place where responses are counted, for all front ends.
 void Completion::count(std::size_t class_index, ClientResponse::Kind kind) {
     Counters& counters = state_.counters;
     Counters::ByClass unknown_class;
@@ -46,34 +46,34 @@
 }
 
 ClientResponse served(AttemptResult result) {
-    ClientResponse answer;
-    answer.kind = result.not_modified ? ClientResponse::Kind::not_modified : ClientResponse::Kind::served;
-    answer.body = std::move(result.body);
-    answer.tag = std::move(result.tag);
-    answer.generated_ms = result.generated_ms;
-    return answer;
+    ClientResponse response;
+    response.kind = result.not_modified ? ClientResponse::Kind::not_modified : ClientResponse::Kind::served;
+    response.body = std::move(result.body);
+    response.tag = std::move(result.tag);
+    response.generated_ms = result.generated_ms;
+    return response;
 }
 
 ClientResponse rejected(Span retry_after, bool timed_out) {
-    ClientResponse answer;
-    answer.kind = ClientResponse::Kind::rejected;
-    answer.retry_after = retry_after;
-    answer.timed_out = timed_out;
-    return answer;
+    ClientResponse response;
+    response.kind = ClientResponse::Kind::rejected;
+    response.retry_after = retry_after;
+    response.timed_out = timed_out;
+    return response;
 }
 
 ClientResponse failed(bool timed_out) {
-    ClientResponse answer;
-    answer.kind = ClientResponse::Kind::failed;
-    answer.timed_out = timed_out;
-    return answer;
+    ClientResponse response;
+    response.kind = ClientResponse::Kind::failed;
+    response.timed_out = timed_out;
+    return response;
 }
 
 ClientResponse redirected(std::string server_address) {
-    ClientResponse answer;
-    answer.kind = ClientResponse::Kind::redirected;
-    answer.server_address = std::move(server_address);
-    return answer;
+    ClientResponse response;
+    response.kind = ClientResponse::Kind::redirected;
+    response.server_address = std::move(server_address);
+    return response;
 }
 
 }  // namespace silverrail::core
--- a/src/core/completion.h
+++ b/src/core/completion.h
@@ -1,11 +1,11 @@
-// Completion: gives a request its one final answer and counts it.
+// Sends the single final response to a request and counts it.
 #pragma once
 
 #include "core/engine_state.h"
 
 namespace silverrail::core {
 
-// Answers by kind. `timed_out`: the deadline has passed.
+// Responses by kind. `timed_out`: the deadline has passed.
 ClientResponse served(AttemptResult result);
 ClientResponse rejected(Span retry_after, bool timed_out);
 ClientResponse failed(bool timed_out);
@@ -14,8 +14,8 @@
 class Completion {
 public:
     explicit Completion(EngineState& state) : state_(state) {}
-    // Does nothing where the request has had its answer, or its client has closed.
-    void complete(ActiveRequest& request, ClientResponse answer);
+    // No-op if the request has already been answered or its client has closed.
+    void complete(ActiveRequest& request, ClientResponse response);
 
 private:
     void count(std::size_t class_index, ClientResponse::Kind kind);
--- a/src/core/counters.cpp
+++ b/src/core/counters.cpp
@@ -5,7 +5,7 @@
 namespace silverrail::core {
 
 namespace {
-// The names that the figures print, in the order of AttemptStatus.
+// Printed names, in the order of AttemptStatus.
 constexpr const char* kStatusNames[] = {"good",  "error",     "full",     "late", "no_connection",
                                         "reset", "cancelled", "not_sent", "miss", "unseen"};
 }  // namespace
--- a/src/core/discovery_updates.cpp
+++ b/src/core/discovery_updates.cpp
@@ -6,7 +6,7 @@
 namespace silverrail::core {
 
 namespace {
-// A server may be listed some time after its start, as discovery and the server itself may be slow.
+// Discovery may list a server this long after its start, as either of them may be slow.
 constexpr Span kMaxListingDelay = std::chrono::seconds{60};
 
 using routing::Condition;
@@ -28,8 +28,8 @@
     notify_routing(change);
 }
 
-// Guards rule 4 (slow start): a start counts from the same moment however often it is listed, and from its
-// first listing where its age can't be right.
+// Guards rule 4 (slow start): a server's start time does not change when the server is listed again. If its
+// age is implausible, the time of the first listing is used.
 Time DiscoveryUpdates::started_at(const Server& server, Time now, Span max_age) {
     const Server* known = state_.servers.find(server.entry.id);
     if (known && known->started_ms == server.started_ms && known->entry.started_at)
@@ -53,7 +53,7 @@
     change_exclusions([&] { state_.servers.set_zone_factors(factors); });
 }
 
-// Notifies the decision module of every server that it is to see otherwise than before the change.
+// Notifies the decision module of every server whose router view differs after `change`.
 void DiscoveryUpdates::change_exclusions(const std::function<void()>& change) {
     std::map<ServerId, routing::ListedServer> before;
     for (const auto& [id, server] : state_.servers.servers())
@@ -61,15 +61,16 @@
     change();
     ServerChange changed;
     for (const auto& [id, server] : state_.servers.servers()) {
-        if (auto update = restated(server, before.at(id)))
+        if (auto update = changed_server(server, before.at(id)))
             changed.servers.push_back(std::move(*update));
     }
     if (!changed.servers.empty())
         notify_routing(changed);
 }
 
-// Absent: the module sees it as before. The connections of a server that is excluded now are dropped.
-std::optional<Server> DiscoveryUpdates::restated(const Server& server, const routing::ListedServer& before) {
+// Absent: the server's router view has not changed. Discards the connections of a newly excluded server.
+std::optional<Server> DiscoveryUpdates::changed_server(const Server& server,
+                                                       const routing::ListedServer& before) {
     const auto after = state_.servers.router_view(server);
     const bool excluded = after.condition != before.condition && after.condition != Condition::ready;
     const bool readmitted = after.condition != before.condition && after.condition == Condition::ready;
@@ -78,7 +79,7 @@
     if (excluded)
         state_.sender.discard_connections(server.entry.id);
     Server update = server;
-    // Guards rule 4 (slow start): it may have been restarted meanwhile, whatever the list says of its start.
+    // Guards rule 4 (slow start): it may have restarted while excluded, whatever start time is listed.
     if (readmitted)
         update.entry.started_at = state_.clock.now();
     return update;
@@ -95,9 +96,10 @@
     ++state_.counters.purges;
     const Time now = state_.clock.now();
     (void)state_.read_unix_time(now);
-    state_.unix_time.observe_stamp(now, purge.issued_ms, UnixTime::Source::trusted);
-    // Guards rule 5 (no purged copy): a new purge is as old as can be proven. Of those known at the start
-    // most are long past, by this clock; the check at the first byte goes by what is proven there too.
+    state_.unix_time.observe_timestamp(now, purge.issued_ms, UnixTime::Trust::trusted);
+    // Guards rule 5 (no purged copy): a new purge counts with the least age that timestamps prove. Purges
+    // that were already known when the watch began are mostly long over, so they count with their age by this
+    // clock; the check at the first byte uses the proven age for those, too.
     Span age = state_.unix_time.min_age(now, purge.issued_ms);
     if (age > max_age)
         ++state_.counters.clock_doubts;
--- a/src/core/discovery_updates.h
+++ b/src/core/discovery_updates.h
@@ -1,5 +1,5 @@
-// Applies what discovery, operators and other routers report on servers and purges, and notifies the decision
-// module of the changes.
+// Applies updates from discovery, operators and other routers on servers and purges, and notifies the
+// decision module of the resulting changes.
 #pragma once
 
 #include <functional>
@@ -16,8 +16,8 @@
     DiscoveryUpdates(EngineState& state, ResponseCacheStage& cache, RoutingStage& routing)
         : state_(state), cache_(cache), routing_(routing) {}
 
-    // Discovery's events, in its order. `max_age`: how long ago the event can have happened at most, by the
-    // time at which the watch was last complete. If it is older by the wall clock, the clock counts as wrong.
+    // Events from discovery, in order. `max_age`: upper bound on the event's age, from the time at which the
+    // discovery watch was last complete. If the event is older by the wall clock, the clock is wrong.
     void apply(ServerChange change, Span max_age);
     void apply(const PurgeNotice& purge, Span max_age);
 
@@ -28,7 +28,7 @@
 private:
     Time started_at(const Server& server, Time now, Span max_age);
     void change_exclusions(const std::function<void()>& change);
-    std::optional<Server> restated(const Server& server, const routing::ListedServer& before);
+    std::optional<Server> changed_server(const Server& server, const routing::ListedServer& before);
     void notify_routing(const ServerChange& change);
 
     EngineState& state_;
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -6,9 +6,9 @@
 namespace silverrail::core {
 
 namespace {
-// An attempt's own timeout at the deadline is handled first; this timer answers whatever is still open then.
+// Lets an attempt's own timeout at the deadline be handled first; this timer fails requests still open then.
 constexpr Span kDeadlineTimerDelay = std::chrono::milliseconds{2};
-// By then some of the open requests are through.
+// Some of the open requests are expected to have completed by then.
 constexpr Span kNotAdmittedRetryAfter = std::chrono::milliseconds{200};
 }  // namespace
 
@@ -29,8 +29,8 @@
     ++state_.counters.taken;
     const Time now = state_.clock.now();
     const auto class_index = intake_.class_index(request.class_name);
-    if (auto answer = answer_at_intake(request, class_index, now)) {
-        complete_at_intake(request, class_index, std::move(sink), std::move(*answer));
+    if (auto response = response_at_intake(request, class_index, now)) {
+        complete_at_intake(request, class_index, std::move(sink), std::move(*response));
         return std::nullopt;
     }
     const ActiveRequest& opened = open_request(std::move(request), *class_index, std::move(sink), now);
@@ -39,34 +39,35 @@
     return state_.find(id) ? std::optional{id} : std::nullopt;
 }
 
-// Absent: the request goes on to the decision module.
-std::optional<ClientResponse> Engine::answer_at_intake(const ClientRequest& request,
-                                                       std::optional<std::size_t> class_index, Time now) {
+// Absent: the request is passed to the decision module.
+std::optional<ClientResponse> Engine::response_at_intake(const ClientRequest& request,
+                                                         std::optional<std::size_t> class_index, Time now) {
     if (!class_index || request.deadline <= now)
         return failed(class_index.has_value());
-    // Guards rule 1 (one final answer): a second request under an open id could be given the first one's.
+    // Guards rule 1 (one final response): a second request with the trace id of an open one could receive the
+    // first one's response.
     if (!intake_.is_valid(request, *class_index, now) || intake_.is_open(request.trace_id)) {
         ++state_.counters.unfit;
         return failed(false);
     }
     if (!admission_.admits(state_.requests.size())) {
         ++state_.counters.not_admitted;
-        state_.log.line("admission-rejected", "%zu calls are open", state_.requests.size());
+        state_.log.line("admission-rejected", "%zu requests are open", state_.requests.size());
         return rejected(kNotAdmittedRetryAfter, false);
     }
-    return cache_.fresh_answer(request, *class_index, now, state_.read_unix_time(now).latest_ms(now));
+    return cache_.fresh_response(request, *class_index, now, state_.read_unix_time(now).latest_ms(now));
 }
 
 void Engine::complete_at_intake(const ClientRequest& request, std::optional<std::size_t> class_index,
-                                std::shared_ptr<ResponseSink> sink, ClientResponse answer) {
-    ActiveRequest never_open;
-    never_open.sink = std::move(sink);
-    never_open.class_index = class_index.value_or(ActiveRequest::kNoClass);
+                                std::shared_ptr<ResponseSink> sink, ClientResponse response) {
+    ActiveRequest unopened;
+    unopened.sink = std::move(sink);
+    unopened.class_index = class_index.value_or(ActiveRequest::kNoClass);
     if (state_.observer) {
         const std::size_t observed_class = class_index.value_or(state_.settings.classes.size());
         state_.observer->answered_at_intake(request, observed_class, state_.clock.now());
     }
-    completion_.complete(never_open, std::move(answer));
+    completion_.complete(unopened, std::move(response));
 }
 
 ActiveRequest& Engine::open_request(ClientRequest client_request, std::size_t class_index,
@@ -112,7 +113,7 @@
     const ClientRequest& client_request = *request->client_request;
     if (!request->answered()) {
         const std::int64_t unix_ms = state_.read_unix_time(now).latest_ms(now);
-        if (auto cached = cache_.last_resort_answer(client_request, request->class_index, now, unix_ms))
+        if (auto cached = cache_.last_resort_response(client_request, request->class_index, now, unix_ms))
             return complete(*request, std::move(*cached));
     }
     complete(*request, rejected(reject.retry_after, now >= client_request.deadline));
@@ -130,15 +131,15 @@
                      [this, id = timer.id] { routing_.notify(routing::Timer{id}); });
 }
 
-// ---- the end of a request ------------------------------------------------------------------------------
+// ---- completion of a request ---------------------------------------------------------------------------
 
-void Engine::complete(ActiveRequest& request, ClientResponse answer) {
+void Engine::complete(ActiveRequest& request, ClientResponse response) {
     const RequestId id = request.id;
-    if (!request.answered() && answer.kind == ClientResponse::Kind::rejected)
+    if (!request.answered() && response.kind == ClientResponse::Kind::rejected)
         state_.log_request("request-rejected", request);
-    if (!request.answered() && answer.kind == ClientResponse::Kind::failed)
+    if (!request.answered() && response.kind == ClientResponse::Kind::failed)
         state_.log_request("request-failed", request);
-    completion_.complete(request, std::move(answer));
+    completion_.complete(request, std::move(response));
     forget_if_done(id);
 }
 
@@ -153,7 +154,7 @@
     release(id);
 }
 
-// Guards rule 1 (every request answered): the decision module has left it open past its deadline.
+// Guards rule 1 (every request is answered): the decision module has not answered it by its deadline.
 void Engine::deadline_passed(RequestId id) {
     ActiveRequest* request = state_.find(id);
     if (!request)
@@ -162,9 +163,9 @@
     if (request->answered())
         return;
     ++state_.counters.past_deadline;
-    state_.log.line("deadline-exceeded", "a %s call was still open",
+    state_.log.line("deadline-exceeded", "a request of class %s was still open",
                     request->client_request->class_name.c_str());
-    fail_unasked(*request, true);
+    fail_without_decision(*request, true);
 }
 
 void Engine::fail_all() {
@@ -174,23 +175,24 @@
             unanswered.push_back(id);
     }
     if (!unanswered.empty())
-        state_.log.line("requests-aborted", "%zu open calls failed: the process ends", unanswered.size());
+        state_.log.line("requests-aborted", "failing %zu open requests: the process is exiting",
+                        unanswered.size());
     for (const RequestId id : unanswered) {
         ActiveRequest* request = state_.find(id);
         if (request && !request->answered())
-            fail_unasked(*request, false);
+            fail_without_decision(*request, false);
     }
 }
 
-// Fails the request without the decision module's word.
-void Engine::fail_unasked(ActiveRequest& request, bool timed_out) {
+// Fails the request without waiting for a decision.
+void Engine::fail_without_decision(ActiveRequest& request, bool timed_out) {
     const RequestId id = request.id;
     state_.log_request("request-failed", request);
     completion_.complete(request, failed(timed_out));
     release(id);
 }
 
-// The decision module has nothing more to do for it, and its attempts serve nobody: they are cancelled.
+// Tells the decision module that no response is due any more, and cancels the remaining attempts.
 void Engine::release(RequestId id) {
     routing_.notify(routing::ClientClosed{id});
     forwarding_.cancel_attempts(id);
@@ -208,7 +210,7 @@
     state_.requests.erase(id);
 }
 
-// ---- settings, servers and figures ---------------------------------------------------------------------
+// ---- settings, servers and counters --------------------------------------------------------------------
 
 void Engine::set_process_share(std::size_t processes, std::size_t cache_bytes) {
     routing_.set_process_count(processes);
--- a/src/core/engine.h
+++ b/src/core/engine.h
@@ -1,23 +1,23 @@
-// The life of a request. Engine leads each one through the stages below and owns the invariant: exactly one
-// final answer for each request, by its deadline.
+// The request lifecycle. Engine takes each request through the stages below and upholds the invariant:
+// exactly one final response to each request, by its deadline.
 //
-//   submit            the request has been read whole
-//    | Intake              not valid: failed
+//   submit            the request has been read in full
+//    | Intake              invalid: failed
 //    | Admission           too many are open: rejected
 //    | ResponseCacheStage  a fresh cached response: served
 //    v                                                                 (Guard: received)
 //   RoutingStage      the decision module is notified and returns actions:
 //    | Send    Forwarding starts an attempt                            (Guard: connecting)
-//    |         before its first byte, the Guard checks it once more    (Guard: sent)
+//    |         before its first byte, the Guard checks it again        (Guard: sent)
 //    |         its result goes through Accounting to the module        (Guard: between_attempts)
 //    | Reject  a cached response as the last resort, else rejected
 //    | Fail    failed
 //    v
-//   Completion        the sink gets the answer                         (Guard: answered)
+//   Completion        the sink receives the response                   (Guard: answered)
 //
-// A client may close at any time (Guard: client_closed): its attempts are cancelled. A request is forgotten
-// once it is answered, or its client has closed, and none of its attempts is in flight. The deadline's timer
-// fails whatever the module has left open.
+// A client may close at any time (Guard: client_closed); its attempts are then cancelled. A request is erased
+// once it is answered, or its client has closed, and none of its attempts is in flight. The deadline timer
+// fails any request that the module has not answered by then.
 #pragma once
 
 #include <functional>
@@ -43,12 +43,12 @@
 
     // ---- requests --------------------------------------------------------------------------------------
 
-    // The sink gets exactly one answer, now or later, unless the client closes first. Absent: it has been
-    // answered already.
+    // The sink receives exactly one response, during this call or later, unless the client closes first.
+    // Absent: the request has already been answered.
     std::optional<RequestId> submit(ClientRequest request, std::shared_ptr<ResponseSink> sink);
-    // The client has closed and gets no answer.
+    // The client has closed; no response is sent.
     void client_closed(RequestId id);
-    // The process ends before they could: every open request is failed now.
+    // Fails every open request, for use when the process is about to exit.
     void fail_all();
 
     // ---- servers and purges ----------------------------------------------------------------------------
@@ -60,43 +60,45 @@
     void apply(const PurgeNotice& purge, Span max_age = Span::max()) {
         updates_.apply(purge, max_age);
     }
-    // Excludes what `overrides` names, and readmits what it names no more.
+    // Excludes the servers in `overrides` and readmits those that are no longer in it.
     void set_overrides(const overrides::ServerOverrides& overrides) {
         updates_.set_overrides(overrides);
     }
     const overrides::ServerOverrides& overrides() const {
         return state_.servers.overrides();
     }
-    // Excludes these as outliers on the reports of other routers, and readmits those of the earlier call.
+    // Excludes these servers as outliers reported by other routers. Replaces the set of the previous call, so
+    // servers that are no longer in it are readmitted.
     void set_reported_outliers(std::set<ServerId> ids) {
         updates_.set_reported_outliers(std::move(ids));
     }
-    // From here on requests are spread over the zones that are named.
+    // Requests are distributed over the zones in `factors` from now on.
     void set_zone_factors(const ZoneFactors& factors) {
         updates_.set_zone_factors(factors);
     }
-    // Calls `visit` for every known server; `outlier`: to this router's own decision module.
+    // Calls `visit` for every known server. `outlier`: by this router's own outlier detection.
     void for_each_server(const std::function<void(const Server&, bool outlier)>& visit) const;
     bool is_cache_server(const Server& server) const {
         return state_.servers.is_cache_server(server);
     }
     bool is_listed(const ServerId& id) const;
-    // Whether an available server of this zone has an IPv6 (`v6`) or an IPv4 address.
+    // Whether an available server in the router's zone has an IPv6 address (`v6`) or an IPv4 address.
     bool has_address_family(bool v6) const;
 
     // ---- settings --------------------------------------------------------------------------------------
 
-    // From here on cached responses answer requests, if the limits allow any. Only once purges are reliable.
+    // Requests are answered from the response cache from now on, while purges are reliable and if the limits
+    // permit a cache.
     void enable_response_cache(cache::CacheLimits limits) {
         cache_.enable(limits);
     }
-    // Whether every purge is certain to be received in time.
+    // Whether every purge is guaranteed to be received in time.
     void set_purges_reliable(bool reliable) {
         cache_.set_purges_reliable(reliable);
     }
-    // From here on so many processes act as one router; this one's response cache gets `cache_bytes`.
+    // The number of processes that act as one router, and the capacity of this process's response cache.
     void set_process_share(std::size_t processes, std::size_t cache_bytes);
-    // Notified of everything from here on; null: nobody. It must outlive the engine or be removed.
+    // Null: no observer. The observer must outlive the engine or be removed.
     void set_observer(Observer* observer) {
         state_.observer = observer;
     }
@@ -107,10 +109,10 @@
         return state_.servers.zone();
     }
     bool knows_class(const std::string& name) const;
-    // Whether a repeat by itself could have an effect: the class is not idempotent, or not known.
+    // Whether repeating a request could have a second effect: the class is not idempotent, or unknown.
     bool is_unsafe_class(const std::string& name) const;
 
-    // ---- figures ---------------------------------------------------------------------------------------
+    // ---- counters --------------------------------------------------------------------------------------
 
     std::size_t open() const {
         return state_.requests.size();
@@ -132,15 +134,15 @@
     void act(const routing::Fail& fail);
     void act(const routing::SetTimer& timer);
 
-    std::optional<ClientResponse> answer_at_intake(const ClientRequest& request,
-                                                   std::optional<std::size_t> class_index, Time now);
+    std::optional<ClientResponse> response_at_intake(const ClientRequest& request,
+                                                     std::optional<std::size_t> class_index, Time now);
     void complete_at_intake(const ClientRequest& request, std::optional<std::size_t> class_index,
-                            std::shared_ptr<ResponseSink> sink, ClientResponse answer);
+                            std::shared_ptr<ResponseSink> sink, ClientResponse response);
     ActiveRequest& open_request(ClientRequest client_request, std::size_t class_index,
                                 std::shared_ptr<ResponseSink> sink, Time now);
     void deadline_passed(RequestId id);
-    void fail_unasked(ActiveRequest& request, bool timed_out);
-    void complete(ActiveRequest& request, ClientResponse answer);
+    void fail_without_decision(ActiveRequest& request, bool timed_out);
+    void complete(ActiveRequest& request, ClientResponse response);
     void release(RequestId id);
     void forget_if_done(RequestId id);
 
--- a/src/core/engine_state.cpp
+++ b/src/core/engine_state.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Purges are heard of, and copies cleared, a little later than the settings promise.
+// Purges are received, and copies cleared, slightly later than the settings promise.
 constexpr Span kPurgeMargin = std::chrono::seconds{1};
 
 Span purges_cleared_after(const routing::Settings& settings) {
@@ -46,9 +46,9 @@
 
 void EngineState::log_request(const char* event, const ActiveRequest& request) const {
     const auto request_state = guard.state(request.id);
-    log.line(event, "%s %s: %zu attempts, %s, last ending %s", request.client_request->trace_id.c_str(),
-             request.client_request->class_name.c_str(), request.attempts.size(),
-             request_state ? std::string{name_of(*request_state)}.c_str() : "closed",
+    log.line(event, "%s %s: %zu attempts, state %s, last attempt %s",
+             request.client_request->trace_id.c_str(), request.client_request->class_name.c_str(),
+             request.attempts.size(), request_state ? std::string{name_of(*request_state)}.c_str() : "closed",
              request.last_attempt_status ? Counters::name_of(*request.last_attempt_status) : "none");
 }
 
--- a/src/core/engine_state.h
+++ b/src/core/engine_state.h
@@ -1,4 +1,4 @@
-// What the engine's stages share. It has no decisions of its own.
+// State shared by the engine's stages. Makes no decisions.
 #pragma once
 
 #include "core/active_request.h"
@@ -16,12 +16,12 @@
     EngineState(routing::Settings settings, const Clock& clock, Timers& timers, AttemptSender& sender,
                 Log& log);
 
-    // Both clocks are read now; `now` is the monotonic one's reading.
+    // Reads the wall clock. `now`: the monotonic clock, read at the same moment.
     const UnixTime& read_unix_time(Time now);
-    // Absent: null.
+    // Null: not open, or no such attempt.
     ActiveRequest* find(RequestId id);
     ActiveAttempt* find(const AttemptKey& key);
-    // Logs one line: the request, its attempts, its state and how its last attempt ended.
+    // Logs the request, its number of attempts, its state and the status of its last attempt.
     void log_request(const char* event, const ActiveRequest& request) const;
 
     const routing::Settings settings;
--- a/src/core/forwarding.cpp
+++ b/src/core/forwarding.cpp
@@ -5,10 +5,10 @@
 namespace silverrail::core {
 
 namespace {
-// Usually a purge: its limit on a copy's age falls away within seconds.
+// The usual reason is a recent purge, whose limit on a copy's age expires within seconds.
 constexpr Span kNotRedirectableRetryAfter = std::chrono::milliseconds{1000};
-// What is sent within this of its request's arrival goes out in the same turn of the event loop.
-constexpr Span kSameTurn = std::chrono::milliseconds{2};
+// An attempt sent within this time of its request's arrival runs in the same iteration of the event loop.
+constexpr Span kSameIteration = std::chrono::milliseconds{2};
 constexpr std::size_t kMaxCountedZones = 64;
 }  // namespace
 
@@ -32,7 +32,7 @@
     auto attempt = builder_.build(send_action, *request, number, now);
     if (!attempt || request->answered() || now >= attempt->deadline)
         return end_unsent(key);
-    // Guards rule 2 (no repeated effect) and the limit of attempts, whatever was decided.
+    // Guards rule 2 (no repeated effect) and the limit on attempts, independently of the decision.
     if (!state_.guard.start_attempt(key)) {
         state_.log.line("guard-violation", "%s", state_.guard.last_violation().c_str());
         return end_unsent(key);
@@ -49,7 +49,7 @@
     ended(key, {.attempt_status = AttemptStatus::not_sent});
 }
 
-// The client goes to the server by itself, so how that ends is not seen here, and the module is notified so.
+// The client connects to the server itself, so the outcome is not observed and is reported as such.
 void Forwarding::redirect(ActiveRequest& request, const AttemptRequest& attempt) {
     const AttemptKey key = attempt.key;
     const auto address = builder_.redirect_address(attempt, state_.settings.parent_kind, state_.clock.now());
@@ -92,7 +92,7 @@
 }
 
 void Forwarding::cancel_attempts(RequestId id) {
-    // Each cancelled attempt may lead to another one, or close the request.
+    // Each cancellation may start another attempt, or complete the request.
     for (std::uint32_t number = 0; state_.find(AttemptKey{id, number}); ++number)
         cancel({id, number});
 }
@@ -104,7 +104,7 @@
         return std::nullopt;
     const Time now = state_.clock.now();
     const auto reason =
-        state_.guard.check_first_byte(key, facts_at_first_byte(*request, *attempt->request, now));
+        state_.guard.check_first_byte(key, first_byte_conditions(*request, *attempt->request, now));
     std::optional<Span> max_age;
     bool tightened = false;
     if (reason) {
@@ -123,19 +123,20 @@
     return max_age;
 }
 
-Guard::FirstByteFacts Forwarding::facts_at_first_byte(const ActiveRequest& request,
-                                                      const AttemptRequest& attempt, Time now) const {
-    Guard::FirstByteFacts facts;
-    facts.now = now;
-    facts.deadline = attempt.deadline;
-    // Guards rule 2 (no repeated effect): the wait for a connection may have outlasted the window of repeats.
-    facts.retry_window_end = attempt.retry_window_end;
-    // The event loop may learn of it only with its next turn. Within the request's own turn it was just read.
-    facts.client_closed = now > request.received + kSameTurn && request.sink->client_closed();
-    // Guards rule 3 (drains): a server may have begun to drain during the wait.
-    facts.target_usable = state_.servers.is_usable(attempt.target);
-    facts.source_usable = !attempt.source || state_.servers.is_usable(*attempt.source);
-    return facts;
+Guard::FirstByteConditions Forwarding::first_byte_conditions(const ActiveRequest& request,
+                                                             const AttemptRequest& attempt, Time now) const {
+    Guard::FirstByteConditions conditions;
+    conditions.now = now;
+    conditions.deadline = attempt.deadline;
+    // Guards rule 2 (no repeated effect): the retry window may have ended while waiting for a connection.
+    conditions.retry_window_end = attempt.retry_window_end;
+    // The event loop may notice a close only in its next iteration. There is no need to ask the operating
+    // system in the iteration that read the request.
+    conditions.client_closed = now > request.received + kSameIteration && request.sink->client_closed();
+    // Guards rule 3 (drains): a server may have begun to drain while the attempt waited for its connection.
+    conditions.target_usable = state_.servers.is_usable(attempt.target);
+    conditions.source_usable = !attempt.source || state_.servers.is_usable(*attempt.source);
+    return conditions;
 }
 
 void Forwarding::log_suppression(const ActiveRequest& request, const AttemptRequest& attempt,
@@ -160,7 +161,7 @@
     const Time now = state_.clock.now();
     (void)state_.read_unix_time(now);
     if (result.generated_ms > 0)
-        state_.unix_time.observe_stamp(now, result.generated_ms, UnixTime::Source::any);
+        state_.unix_time.observe_timestamp(now, result.generated_ms, UnixTime::Trust::untrusted);
     cache_.store(request, result, now, state_.unix_time.latest_ms(now));
     const auto outcome = accounting_.record(key, result, *attempt, success || request.answered(), now);
     if (success)
--- a/src/core/forwarding.h
+++ b/src/core/forwarding.h
@@ -1,5 +1,5 @@
-// Forwarding: carries out the decision module's Send and Cancel, follows each attempt to its end, and reports
-// the outcome to the module.
+// Carries out the decision module's Send and Cancel actions, tracks each attempt until it ends, and reports
+// its outcome to the module.
 #pragma once
 
 #include <map>
@@ -23,7 +23,7 @@
     // Cancels all of the request's attempts that are in flight.
     void cancel_attempts(RequestId id);
 
-    // Attempts sent to cache servers of other zones, by zone; of a bounded number of zones.
+    // Attempts sent to cache servers in other zones, by zone. The number of zones is bounded.
     const std::map<std::string, std::uint64_t>& attempts_by_remote_zone() const {
         return attempts_by_remote_zone_;
     }
@@ -40,8 +40,8 @@
     void send(ActiveRequest& request, AttemptRequest attempt);
     void count_remote_zone(const AttemptRequest& attempt);
     void timed_out(const AttemptKey& key);
-    Guard::FirstByteFacts facts_at_first_byte(const ActiveRequest& request, const AttemptRequest& attempt,
-                                              Time now) const;
+    Guard::FirstByteConditions first_byte_conditions(const ActiveRequest& request,
+                                                     const AttemptRequest& attempt, Time now) const;
     void log_suppression(const ActiveRequest& request, const AttemptRequest& attempt,
                          SuppressionReason reason) const;
 
--- a/src/core/guard.cpp
+++ b/src/core/guard.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::size_t kStates = static_cast<std::size_t>(RequestState::count_);
 
-// The texts that the log and the figures print.
+// Names in log lines and counters.
 constexpr std::array<std::string_view, kStates> kStateNames{"taken", "deciding", "ordered",
                                                             "sent",  "answered", "left"};
 constexpr std::array<std::string_view, kSuppressionReasons> kSuppressionNames{
@@ -18,14 +18,15 @@
 constexpr std::array<std::string_view, kViolations> kViolationNames{
     "start_after_end", "start_beside", "start_past_limit", "repeat", "transition", "unknown_call"};
 
-// Row: from; column: to, in the order of RequestState. An attempt that ends after the answer changes nothing.
+// Row: from; column: to, in the order of RequestState. An attempt that ends after the response does not
+// change the state.
 constexpr bool kMayFollow[kStates][kStates] = {
     // received between connecting sent answered closed
     {false, false, true, false, true, true},    // received
     {false, false, true, false, true, true},    // between_attempts
     {false, true, false, true, true, true},     // connecting
     {false, true, false, false, true, true},    // sent
-    {false, false, false, false, false, true},  // answered: its client may close before it is written
+    {false, false, false, false, false, true},  // answered: the client may close before it is written
     {false, false, false, false, false, false}  // client_closed
 };
 
@@ -67,11 +68,11 @@
     return found == requests_.end() ? std::nullopt : std::optional{found->second.state};
 }
 
-bool Guard::is_over(const Request& request) {
+bool Guard::is_finished(const Request& request) {
     return request.state == RequestState::answered || request.state == RequestState::client_closed;
 }
 
-// Whether an attempt other than `attempt` may have run, where a second run is not allowed.
+// Whether the class is not idempotent and an attempt other than `attempt` may have run.
 bool Guard::could_run_twice(const Request& request, std::optional<std::uint32_t> attempt) const {
     if (settings_.classes[request.class_index].idempotency != routing::Idempotency::none)
         return false;
@@ -80,8 +81,8 @@
     });
 }
 
-std::optional<Violation> Guard::violation_of_start(const Request& request) const {
-    if (is_over(request))
+std::optional<Violation> Guard::start_violation(const Request& request) const {
+    if (is_finished(request))
         return Violation::start_after_end;
     const bool another_in_flight =
         std::ranges::any_of(request.attempts, [](const auto& entry) { return entry.second.in_flight; });
@@ -96,29 +97,29 @@
 
 bool Guard::start_attempt(const AttemptKey& key) {
     Request* request = find(key.request);
-    const auto violation = request ? violation_of_start(*request) : std::optional{Violation::unknown_request};
+    const auto violation = request ? start_violation(*request) : std::optional{Violation::unknown_request};
     if (violation) {
         count(*violation, key.request, request);
         return false;
     }
     request->attempts.emplace(key.attempt, Attempt{});
-    move(key.request, *request, RequestState::connecting);
+    transition(key.request, *request, RequestState::connecting);
     return true;
 }
 
-std::optional<SuppressionReason> Guard::reason_to_suppress(const Request& request, std::uint32_t attempt,
-                                                           const FirstByteFacts& facts) const {
-    if (request.state == RequestState::client_closed || facts.client_closed)
+std::optional<SuppressionReason> Guard::suppression_reason(const Request& request, std::uint32_t attempt,
+                                                           const FirstByteConditions& conditions) const {
+    if (request.state == RequestState::client_closed || conditions.client_closed)
         return SuppressionReason::client_closed;
     if (request.state == RequestState::answered)
         return SuppressionReason::answered;
-    if (facts.now >= facts.deadline)
+    if (conditions.now >= conditions.deadline)
         return SuppressionReason::past_deadline;
-    if (facts.retry_window_end && facts.now >= *facts.retry_window_end)
+    if (conditions.retry_window_end && conditions.now >= *conditions.retry_window_end)
         return SuppressionReason::past_key_window;
-    if (!facts.target_usable)
+    if (!conditions.target_usable)
         return SuppressionReason::target_drained;
-    if (!facts.source_usable)
+    if (!conditions.source_usable)
         return SuppressionReason::source_drained;
     if (could_run_twice(request, attempt))
         return SuppressionReason::may_run_twice;
@@ -130,11 +131,12 @@
     return std::nullopt;
 }
 
-std::optional<SuppressionReason> Guard::check_first_byte(const AttemptKey& key, const FirstByteFacts& facts) {
+std::optional<SuppressionReason> Guard::check_first_byte(const AttemptKey& key,
+                                                         const FirstByteConditions& conditions) {
     Request* request = find(key.request);
     const auto attempt = request ? request->attempts.find(key.attempt) : Attempts::iterator{};
     const bool recorded = request && attempt != request->attempts.end() && attempt->second.in_flight;
-    const auto reason = recorded ? reason_to_suppress(*request, key.attempt, facts)
+    const auto reason = recorded ? suppression_reason(*request, key.attempt, conditions)
                                  : std::optional{SuppressionReason::answered};
     if (reason) {
         ++suppressed_[static_cast<std::size_t>(*reason)];
@@ -142,7 +144,7 @@
     }
     attempt->second.sent = true;
     attempt->second.may_have_run = true;
-    move(key.request, *request, RequestState::sent);
+    transition(key.request, *request, RequestState::sent);
     return std::nullopt;
 }
 
@@ -156,16 +158,16 @@
     attempt->second.in_flight = false;
     if (proves_not_run(attempt_status))
         attempt->second.may_have_run = false;
-    if (!is_over(*request))
-        move(key.request, *request, RequestState::between_attempts);
+    if (!is_finished(*request))
+        transition(key.request, *request, RequestState::between_attempts);
 }
 
-void Guard::move(RequestId id, RequestState to) {
+void Guard::transition(RequestId id, RequestState to) {
     if (Request* request = find(id))
-        move(id, *request, to);
+        transition(id, *request, to);
 }
 
-void Guard::move(RequestId id, Request& request, RequestState to) {
+void Guard::transition(RequestId id, Request& request, RequestState to) {
     if (!may_follow(request.state, to))
         count(Violation::invalid_transition, id, &request);
     request.state = to;
@@ -177,7 +179,7 @@
 
 void Guard::count(Violation violation, RequestId id, const Request* request) {
     ++violations_[static_cast<std::size_t>(violation)];
-    last_violation_ = std::string{name_of(violation)} + ", call " +
+    last_violation_ = std::string{name_of(violation)} + ", request " +
                       std::to_string(static_cast<std::uint64_t>(id)) + ", state " +
                       std::string{request ? name_of(request->state) : "none"} + ", attempts " +
                       std::to_string(request ? request->attempts.size() : 0);
--- a/src/core/guard.h
+++ b/src/core/guard.h
@@ -1,7 +1,7 @@
-// The guard: every request's life as named states, and the one place that allows an attempt to start, its
-// first byte to be written, and an answer to be given. It keeps its own record of which attempts are in
-// flight and which may have run, apart from the decision module's, so that a decision that would break a rule
-// is suppressed and counted here. No clock, no I/O.
+// The state machine of each request, and the only place that permits an attempt to start, its first byte to
+// be written, and a response to be sent. Tracks which attempts are in flight and which may have run
+// independently of the decision module, so that a decision that would break a rule is suppressed and counted.
+// Reads no clock and does no I/O.
 #pragma once
 
 #include <array>
@@ -16,24 +16,24 @@
 namespace silverrail::core {
 
 enum class RequestState : std::uint8_t {
-    received,          // nothing has been decided
-    between_attempts,  // no attempt is in flight, one was
-    connecting,        // an attempt waits for its connection
-    sent,              // an attempt's first byte is written
-    answered,          // the client has its one answer
-    client_closed,     // no answer is due any more
+    received,          // no attempt yet
+    between_attempts,  // no attempt is in flight, but there was one
+    connecting,        // an attempt is waiting for its connection
+    sent,              // an attempt's first byte has been written
+    answered,          // the final response has been sent
+    client_closed,     // no response is due any more
     count_
 };
 std::string_view name_of(RequestState state);
 bool may_follow(RequestState from, RequestState to);
 
-// Why an attempt's first byte is suppressed. All but the last two occur in normal operation, as a connection
-// may take long to establish.
+// Why an attempt's first byte is suppressed. All but the last two occur in normal operation, because
+// conditions may change while a connection is being established.
 enum class SuppressionReason : std::uint8_t {
     client_closed,
     answered,
     past_deadline,    // the attempt's or the client's
-    past_key_window,  // servers no longer recognise a retry by its idempotency key
+    past_key_window,  // retry window over: servers may no longer know the idempotency key
     target_drained,
     source_drained,
     may_run_twice,  // the class is not idempotent, and an earlier attempt may have run
@@ -43,14 +43,14 @@
 constexpr std::size_t kSuppressionReasons = static_cast<std::size_t>(SuppressionReason::count_);
 std::string_view name_of(SuppressionReason reason);
 
-// Decisions that would have broken a rule; none is ever right.
+// Decisions that would have broken a rule. Each one is a bug.
 enum class Violation : std::uint8_t {
     start_after_end,     // an attempt for a request that is answered or whose client has closed
     concurrent_start,    // an attempt while another is in flight
     start_past_limit,    // more attempts than the settings allow
     unsafe_repeat,       // an attempt that could run a second time
-    invalid_transition,  // a state that may not follow
-    unknown_request,     // an event of a request that is not open
+    invalid_transition,  // a transition that the state machine does not permit
+    unknown_request,     // an event for a request that is not open
     count_
 };
 constexpr std::size_t kViolations = static_cast<std::size_t>(Violation::count_);
@@ -62,9 +62,9 @@
     explicit Guard(const routing::Settings& settings) : settings_(settings) {}
 
     void received(RequestId id, std::size_t class_index);
-    // Whether a further attempt may start. If so it is recorded, else the violation is counted.
+    // Whether an attempt may start. If so it is registered, else the violation is counted.
     [[nodiscard]] bool start_attempt(const AttemptKey& key);
-    struct FirstByteFacts {
+    struct FirstByteConditions {
         Time now{};
         Time deadline{};  // the attempt's
         std::optional<Time> retry_window_end{};
@@ -72,15 +72,15 @@
         bool target_usable = true;
         bool source_usable = true;
     };
-    // Why the attempt's first byte must not be written. Absent: it may, and the attempt is recorded as sent.
+    // Why the attempt's first byte must not be written. Absent: it may be, and the attempt is marked as sent.
     [[nodiscard]] std::optional<SuppressionReason> check_first_byte(const AttemptKey& key,
-                                                                    const FirstByteFacts& facts);
+                                                                    const FirstByteConditions& conditions);
     void attempt_ended(const AttemptKey& key, AttemptStatus attempt_status);
     void answered(RequestId id) {
-        move(id, RequestState::answered);
+        transition(id, RequestState::answered);
     }
     void client_closed(RequestId id) {
-        move(id, RequestState::client_closed);
+        transition(id, RequestState::client_closed);
     }
     void forget(RequestId id) {
         requests_.erase(id);
@@ -95,7 +95,7 @@
         return violations_[static_cast<std::size_t>(violation)];
     }
     std::uint64_t violations() const;
-    // The last one as text for the log: rule, request, state and attempts. Empty: there was none.
+    // The last violation, for the log: rule, request, state and number of attempts. Empty: none so far.
     const std::string& last_violation() const {
         return last_violation_;
     }
@@ -113,13 +113,13 @@
         Attempts attempts;
     };
     Request* find(RequestId id);
-    static bool is_over(const Request& request);
+    static bool is_finished(const Request& request);
     bool could_run_twice(const Request& request, std::optional<std::uint32_t> attempt) const;
-    std::optional<Violation> violation_of_start(const Request& request) const;
-    std::optional<SuppressionReason> reason_to_suppress(const Request& request, std::uint32_t attempt,
-                                                        const FirstByteFacts& facts) const;
-    void move(RequestId id, RequestState to);
-    void move(RequestId id, Request& request, RequestState to);
+    std::optional<Violation> start_violation(const Request& request) const;
+    std::optional<SuppressionReason> suppression_reason(const Request& request, std::uint32_t attempt,
+                                                        const FirstByteConditions& conditions) const;
+    void transition(RequestId id, RequestState to);
+    void transition(RequestId id, Request& request, RequestState to);
     void count(Violation violation, RequestId id, const Request* request);
 
     const routing::Settings& settings_;
--- a/src/core/intake.cpp
+++ b/src/core/intake.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 
-// Clients wait for at most their class's timeout; a deadline twice as far ahead is a wrong figure.
+// Clients wait for at most their class's timeout, so a deadline more than twice as far ahead is invalid.
 constexpr int kLongestDeadlineInTimeouts = 2;
-// Stands for "any group" in the module's requests.
+// Group id passed to the decision module for requests whose group is not known.
 constexpr routing::GroupId kUnknownGroup{~std::uint64_t{0}};
 
 }  // namespace
@@ -23,7 +23,7 @@
 
 bool Intake::is_valid(const ClientRequest& request, std::size_t class_index, Time now) const {
     const ClassRules& rules = class_rules_[class_index];
-    // Guards rule 2 (no repeated effect): without a key, a repeat would be a new request to any server.
+    // Guards rule 2 (no repeated effect): servers would take a retry without a key for a new request.
     if (rules.keyed && request.idempotency_key.empty())
         return false;
     if (request.write != rules.write)
--- a/src/core/intake.h
+++ b/src/core/intake.h
@@ -1,4 +1,4 @@
-// Intake: checks that a request is one that the settings know, and that its client's id is not open already.
+// Validates requests against the settings, and checks that their trace ids are not already open.
 #pragma once
 
 #include <unordered_map>
@@ -12,12 +12,12 @@
 class Intake {
 public:
     explicit Intake(const routing::Settings& settings);
-    // Absent: no class has that name.
+    // Absent: unknown class.
     std::optional<std::size_t> class_index(const std::string& class_name) const;
-    // Whether clients of this class can send such a request: a write or not as the class says, a plausible
-    // deadline, and an idempotency key where the class has them.
+    // Whether the request is valid for its class: a write if and only if the class is for writes, a plausible
+    // deadline, and an idempotency key if the class requires one.
     bool is_valid(const ClientRequest& request, std::size_t class_index, Time now) const;
-    // A client's id stands for one request at a time. Empty ids are not compared.
+    // A trace id identifies one open request at a time. Empty ids are not checked.
     bool is_open(const std::string& trace_id) const {
         return open_.contains(trace_id);
     }
@@ -31,7 +31,7 @@
     RequestId next_id() {
         return RequestId{++last_id_};
     }
-    // The request as the decision module sees it.
+    // The request as passed to the decision module.
     routing::Request routing_request(RequestId id, std::size_t class_index,
                                      const ClientRequest& request) const;
 
@@ -39,7 +39,7 @@
     struct ClassRules {
         Span client_timeout;
         bool write;
-        bool keyed;  // may be retried, as servers recognise a retry by its key
+        bool keyed;  // may be retried, as servers deduplicate retries by their key
     };
     std::unordered_map<std::string, std::size_t> class_indexes_;
     std::vector<ClassRules> class_rules_;
--- a/src/core/observer.h
+++ b/src/core/observer.h
@@ -1,5 +1,4 @@
-// Observers of the core, such as traces and measurements. They are notified of what happened and cannot
-// change it.
+// Read-only observers of the core, such as the trace recorder.
 #pragma once
 
 #include <vector>
@@ -10,9 +9,9 @@
 
 namespace silverrail::core {
 
-// What a decision module's event was made from; absent: not from that.
+// What caused an event for the decision module. Null: not this.
 struct EventCause {
-    const ActiveRequests* requests = nullptr;  // all open ones, before the module's actions are carried out
+    const ActiveRequests* requests = nullptr;  // all open ones, before the module's actions take effect
     const ServerChange* change = nullptr;
     const PurgeNotice* purge = nullptr;
 };
@@ -20,16 +19,17 @@
 class Observer {
 public:
     virtual ~Observer() = default;
-    // The decision module handled `event` at `now`, the time that it was given, and returned `actions`.
-    // Called in order, never nested.
+    // The decision module was passed `event` with the time `now` and returned `actions`. Calls are in event
+    // order and never nested.
     virtual void event_handled(const routing::Event& event, Time now,
-                               const std::vector<routing::Action>& actions, const EventCause& origin) = 0;
-    // A request is answered at intake, without the decision module. `answered` follows.
+                               const std::vector<routing::Action>& actions, const EventCause& cause) = 0;
+    // A request is answered at intake, without the decision module. `answered` is called next.
     virtual void answered_at_intake(const ClientRequest& request, std::size_t class_index, Time now) = 0;
-    // An attempt's first byte was due; absent `max_age`: the attempt was suppressed.
+    // An attempt was about to write its first byte. No `max_age`: the attempt was suppressed. `tightened`: a
+    // purge received after the decision lowered `max_age`.
     virtual void first_byte(const AttemptKey& key, std::optional<Span> max_age, bool tightened, Time now) = 0;
     // `id` is 0 for a request that is answered at intake.
-    virtual void answered(RequestId id, const ClientResponse& answer, Time now) = 0;
+    virtual void answered(RequestId id, const ClientResponse& response, Time now) = 0;
 };
 
 }  // namespace silverrail::core
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -1,4 +1,4 @@
-// The interfaces through which the core reaches its surroundings: clocks, timers, clients and servers.
+// Interfaces to the core's environment: clocks, timers, clients and servers.
 #pragma once
 
 #include <functional>
@@ -11,7 +11,7 @@
 public:
     virtual ~Clock() = default;
     virtual Time now() const = 0;              // monotonic
-    virtual std::int64_t unix_ms() const = 0;  // the system's wall clock; it may be stepped
+    virtual std::int64_t unix_ms() const = 0;  // the system's wall clock, which may step in either direction
 };
 
 class Timers {
@@ -22,25 +22,26 @@
     virtual void cancel(Handle handle) = 0;
 };
 
-// Receives the one final answer of a request.
+// Receives the single final response to a request.
 class ResponseSink {
 public:
     virtual ~ResponseSink() = default;
-    virtual void reply(ClientResponse answer) = 0;
-    // Whether the operating system knows that the client has closed, even if the event loop does not yet.
+    virtual void reply(ClientResponse response) = 0;
+    // Whether the client has closed its connection according to the operating system, even if the event loop
+    // has not been notified yet.
     virtual bool client_closed() const {
         return false;
     }
 };
 
-// What the sender of attempts reports back.
+// Callbacks from AttemptSender to the core.
 class AttemptEvents {
 public:
     virtual ~AttemptEvents() = default;
-    // Called right before an attempt's first byte is written. Returns the greatest acceptable age of
-    // a copy, or nothing if the attempt must not be sent any more.
+    // Called immediately before an attempt's first byte is written. Returns the maximum acceptable age of a
+    // cached copy, or nothing if the attempt must no longer be sent.
     virtual std::optional<Span> before_first_byte(const AttemptKey& key) = 0;
-    // An attempt's last byte is written, even if it was cancelled meanwhile.
+    // An attempt's last byte has been written, even if the attempt has been cancelled in the meantime.
     virtual void written() = 0;
     virtual void ended(const AttemptKey& key, AttemptResult result) = 0;
 };
@@ -48,11 +49,12 @@
 class AttemptSender {
 public:
     virtual ~AttemptSender() = default;
-    // `events` outlives the attempt. It may be called before this returns.
+    // `events` must outlive the attempt, and may be called before this returns.
     virtual void start(AttemptRequest request, AttemptEvents& events) = 0;
-    // Ends the attempt; no event of it follows.
+    // Cancels the attempt. No further callbacks are made for it.
     virtual void cancel(const AttemptKey& key) = 0;
-    // The server is gone or was restarted: no connection that was opened before is used for a new attempt.
+    // The server has left or has restarted: connections opened before this call are not reused for new
+    // attempts.
     virtual void discard_connections(const ServerId& server) = 0;
 };
 
--- a/src/core/purges.cpp
+++ b/src/core/purges.cpp
@@ -6,33 +6,33 @@
 
 namespace {
 constexpr Span kSweepInterval = std::chrono::seconds{1};
-// 0 would mean the class's max_age.
+// 0 would stand for the class's max_age.
 constexpr Span kMinCopyAge = std::chrono::milliseconds{1};
 }  // namespace
 
-void Purges::Record::merge(const Record& other) {
+void Purges::Entry::merge(const Entry& other) {
     issued_ms = std::max(issued_ms, other.issued_ms);
     received = std::max(received, other.received);
 }
 
 void Purges::add(const PurgeNotice& purge, Time now) {
     forget_old(now);
-    Record& record = purge.object ? objects_[*purge.object] : groups_[purge.group];
-    record.merge({purge.issued_ms, now});
+    Entry& entry = purge.object ? objects_[*purge.object] : groups_[purge.group];
+    entry.merge({purge.issued_ms, now});
 }
 
-std::optional<Purges::Record> Purges::latest(const ClientRequest& request) const {
-    std::optional<Record> latest;
-    const auto include = [&latest](const Record& record) {
+std::optional<Purges::Entry> Purges::latest(const ClientRequest& request) const {
+    std::optional<Entry> latest;
+    const auto include = [&latest](const Entry& entry) {
         if (!latest)
             latest.emplace();
-        latest->merge(record);
+        latest->merge(entry);
     };
     if (const auto object = objects_.find(request.object_id); object != objects_.end())
         include(object->second);
     if (!request.group_known) {
-        for (const auto& [group, record] : groups_)
-            include(record);
+        for (const auto& [group, entry] : groups_)
+            include(entry);
     } else if (const auto group = groups_.find(request.group); group != groups_.end()) {
         include(group->second);
     }
@@ -40,18 +40,18 @@
 }
 
 std::optional<std::int64_t> Purges::last_issued_ms(const ClientRequest& request, Time now) const {
-    const auto record = latest(request);
-    if (!record || record->received + remembered_for_ < now)
+    const auto entry = latest(request);
+    if (!entry || entry->received + remembered_for_ < now)
         return std::nullopt;
-    return record->issued_ms;
+    return entry->issued_ms;
 }
 
 std::optional<Span> Purges::max_copy_age(const ClientRequest& request, Time now,
                                          const UnixTime& unix_time) const {
-    const auto record = latest(request);
-    if (!record)
+    const auto entry = latest(request);
+    if (!entry)
         return std::nullopt;
-    const Span age = std::max(now - record->received, unix_time.proven_age(now, record->issued_ms));
+    const Span age = std::max(now - entry->received, unix_time.proven_age(now, entry->issued_ms));
     if (age > cleared_after_)
         return std::nullopt;
     return std::max(kMinCopyAge, age);
--- a/src/core/response_cache_stage.cpp
+++ b/src/core/response_cache_stage.cpp
@@ -5,7 +5,7 @@
 namespace silverrail::core {
 
 namespace {
-// How far the clocks of two machines may be apart with both of them right.
+// Normal difference between the synchronised clocks of two machines.
 constexpr std::int64_t kClockToleranceMs = 100;
 }  // namespace
 
@@ -29,31 +29,31 @@
                          request.client_tag};
 }
 
-std::optional<ClientResponse> ResponseCacheStage::answer_from(std::optional<cache::Hit> response) {
-    if (!response)
+std::optional<ClientResponse> ResponseCacheStage::response_from(std::optional<cache::Hit> hit) {
+    if (!hit)
         return std::nullopt;
-    ++(response->stale ? counters_.own_stale : counters_.own_fresh);
-    ClientResponse answer;
-    answer.kind = response->body ? ClientResponse::Kind::served : ClientResponse::Kind::not_modified;
-    if (response->body)
-        answer.body = *response->body;
-    answer.tag = std::move(response->tag);
-    answer.generated_ms = response->generated_ms;
-    return answer;
+    ++(hit->stale ? counters_.own_stale : counters_.own_fresh);
+    ClientResponse response;
+    response.kind = hit->body ? ClientResponse::Kind::served : ClientResponse::Kind::not_modified;
+    if (hit->body)
+        response.body = *hit->body;
+    response.tag = std::move(hit->tag);
+    response.generated_ms = hit->generated_ms;
+    return response;
 }
 
-std::optional<ClientResponse> ResponseCacheStage::fresh_answer(const ClientRequest& request,
-                                                               std::size_t class_index, Time now,
-                                                               std::int64_t unix_ms) {
+std::optional<ClientResponse> ResponseCacheStage::fresh_response(const ClientRequest& request,
+                                                                 std::size_t class_index, Time now,
+                                                                 std::int64_t unix_ms) {
     const auto lookup = lookup_of(request, class_index);
-    return lookup ? answer_from(cache_->find_fresh(*lookup, now, unix_ms)) : std::nullopt;
+    return lookup ? response_from(cache_->find_fresh(*lookup, now, unix_ms)) : std::nullopt;
 }
 
-std::optional<ClientResponse> ResponseCacheStage::last_resort_answer(const ClientRequest& request,
-                                                                     std::size_t class_index, Time now,
-                                                                     std::int64_t unix_ms) {
+std::optional<ClientResponse> ResponseCacheStage::last_resort_response(const ClientRequest& request,
+                                                                       std::size_t class_index, Time now,
+                                                                       std::int64_t unix_ms) {
     const auto lookup = lookup_of(request, class_index);
-    return lookup ? answer_from(cache_->find_last_resort(*lookup, now, unix_ms, request.deadline))
+    return lookup ? response_from(cache_->find_last_resort(*lookup, now, unix_ms, request.deadline))
                   : std::nullopt;
 }
 
@@ -61,11 +61,12 @@
                                std::int64_t unix_ms) {
     if (result.attempt_status != AttemptStatus::success || result.not_modified)
         return;
-    // Guards rule 5 (no purged copy): past that, the purges that it may be older than are forgotten.
+    // Guards rule 5 (no purged copy): after this time, purges that the response may predate are no longer
+    // known.
     if (now - request.received > longest_request_)
         return;
-    // Made later than it can be now: one of the clocks is wrong, and the response would count as too young
-    // for good.
+    // A generation time in the future means that one of the clocks is wrong, and the response's age would be
+    // underestimated for as long as it is cached.
     if (result.generated_ms > unix_ms + kClockToleranceMs)
         return;
     const auto lookup = lookup_of(*request.client_request, request.class_index);
--- a/src/core/response_cache_stage.h
+++ b/src/core/response_cache_stage.h
@@ -1,5 +1,5 @@
-// The response cache as a stage before routing: a request that a cached response answers goes no further, and
-// one that the decision module rejects gets a cached response first, if there is one.
+// The response cache as a stage of the engine. Answers a request before it is routed if a fresh response is
+// cached, and in place of a rejection by the decision module if any usable response is cached.
 #pragma once
 
 #include "cache/response_cache.h"
@@ -11,7 +11,7 @@
 
 class ResponseCacheStage {
 public:
-    // All three must outlive the stage. Off until `enable`.
+    // All arguments must outlive the stage. The cache is disabled until `enable` is called.
     ResponseCacheStage(const routing::Settings& settings, const Purges& purges, Counters& counters)
         : settings_(settings),
           longest_request_(longest_client_timeout(settings)),
@@ -20,22 +20,22 @@
     void enable(cache::CacheLimits limits) {
         cache_.emplace(settings_.classes, limits);
     }
-    // Whether every purge is certain to be received in time.
+    // Whether every purge is guaranteed to be received in time.
     void set_purges_reliable(bool reliable);
     void set_capacity(std::size_t bytes);
 
-    // `unix_ms`: the latest Unix time in ms that it may be, so that no response counts as younger than it is.
-    std::optional<ClientResponse> fresh_answer(const ClientRequest& request, std::size_t class_index,
-                                               Time now, std::int64_t unix_ms);
-    std::optional<ClientResponse> last_resort_answer(const ClientRequest& request, std::size_t class_index,
-                                                     Time now, std::int64_t unix_ms);
+    // `unix_ms`: upper bound of the current Unix time in ms, so that no response's age is underestimated.
+    std::optional<ClientResponse> fresh_response(const ClientRequest& request, std::size_t class_index,
+                                                 Time now, std::int64_t unix_ms);
+    std::optional<ClientResponse> last_resort_response(const ClientRequest& request, std::size_t class_index,
+                                                       Time now, std::int64_t unix_ms);
     void store(const ActiveRequest& request, const AttemptResult& result, Time now, std::int64_t unix_ms);
     void purge(const PurgeNotice& purge);
 
 private:
-    // Absent: no cached response may answer the request.
+    // Absent: the request must not be answered from the cache.
     std::optional<cache::Lookup> lookup_of(const ClientRequest& request, std::size_t class_index) const;
-    std::optional<ClientResponse> answer_from(std::optional<cache::Hit> response);
+    std::optional<ClientResponse> response_from(std::optional<cache::Hit> hit);
 
     const routing::Settings& settings_;
     const Span longest_request_;
--- a/src/core/routing_stage.cpp
+++ b/src/core/routing_stage.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// The registry gives each server the weight that counts, so that a factor on a zone can be expressed by it.
+// ServerRegistry::router_view sets the effective weight of each server, which includes its zone's factor.
 routing::Settings with_nominal_weights(routing::Settings settings) {
     settings.server_weights = routing::ServerWeights::nominal;
     return settings;
@@ -30,19 +30,19 @@
     handling_ = false;
 }
 
-void RoutingStage::notify(routing::Event event, const EventCause& origin) {
-    origin_ = origin;
+void RoutingStage::notify(routing::Event event, const EventCause& cause) {
+    cause_ = cause;
     notify(std::move(event));
-    origin_ = {};
+    cause_ = {};
 }
 
 void RoutingStage::handle(const routing::Event& event) {
     last_event_time_ = std::max(last_event_time_, state_.clock.now());
     const auto actions = router_.on(event, last_event_time_);
     if (state_.observer) {
-        EventCause origin = origin_;
-        origin.requests = &state_.requests;
-        state_.observer->event_handled(event, last_event_time_, actions, origin);
+        EventCause cause = cause_;
+        cause.requests = &state_.requests;
+        state_.observer->event_handled(event, last_event_time_, actions, cause);
     }
     for (const auto& action : actions)
         handler_.carry_out(action);
--- a/src/core/routing_stage.h
+++ b/src/core/routing_stage.h
@@ -1,4 +1,4 @@
-// Routing: notifies the decision module of events, one at a time, and passes on the actions that it returns.
+// Passes events to the decision module, one at a time, and its actions to the engine.
 #pragma once
 
 #include <deque>
@@ -13,7 +13,7 @@
 public:
     virtual ~ActionHandler() = default;
     virtual void carry_out(const routing::Action& action) = 0;
-    // All actions that `event` led to are carried out.
+    // All actions that the decision module returned for `event` have been carried out.
     virtual void event_done(const routing::Event& event) = 0;
 };
 
@@ -21,10 +21,10 @@
 public:
     RoutingStage(EngineState& state, std::uint64_t seed, ActionHandler& handler);
 
-    // Events that arise while an earlier one is handled wait for their turn.
+    // Events that arise while another one is being handled are queued.
     void notify(routing::Event event);
-    // The same, with what the event was made from, for the observer.
-    void notify(routing::Event event, const EventCause& origin);
+    // The same, with the event's cause for the observer.
+    void notify(routing::Event event, const EventCause& cause);
 
     void set_process_count(std::size_t processes) {
         router_.set_process_count(static_cast<int>(processes));
@@ -42,8 +42,8 @@
     EngineState& state_;
     ActionHandler& handler_;
     routing::Router router_;
-    Time last_event_time_{};  // time must not run backwards for the module
-    EventCause origin_;
+    Time last_event_time_{};  // the module's time must be monotonic
+    EventCause cause_;
     std::deque<routing::Event> waiting_;
     bool handling_ = false;
 };
--- a/src/core/server_registry.cpp
+++ b/src/core/server_registry.cpp
@@ -7,13 +7,13 @@
 std::vector<ServerId> ServerRegistry::apply(const ServerChange& change, Time now) {
     const Servers before = update_entries(change);
     update_availability(now);
-    auto dropped = void_connections(before);
+    auto invalidated = servers_with_invalid_connections(before);
     if (servers_.size() > kMaxServersWithGone)
         std::erase_if(servers_, [](const auto& e) { return e.second.entry.condition == Condition::gone; });
-    return dropped;
+    return invalidated;
 }
 
-// Returns the servers that may have changed, as they were.
+// Returns the previous state of the servers that may have changed.
 ServerRegistry::Servers ServerRegistry::update_entries(const ServerChange& change) {
     Servers before;
     if (change.complete) {
@@ -42,17 +42,17 @@
     }
 }
 
-// A connection must not outlive its process: gone (also after it drained), restarted under the same id, or
-// moved to another address.
-std::vector<ServerId> ServerRegistry::void_connections(const Servers& before) const {
-    std::vector<ServerId> dropped;
+// A connection must not be reused once its server process has ended: the server is gone (also after a drain),
+// has restarted under the same id, or has moved to another address.
+std::vector<ServerId> ServerRegistry::servers_with_invalid_connections(const Servers& before) const {
+    std::vector<ServerId> invalidated;
     for (const auto& [id, old] : before) {
         const Server& server = servers_.at(id);
         const bool left = server.entry.condition == Condition::gone && old.entry.condition != Condition::gone;
         if (left || server.started_ms != old.started_ms || server.address != old.address)
-            dropped.push_back(id);
+            invalidated.push_back(id);
     }
-    return dropped;
+    return invalidated;
 }
 
 bool ServerRegistry::is_cache_server(const Server& server) const {
@@ -70,7 +70,7 @@
 
 routing::ListedServer ServerRegistry::router_view(const Server& server) const {
     routing::ListedServer entry = server.entry;
-    if (!weighted_)
+    if (!use_listed_weights_)
         entry.weight = 1;
     if (is_excluded(server) && entry.condition == Condition::ready)
         entry.condition = Condition::draining;
--- a/src/core/server_registry.h
+++ b/src/core/server_registry.h
@@ -1,5 +1,5 @@
-// The servers that discovery lists, by id, with what excludes them here. An address may pass from one server
-// to another.
+// The servers listed by discovery, by id, and the reasons for which they are excluded. An address may be
+// reassigned from one server to another.
 #pragma once
 
 #include <map>
@@ -13,50 +13,51 @@
 namespace silverrail::core {
 
 struct Server {
-    routing::ListedServer entry;  // entry.id is discovery's id
+    routing::ListedServer entry;  // entry.id is the id in discovery's server list
     std::string address;
-    std::int64_t started_ms = 0;            // Unix time in ms, as listed; 0: long ago
-    std::optional<Time> unavailable_since;  // since when it is known to drain or to be gone
+    std::int64_t started_ms = 0;            // Unix time in ms, as listed; 0: not recently
+    std::optional<Time> unavailable_since;  // when it was first seen draining or gone
 };
 
 struct ServerChange {
-    bool complete = false;  // a server that it does not name has left
+    bool complete = false;  // servers that are not in it have left
     std::vector<Server> servers;
 };
 
-// By zone: a factor on the weight of its servers, as failover has decided for the whole fleet. Empty: only
-// servers of the own zone, as listed. Servers of a zone with a factor count as the own zone's; where any
-// zone is named, one without a factor or with 0 gets nothing, the own zone included. Parents and origins are
-// not concerned.
+// Factors on the weights of each zone's edge caches, decided by failover for the whole fleet. Empty: only
+// servers of the router's own zone are used, with their listed weights. Otherwise the servers of each zone
+// with a factor above 0 are treated as servers of the own zone, and all other zones, possibly the own one,
+// receive no requests. Parents and origins are not affected.
 using ZoneFactors = std::map<std::string, double>;
 
 class ServerRegistry {
 public:
-    // Without settings every server counts as a cache server, and zone factors have no effect.
+    // Without settings, every server counts as a cache server and zone factors have no effect.
     ServerRegistry() = default;
     explicit ServerRegistry(const routing::Settings& settings)
         : zone_(settings.zone),
           parent_kind_(settings.parent_kind),
           origin_kind_(settings.origin_kind),
-          weighted_(settings.server_weights == routing::ServerWeights::nominal) {}
+          use_listed_weights_(settings.server_weights == routing::ServerWeights::nominal) {}
 
-    // Returns the ids of the servers whose open connections are void: gone, restarted or moved.
+    // Returns the ids of the servers whose open connections must not be reused: gone, restarted, or at
+    // another address.
     std::vector<ServerId> apply(const ServerChange& change, Time now);
-    // Servers that an operator has excluded, listed or not.
+    // Servers excluded by operators. They need not be listed.
     void set_overrides(overrides::ServerOverrides overrides) {
         overrides_ = std::move(overrides);
     }
     const overrides::ServerOverrides& overrides() const {
         return overrides_;
     }
-    // Excluded as outliers on the reports of other routers. Replaces the earlier set.
+    // Servers excluded as outliers reported by other routers. Replaces the previous set.
     void set_reported_outliers(std::set<ServerId> ids) {
         reported_outliers_ = std::move(ids);
     }
     void set_zone_factors(ZoneFactors factors) {
         zone_factors_ = std::move(factors);
     }
-    // By an operator, as a reported outlier, or with its zone.
+    // By an operator, as a reported outlier, or because its zone receives no requests.
     bool is_excluded(const Server& server) const;
     // Neither a parent nor an origin.
     bool is_cache_server(const Server& server) const;
@@ -66,12 +67,12 @@
     const std::map<ServerId, Server>& servers() const {
         return servers_;
     }
-    // As the decision module is to see it: an excluded server drains; weight and zone follow the factors.
+    // The server as passed to the decision module: draining if it is excluded, with the zone factors applied.
     routing::ListedServer router_view(const Server& server) const;
-    const Server* find(const ServerId& id) const;  // absent: null
-    // Whether an attempt may name the server, as target or as source. An attempt that was decided before the
-    // server began to drain is concerned until its first byte: it never ran, so another server costs nothing,
-    // and the drain's grace may be short or partly over.
+    const Server* find(const ServerId& id) const;  // null: unknown
+    // Whether the server may be the target or source of an attempt. This also holds for attempts that were
+    // decided before the server began to drain, until their first byte: such an attempt has not run, so
+    // another server can be used at no cost, and the drain's grace period may be short or partly over.
     bool is_usable(const ServerId& id) const;
     template <class Test>
     bool any_available(Test test) const {
@@ -97,11 +98,11 @@
 
 private:
     using Servers = std::map<ServerId, Server>;
-    static constexpr std::size_t kMaxServersWithGone = 256;  // above it, gone servers are forgotten
+    static constexpr std::size_t kMaxServersWithGone = 256;  // above it, gone servers are erased
 
     Servers update_entries(const ServerChange& change);
     void update_availability(Time now);
-    std::vector<ServerId> void_connections(const Servers& before) const;
+    std::vector<ServerId> servers_with_invalid_connections(const Servers& before) const;
 
     Servers servers_;
     overrides::ServerOverrides overrides_;
@@ -110,7 +111,7 @@
     std::string zone_;
     std::string parent_kind_;
     std::string origin_kind_;
-    bool weighted_ = true;
+    bool use_listed_weights_ = true;
 };
 
 }  // namespace silverrail::core
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -1,4 +1,4 @@
-// The core's types: client requests, attempts and answers. They are independent of any wire format.
+// The core's types: client requests, attempts and responses, independent of any wire format.
 #pragma once
 
 #include <algorithm>
@@ -19,79 +19,78 @@
 using routing::Span;
 using routing::Time;
 
-// The protocol through which a request came.
+// The front end that received a request.
 enum class FrontEnd : std::uint8_t { platform, dns };
 
-// A client's address as bytes in network order: 4, 16, or none where the front does not know it.
+// A client's address in network byte order: 4 or 16 bytes, or 0 if the front end does not know it.
 struct ClientAddress {
     std::array<unsigned char, 16> bytes{};
     std::uint8_t size = 0;
 };
 
-// One request as a front submits it. Immutable once the engine has accepted it.
+// A request as submitted by a front end. Immutable once the engine has accepted it.
 struct ClientRequest {
-    std::string trace_id;    // the client's own id, passed on unchanged
-    std::string class_name;  // as the settings name it
-    std::string object;      // as the client wrote it
+    std::string trace_id;    // the client's own id, forwarded unchanged
+    std::string class_name;  // name of the class in the settings
+    std::string object;      // as given by the client
     routing::ObjectId object_id{};
     std::uint32_t segment = 0;
     routing::GroupId group{};
-    bool group_known = true;  // false: a purge of any group may concern it
+    bool group_known = true;  // false: a purge of any group may apply to it
     double size_kb = 0;
     Time deadline{};
     bool write = false;
-    std::shared_ptr<const std::string> body;  // of a write
-    std::string client_tag;                   // entity tag of the client's copy, without quotes; empty: none
-    std::string idempotency_key;              // lets servers recognise a retry; empty: none
-    bool redirected = false;  // the client connects to the server itself and wants its name only
+    std::shared_ptr<const std::string> body;  // of a write, else null
+    std::string client_tag;       // entity tag of the client's cached copy, without quotes; empty: none
+    std::string idempotency_key;  // lets servers deduplicate retries; empty: none
+    bool redirected = false;      // the client only wants a server's address and connects to it itself
     FrontEnd front_end = FrontEnd::platform;
     ClientAddress client;
 };
 
-// The one final answer to a client request.
+// The single final response to a client request.
 struct ClientResponse {
     enum class Kind { served, not_modified, redirected, rejected, failed };
     Kind kind = Kind::failed;
     std::string body;            // served
     std::string tag;             // served, not_modified
-    Span retry_after{};          // rejected: how long the client should wait; 0: unspecified
+    Span retry_after{};          // rejected: how long the client should wait before a retry; 0: unspecified
     std::string server_address;  // redirected
     bool timed_out = false;      // rejected, failed: the deadline has passed
-    std::int64_t generated_ms =
-        0;  // served, not_modified: Unix time in ms at the origin's response; 0: unknown
+    std::int64_t generated_ms = 0;  // served, not_modified: Unix ms of the origin's response; 0: unknown
 };
 
-// Names one attempt: its request, and its number among the request's attempts.
+// Identifies an attempt: its request, and its index among the request's attempts.
 struct AttemptKey {
     RequestId request{};
     std::uint32_t attempt = 0;
     auto operator<=>(const AttemptKey&) const = default;
 };
 
-// One attempt, ready to be sent to a server. The client request lives as long as the attempt is in flight.
+// An attempt that is ready to be sent to a server. Keeps the client request alive while it is in flight.
 struct AttemptRequest {
     AttemptKey key{};
     std::shared_ptr<const ClientRequest> client_request;
     ServerId target{};
     std::string address;
-    std::optional<ServerId> source{};  // absent: a miss is not filled
+    std::optional<ServerId> source{};  // absent: the server does not fill a miss
     int retention = 0;
-    Span max_age{};         // greatest acceptable age of a copy; 0: the class's max_age
+    Span max_age{};         // maximum acceptable age of a cached copy; 0: the class's max_age
     bool coalesce = false;  // this and the next two: see routing::Fill
     bool revalidate = false;
     bool only_if_cached = false;
-    Time deadline{};  // of this attempt
-    // Absent: no earlier attempt may have run. Else not a byte goes out at or after that time.
+    Time deadline{};  // of this attempt; never after the request's
+    // Set if an earlier attempt may have run: no byte of this one is sent at or after that time.
     std::optional<Time> retry_window_end{};
 };
 
-// How an attempt ended, as seen on the wire.
+// How an attempt ended, as observed on the wire.
 struct AttemptResult {
     AttemptStatus attempt_status = AttemptStatus::error;
     CacheStatus cache_status = CacheStatus::none;
     Span source_wait{};
     routing::LoadReport load{};
-    bool not_modified = false;      // success: the client's copy is current
+    bool not_modified = false;      // success: the client's cached copy is current
     std::string body{};             // success
     std::string tag{};              // success
     std::int64_t generated_ms = 0;  // success: see ClientResponse
--- a/src/core/unix_time.h
+++ b/src/core/unix_time.h
@@ -1,7 +1,7 @@
-// Unix time by a wall clock that may be stepped at any moment, by seconds or an hour, both ways. Steps are
-// seen against the monotonic clock. Which side of a step is right can't be known, so both are recorded,
-// as the earliest and the latest that the time may be; timestamps from elsewhere narrow the range again. No
-// clock is read here: both readings are passed in.
+// Unix time from a wall clock that may step at any moment, by seconds or by an hour, in either direction.
+// Steps are detected by comparison with the monotonic clock. As it is unknown which side of a step is
+// correct, both are kept as the lower and upper bound of the current time. Timestamps from other machines
+// narrow the range again. Reads no clock: both readings are passed in.
 #pragma once
 
 #include <cstdint>
@@ -16,36 +16,37 @@
 
 class UnixTime {
 public:
-    // Both clocks, read at one moment; `now` does not run backwards.
+    // Readings of both clocks, taken at the same moment. `now` must be monotonic.
     void read(Time now, std::int64_t unix_ms);
 
-    // A timestamp made elsewhere, not after `now`: that is the earliest that the time may be now. A trusted
-    // one corrects a clock that has been behind from the start in every way. Any other can only make ages
-    // greater, and is not believed further ahead than clocks are stepped.
-    enum class Source { trusted, any };
-    void observe_stamp(Time now, std::int64_t stamp_ms, Source source);
-
-    // How long ago a timestamp was made by this clock, by the earliest time that it has shown; never
-    // negative. Before the first reading every timestamp is of this moment.
-    Span min_age(Time now, std::int64_t stamp_ms) const;
-    // The same by timestamps from elsewhere alone, whatever this clock has shown: 0 before the first of them.
-    Span proven_age(Time now, std::int64_t stamp_ms) const;
-    // The latest that the time may be now, in Unix ms: by it nothing counts as younger than it is.
+    // A timestamp from another machine, taken no later than `now`: a lower bound of the current time. A
+    // trusted one fully corrects a clock that has been behind since the start. An untrusted one can only
+    // increase ages, and is ignored if it is further ahead than clocks step.
+    enum class Trust { trusted, untrusted };
+    void observe_timestamp(Time now, std::int64_t timestamp_ms, Trust trust);
+
+    // Lower bound of a timestamp's age, by the earliest time that this clock has shown; never negative. 0
+    // before the first reading.
+    Span min_age(Time now, std::int64_t timestamp_ms) const;
+    // Lower bound of a timestamp's age by timestamps of other machines alone, whatever this clock shows. 0
+    // before the first of them.
+    Span proven_age(Time now, std::int64_t timestamp_ms) const;
+    // Upper bound of the current time, in Unix ms. Ages computed with it are never underestimated.
     std::int64_t latest_ms(Time now) const;
 
-    // Steps of the wall clock seen so far.
+    // Steps of the wall clock detected so far.
     std::uint64_t steps() const {
         return steps_;
     }
 
 private:
-    // Unix time less monotonic time, in ms.
+    // Unix time minus monotonic time, in ms.
     struct Offsets {
-        std::int64_t last = 0;                 // by the last reading
-        std::int64_t earliest = 0;             // by any reading that may be right
-        std::optional<std::int64_t> proven{};  // the latest that observed timestamps prove
-        std::int64_t shown = 0;                // the latest by this clock, or by a trusted timestamp
-        std::int64_t latest = 0;               // by any timestamp
+        std::int64_t last = 0;                 // at the last reading
+        std::int64_t earliest = 0;             // the lowest that may be correct
+        std::optional<std::int64_t> proven{};  // lower bound by observed timestamps
+        std::int64_t trusted = 0;              // the highest by this clock or a trusted timestamp
+        std::int64_t latest = 0;               // the highest by this clock or any timestamp
     };
     std::optional<Offsets> offsets_;
     std::uint64_t steps_ = 0;
--- a/tests/core/first_byte_test.cpp
+++ b/tests/core/first_byte_test.cpp
@@ -1,5 +1,5 @@
-// The wait for a connection may be long: what was right when an attempt was decided is checked again at its
-// first byte.
+// Checks at an attempt's first byte. Establishing a connection may take long, so conditions that held when
+// the attempt was decided may no longer hold.
 #include "fixture.h"
 
 using namespace silverrail::core;
@@ -8,26 +8,26 @@
 
 namespace {
 
-void no_byte_goes_to_a_target_that_drains() {
+void first_byte_is_suppressed_if_the_target_drains() {
     Fixture f;
     (void)f.submit();
     const AttemptRequest attempt = f.sender.in_flight.at(0);
     CHECK(f.sender.first_byte(attempt.key) == Span{});
     f.list({listed(attempt.target.address, attempt.address, "small-box", Condition::draining)});
-    // The grace may be short, or half over when the list is received.
+    // Suppressed at once: the drain's grace period may be short, or partly over when the list is received.
     CHECK(!f.sender.first_byte(attempt.key));
     f.timers.pass(1600ms);
     CHECK(!f.sender.first_byte(attempt.key));
 }
 
-void no_byte_names_a_source_that_is_gone() {
+void first_byte_is_suppressed_if_the_source_is_gone() {
     Fixture f;
     (void)f.submit();
     f.list({listed("s-parent", "127.0.0.1:3", "parent", Condition::gone)});
     CHECK(!f.sender.first_byte(0));
 }
 
-void repeats_of_a_keyed_request_end_with_the_window_of_its_first_attempt() {
+void retries_of_a_keyed_request_end_with_the_retry_window_of_its_first_attempt() {
     for (const Span waited : {800ms, 900ms}) {
         Fixture f;
         const auto reply = f.submit("order");
@@ -37,15 +37,15 @@
         CHECK(f.sender.first_byte(0).has_value() == (waited == 800ms));
         f.sender.end(0, {.attempt_status = AttemptStatus::not_sent});
         if (waited == 900ms)
-            CHECK(f.sender.in_flight.empty() && reply->answer.kind == ClientResponse::Kind::rejected);
+            CHECK(f.sender.in_flight.empty() && reply->response.kind == ClientResponse::Kind::rejected);
     }
 }
 
-void a_purge_limits_the_age_and_a_closed_client_ends_the_attempt() {
+void a_purge_limits_the_copy_age_and_a_client_close_suppresses_the_attempt() {
     Fixture f;
     (void)f.submit();
     const auto key = f.sender.in_flight.at(0).key;
-    // A timestamp of this moment from elsewhere: without one a purge counts from its arrival.
+    // A current timestamp from another machine. Without one, a purge's age counts from its arrival.
     f.engine.apply(PurgeNotice{{}, silverrail::routing::GroupId{99}, f.clock.unix_ms()});
     f.engine.apply(PurgeNotice{{}, kGroup, f.clock.unix_ms() - 120});
     f.timers.pass(80ms);
@@ -55,8 +55,8 @@
     CHECK(f.sender.cancelled == 1 && f.engine.open() == 0);
 }
 
-// The module has forgotten the purge by then, and asks for the class's max_age.
-void a_purge_older_than_the_max_age_of_the_class_does_not_loosen_it() {
+// The decision module no longer knows the purge by then, so the attempt uses the class's max_age.
+void a_purge_older_than_the_max_age_of_the_class_does_not_raise_it() {
     auto with_short_max_age = settings();
     with_short_max_age.classes.at(0).max_age = 3s;
     Fixture f{with_short_max_age};
@@ -70,10 +70,10 @@
 }  // namespace
 
 int main() {
-    no_byte_goes_to_a_target_that_drains();
-    no_byte_names_a_source_that_is_gone();
-    repeats_of_a_keyed_request_end_with_the_window_of_its_first_attempt();
-    a_purge_limits_the_age_and_a_closed_client_ends_the_attempt();
-    a_purge_older_than_the_max_age_of_the_class_does_not_loosen_it();
-    std::puts("first byte: every case holds");
+    first_byte_is_suppressed_if_the_target_drains();
+    first_byte_is_suppressed_if_the_source_is_gone();
+    retries_of_a_keyed_request_end_with_the_retry_window_of_its_first_attempt();
+    a_purge_limits_the_copy_age_and_a_client_close_suppresses_the_attempt();
+    a_purge_older_than_the_max_age_of_the_class_does_not_raise_it();
+    std::puts("first byte: all cases passed");
 }
--- a/tests/core/fixture.h
+++ b/tests/core/fixture.h
@@ -1,4 +1,4 @@
-// The engine alone, with a clock, timers, a sender and clients that the test controls.
+// An engine with a clock, timers, an attempt sender and response sinks that are controlled by the test.
 #pragma once
 
 #include <map>
@@ -25,7 +25,7 @@
         return 1'764'576'000'000 + passed / 1ms;
     }
     Span passed{};
-    Span step{};  // of this machine's wall clock
+    Span step{};  // offset of this machine's wall clock
 };
 
 struct ManualTimers : Timers {
@@ -56,7 +56,7 @@
     void start(AttemptRequest request, AttemptEvents& e) override {
         events = &e;
         in_flight.push_back(std::move(request));
-        if (refuses_at_once) {
+        if (fails_connects) {
             const auto key = in_flight.back().key;
             in_flight.pop_back();
             e.ended(key, {.attempt_status = AttemptStatus::connect_failed});
@@ -67,7 +67,7 @@
         ++cancelled;
     }
     void discard_connections(const ServerId& server) override {
-        forgotten.push_back(server.address);
+        discarded.push_back(server.address);
     }
     void end(std::size_t i, AttemptResult result) {
         const auto key = in_flight.at(i).key;
@@ -85,25 +85,25 @@
         return first_byte(in_flight.at(i).key);
     }
     std::vector<AttemptRequest> in_flight;
-    std::vector<std::string> forgotten;
+    std::vector<std::string> discarded;
     AttemptEvents* events = nullptr;
-    bool refuses_at_once = false;
+    bool fails_connects = false;
     int cancelled = 0;
 };
 
-struct RecordedReply : ResponseSink {
-    void reply(ClientResponse a) override {
+struct RecordingSink : ResponseSink {
+    void reply(ClientResponse r) override {
         ++count;
-        answer = std::move(a);
+        response = std::move(r);
     }
     bool has(ClientResponse::Kind kind) const {
-        return count == 1 && answer.kind == kind;
+        return count == 1 && response.kind == kind;
     }
     int count = 0;
-    ClientResponse answer;
+    ClientResponse response;
 };
 
-// An engine with two servers of its zone, s-a and s-b, a parent and an origin.
+// An engine with two servers in its own zone, s-a and s-b, a parent and an origin.
 struct Fixture {
     explicit Fixture(routing::Settings routing_settings = settings())
         : engine(std::move(routing_settings), 7, 20, clock, timers, sender, log) {
@@ -114,8 +114,8 @@
     void list(std::vector<Server> servers, bool complete = false) {
         engine.apply(ServerChange{complete, std::move(servers)});
     }
-    // Its id is then in `id`, unless it was answered at once.
-    std::shared_ptr<RecordedReply> submit(const char* class_name = "pages", Span timeout = 2s,
+    // Sets `id` to the request's id, or resets it if the request was answered at once.
+    std::shared_ptr<RecordingSink> submit(const char* class_name = "pages", Span timeout = 2s,
                                           bool redirected = false) {
         ClientRequest request;
         request.class_name = class_name;
@@ -127,7 +127,7 @@
         if (request.class_name == "order")
             request.idempotency_key = "952b4cf81bd4b06d";
         request.redirected = redirected;
-        auto reply = std::make_shared<RecordedReply>();
+        auto reply = std::make_shared<RecordingSink>();
         id = engine.submit(std::move(request), reply);
         return reply;
     }
@@ -136,14 +136,14 @@
             {.bytes = 1 << 20, .uplink = {.per_response_bytes_per_s = 1e6, .total_bytes_per_s = 1e6}});
         engine.set_purges_reliable(true);
     }
-    // Ends the first attempt in flight with a response that the origin made at `generated_ms`.
+    // Ends the first attempt in flight with a response that the origin generated at `generated_ms`.
     void respond(std::int64_t generated_ms, const char* body = "bytes") {
         sender.end(0, {.attempt_status = AttemptStatus::success,
                        .body = body,
                        .tag = "tag",
                        .generated_ms = generated_ms});
     }
-    // Ends the first attempt in flight with a hit.
+    // Ends the first attempt in flight with a cache hit.
     void respond_with_hit() {
         sender.end(
             0, {.attempt_status = AttemptStatus::success, .cache_status = CacheStatus::hit, .body = "bytes"});
--- a/tests/core/guard_test.cpp
+++ b/tests/core/guard_test.cpp
@@ -1,4 +1,4 @@
-// The guard alone: which states may follow, what is suppressed and why, and what counts as a violation.
+// The guard: permitted state transitions, reasons for suppression, and violations.
 #include "core/guard.h"
 
 #include "../silverrail/check.h"
@@ -25,8 +25,8 @@
     return {kRequest, number};
 }
 
-Guard::FirstByteFacts facts() {
-    Guard::FirstByteFacts f;
+Guard::FirstByteConditions conditions() {
+    Guard::FirstByteConditions f;
     f.now = Time{10s};
     f.deadline = Time{11s};
     return f;
@@ -38,14 +38,14 @@
     return guard;
 }
 
-void an_ordinary_request_passes_through_its_states() {
+void a_request_passes_through_its_states() {
     Guard guard = with_request(kIdempotentClass);
     CHECK(guard.state(kRequest) == RequestState::received);
     CHECK(guard.start_attempt(attempt(0)) && guard.state(kRequest) == RequestState::connecting);
-    CHECK(!guard.check_first_byte(attempt(0), facts()) && guard.state(kRequest) == RequestState::sent);
+    CHECK(!guard.check_first_byte(attempt(0), conditions()) && guard.state(kRequest) == RequestState::sent);
     guard.attempt_ended(attempt(0), AttemptStatus::reset);
     CHECK(guard.state(kRequest) == RequestState::between_attempts);
-    CHECK(guard.start_attempt(attempt(1)) && !guard.check_first_byte(attempt(1), facts()));
+    CHECK(guard.start_attempt(attempt(1)) && !guard.check_first_byte(attempt(1), conditions()));
     guard.attempt_ended(attempt(1), AttemptStatus::success);
     guard.answered(kRequest);
     CHECK(guard.state(kRequest) == RequestState::answered);
@@ -57,65 +57,66 @@
 void a_first_byte_is_suppressed_for_each_reason() {
     struct Case {
         SuppressionReason reason;
-        void (*change)(Guard::FirstByteFacts&);
+        void (*change)(Guard::FirstByteConditions&);
     };
     const Case cases[] = {
         {SuppressionReason::client_closed,
-         [](Guard::FirstByteFacts& f) {
+         [](Guard::FirstByteConditions& f) {
              f.client_closed = true;
          }},
         {SuppressionReason::past_deadline,
-         [](Guard::FirstByteFacts& f) {
+         [](Guard::FirstByteConditions& f) {
              f.now = f.deadline;
          }},
         {SuppressionReason::past_key_window,
-         [](Guard::FirstByteFacts& f) {
+         [](Guard::FirstByteConditions& f) {
              f.retry_window_end = f.now;
          }},
         {SuppressionReason::target_drained,
-         [](Guard::FirstByteFacts& f) {
+         [](Guard::FirstByteConditions& f) {
              f.target_usable = false;
          }},
         {SuppressionReason::source_drained,
-         [](Guard::FirstByteFacts& f) {
+         [](Guard::FirstByteConditions& f) {
              f.source_usable = false;
          }},
     };
     for (const Case& c : cases) {
         Guard guard = with_request(kIdempotentClass);
         CHECK(guard.start_attempt(attempt(0)));
-        Guard::FirstByteFacts f = facts();
+        Guard::FirstByteConditions f = conditions();
         c.change(f);
         CHECK(guard.check_first_byte(attempt(0), f) == c.reason && guard.suppressed(c.reason) == 1);
         CHECK(guard.state(kRequest) == RequestState::connecting);
-        // What was suppressed never ran: the next one may go.
+        // A suppressed attempt never ran, so another one may start.
         guard.attempt_ended(attempt(0), AttemptStatus::not_sent);
-        CHECK(guard.start_attempt(attempt(1)) && !guard.check_first_byte(attempt(1), facts()) &&
+        CHECK(guard.start_attempt(attempt(1)) && !guard.check_first_byte(attempt(1), conditions()) &&
               guard.violations() == 0);
     }
     Guard guard = with_request(kIdempotentClass);
     CHECK(guard.start_attempt(attempt(0)));
     guard.answered(kRequest);
-    CHECK(guard.check_first_byte(attempt(0), facts()) == SuppressionReason::answered);
-    CHECK(guard.check_first_byte(attempt(5), facts()) == SuppressionReason::answered);  // not recorded
+    CHECK(guard.check_first_byte(attempt(0), conditions()) == SuppressionReason::answered);
+    CHECK(guard.check_first_byte(attempt(5), conditions()) ==
+          SuppressionReason::answered);  // an unknown attempt
 }
 
-void a_decision_that_breaks_a_rule_is_refused_and_counted() {
+void a_decision_that_breaks_a_rule_is_rejected_and_counted() {
     for (const AttemptStatus attempt_status :
          {AttemptStatus::error, AttemptStatus::reset, AttemptStatus::timeout, AttemptStatus::cancelled}) {
         Guard guard = with_request(kUnsafeClass);
-        CHECK(guard.start_attempt(attempt(0)) && !guard.check_first_byte(attempt(0), facts()));
+        CHECK(guard.start_attempt(attempt(0)) && !guard.check_first_byte(attempt(0), conditions()));
         guard.attempt_ended(attempt(0), attempt_status);
         CHECK(!guard.start_attempt(attempt(1)) && guard.violations(Violation::unsafe_repeat) == 1);
         CHECK(guard.last_violation().find("repeat") == 0);
     }
-    // Proof that it never ran: full, missing, refused, or never sent at all.
+    // These statuses prove that the attempt never ran: overloaded, miss, connection failed or not sent.
     for (const AttemptStatus attempt_status : {AttemptStatus::overloaded, AttemptStatus::miss,
                                                AttemptStatus::connect_failed, AttemptStatus::not_sent}) {
         Guard guard = with_request(kUnsafeClass);
         CHECK(guard.start_attempt(attempt(0)));
         if (attempt_status == AttemptStatus::overloaded || attempt_status == AttemptStatus::miss)
-            CHECK(!guard.check_first_byte(attempt(0), facts()));
+            CHECK(!guard.check_first_byte(attempt(0), conditions()));
         guard.attempt_ended(attempt(0), attempt_status);
         CHECK(guard.start_attempt(attempt(1)) && guard.violations() == 0);
     }
@@ -152,7 +153,7 @@
     }
 }
 
-void no_state_follows_the_end_and_none_leads_back() {
+void final_states_have_no_successor_and_received_has_no_predecessor() {
     for (std::size_t to = 0; to < static_cast<std::size_t>(RequestState::count_); ++to) {
         CHECK(!may_follow(RequestState::client_closed, static_cast<RequestState>(to)));
         CHECK(!may_follow(static_cast<RequestState>(to), RequestState::received));
@@ -164,9 +165,9 @@
 }  // namespace
 
 int main() {
-    an_ordinary_request_passes_through_its_states();
+    a_request_passes_through_its_states();
     a_first_byte_is_suppressed_for_each_reason();
-    a_decision_that_breaks_a_rule_is_refused_and_counted();
-    no_state_follows_the_end_and_none_leads_back();
-    std::puts("guard: every case holds");
+    a_decision_that_breaks_a_rule_is_rejected_and_counted();
+    final_states_have_no_successor_and_received_has_no_predecessor();
+    std::puts("guard: all cases passed");
 }
--- a/tests/core/lifecycle_test.cpp
+++ b/tests/core/lifecycle_test.cpp
@@ -1,4 +1,4 @@
-// The program's phases.
+// The phases of the program's lifecycle.
 #include "lifecycle.h"
 
 #include <vector>
@@ -25,5 +25,5 @@
 
 int main() {
     phases_only_go_forwards_and_each_change_is_reported_once();
-    std::puts("lifecycle: every case holds");
+    std::puts("lifecycle: all cases passed");
 }
--- a/tests/core/sample_settings.h
+++ b/tests/core/sample_settings.h
@@ -1,4 +1,4 @@
-// Settings and servers that many tests use.
+// Settings and servers shared by the tests.
 #pragma once
 
 #include <chrono>
@@ -53,7 +53,7 @@
     return s;
 }
 
-// A server of the list: a cache server of zone edge-1, or of another kind in zone north.
+// An entry of the server list: an edge cache in zone edge-1, or a server of another kind in zone north.
 inline Server listed(const std::string& id, const std::string& address, const char* kind = "small-box",
                      routing::Condition condition = routing::Condition::ready) {
     Server server;
--- a/tests/core/wall_clock_test.cpp
+++ b/tests/core/wall_clock_test.cpp
@@ -1,5 +1,5 @@
-// The wall clock steps, or is wrong from the start, while servers start and objects are purged: ages stay
-// what they are.
+// The wall clock steps, or is wrong from the start, while servers start and objects are purged. The ages of
+// server starts, purges and responses must stay correct.
 #include "fixture.h"
 
 using namespace silverrail::core;
@@ -27,27 +27,27 @@
     f.engine.apply(PurgeNotice{{}, kGroup, f.clock.true_unix_ms() - ago / 1ms}, max_age);
 }
 
-// The greatest age of a copy that a request made now is sent with.
+// The maximum age of a cached copy with which a request submitted now is sent.
 std::optional<Span> age_limit(Fixture& f) {
     (void)f.submit();
     return f.sender.first_byte(f.sender.in_flight.size() - 1);
 }
 
-void ages_hold_when_the_clock_steps_there_and_back() {
+void ages_stay_correct_when_the_clock_steps_and_steps_back() {
     for (const Span step : {Span{-1h}, Span{-3s}, Span{3s}, Span{1h}}) {
         Fixture f;
-        purge(f, 0s);  // a first reading of both clocks
+        purge(f, 0s);  // makes the engine read both clocks for the first time
         f.list({started(f, 2500ms)});
         const Time began = f.clock.now() - 2500ms;
         CHECK(started_at(f) == began);
         f.timers.pass(10s);
         f.clock.step = step;
-        // Listed again, it has not started again; listed for the first time, not earlier than it did.
+        // The same start time, listed again, is not a new start. A new start time is never dated too early.
         f.list({started(f, 12500ms)});
         CHECK(started_at(f) == began);
         f.list({started(f, 1s)});
         CHECK(started_at(f) >= f.clock.now() - 1s && started_at(f) <= f.clock.now());
-        // A purge binds at least by its age, and by no more than it was late.
+        // The purge's age is never overestimated, and underestimated by at most its delay of 200 ms.
         purge(f, 200ms);
         f.timers.pass(1s);
         const auto oldest = age_limit(f);
@@ -57,15 +57,15 @@
         const auto later = age_limit(f);
         CHECK(later && *later >= 2s && *later <= 2200ms);
         CHECK(f.engine.counters().clock_steps == 2);
-        // A response from elsewhere shows how late it is at
-        // least: exact again where the clock had been behind.
+        // A response's timestamp is a lower bound of the current time. It makes ages exact again if the clock
+        // was behind.
         f.respond(f.clock.true_unix_ms());
         purge(f, 150ms);
         CHECK(age_limit(f) == Span{150ms});
     }
 }
 
-void a_purge_known_at_the_start_counts_from_its_arrival_until_more_is_proven() {
+void a_purge_known_at_the_start_ages_from_its_arrival_until_a_timestamp_proves_more() {
     for (const Span ahead : {Span{1s}, Span{30s}, Span{1h}}) {
         Fixture f;
         f.clock.step = ahead;
@@ -77,7 +77,7 @@
     }
 }
 
-void a_purge_that_is_complete_everywhere_is_forgotten() {
+void a_completed_purge_no_longer_limits_the_copy_age() {
     Fixture f;
     f.clock.step = 1s;
     purge(f, 500ms);
@@ -85,7 +85,7 @@
     CHECK(age_limit(f) == Span{});
 }
 
-void events_older_than_discovery_allows_count_from_their_arrival() {
+void events_older_than_discovery_allows_age_from_their_arrival() {
     Fixture f;
     f.clock.step = 1h;
     purge(f, 200ms, 10s);
@@ -95,15 +95,15 @@
     CHECK(started_at(f) == f.clock.now() && f.engine.counters().clock_doubts == 2);
 }
 
-// A process that begins with its clock behind learns from the first responses how late it is at least.
-void no_cached_response_counts_as_too_young_by_a_clock_that_is_behind() {
+// A process that starts with its clock behind learns a lower bound of the time from the first responses.
+void a_clock_that_is_behind_does_not_make_a_cached_response_too_young() {
     for (const Span behind : {Span{1s}, Span{30s}, Span{1h}}) {
         Fixture f;
         f.clock.step = -behind;
         f.enable_response_cache();
         (void)f.submit();
-        f.respond(f.clock.true_unix_ms() - 500);  // shows how late it is at least
-        f.clock.passed += 29s;                    // past max_age and grace
+        f.respond(f.clock.true_unix_ms() - 500);  // gives a lower bound of the time
+        f.clock.passed += 29s;                    // past max_age and stale grace
         const auto next = f.submit();
         CHECK(next->count == 0 && f.sender.in_flight.size() == 1);
         f.respond(f.clock.true_unix_ms() - 27'700);
@@ -111,11 +111,11 @@
         const auto late = f.submit();
         CHECK(late->count == 0 && f.sender.in_flight.size() == 1);
         f.sender.end_all(AttemptStatus::connect_failed);
-        CHECK(late->answer.kind == ClientResponse::Kind::rejected);
+        CHECK(late->response.kind == ClientResponse::Kind::rejected);
     }
 }
 
-// What is too far ahead to be a clock's step says nothing.
+// A timestamp that is too far ahead to be due to a clock step is ignored.
 void a_timestamp_far_ahead_leaves_cached_responses_in_use() {
     Fixture f;
     f.enable_response_cache();
@@ -133,11 +133,11 @@
 }  // namespace
 
 int main() {
-    ages_hold_when_the_clock_steps_there_and_back();
-    a_purge_known_at_the_start_counts_from_its_arrival_until_more_is_proven();
-    a_purge_that_is_complete_everywhere_is_forgotten();
-    events_older_than_discovery_allows_count_from_their_arrival();
-    no_cached_response_counts_as_too_young_by_a_clock_that_is_behind();
+    ages_stay_correct_when_the_clock_steps_and_steps_back();
+    a_purge_known_at_the_start_ages_from_its_arrival_until_a_timestamp_proves_more();
+    a_completed_purge_no_longer_limits_the_copy_age();
+    events_older_than_discovery_allows_age_from_their_arrival();
+    a_clock_that_is_behind_does_not_make_a_cached_response_too_young();
     a_timestamp_far_ahead_leaves_cached_responses_in_use();
-    std::puts("wall clock: every case holds");
+    std::puts("wall clock: all cases passed");
 }
