--- a/src/cache/response_cache.cpp
+++ b/src/cache/response_cache.cpp
@@ -6,12 +6,12 @@
 
 using namespace std::chrono_literals;
 
-// Of the latency objective; the rest is for the network between router and client.
+// Share of the latency objective that sending may take; the rest is left for network latency to the client.
 constexpr double kObjectiveShare = 0.85;
-// Between the writing of a response's age at its server and the reading of the clock here.
+// Allowance for the time between a server's writing of a response's age and this router's clock reading.
 constexpr std::int64_t kAgeMarginMs = 20;
 constexpr Span kDeadlineMargin = 30ms;
-// Size of a "not modified" response, as a share of the full response.
+// Size of a "not modified" response relative to the full response.
 constexpr double kNotModifiedShare = 0.05;
 
 std::int64_t to_ms(Span span) {
@@ -48,8 +48,8 @@
                           std::int64_t generated_ms, std::int64_t purged_ms) {
     if (!enabled_ || !request.group_known || classes_[request.key.class_index].uncached)
         return;
-    // Without its age nothing says how long it may be used. One
-    // made before a purge was under way when that came.
+    // A response of unknown age cannot expire. One generated before a purge was in flight when the purge
+    // arrived.
     if (generated_ms <= 0 || generated_ms <= purged_ms || tag.empty())
         return;
     store_.put(request.key, StoredResponse{.body = std::make_shared<const std::string>(body),
--- a/src/cache/response_cache.h
+++ b/src/cache/response_cache.h
@@ -1,6 +1,6 @@
-// The router's own response cache: which responses are stored, and when one of them answers a request.
-// Decisions and state only. The engine asks it before it notifies the decision module of a request, and once
-// more when the module rejects the request.
+// The router's own response cache: decides which responses are stored and when one may answer a request. Does
+// no I/O. The engine queries it before it passes a request to the decision module, and again if the module
+// rejects the request.
 #pragma once
 
 #include <optional>
@@ -15,26 +15,26 @@
 struct CacheLimits {
     std::size_t bytes = 0;
     UplinkRates uplink;
-    // Without known rates it cannot be foreseen whether a response would be in time.
+    // Without uplink rates it cannot be predicted whether a response would be sent in time.
     bool enabled() const {
         return bytes > 0 && uplink.known();
     }
 };
 
-// The part of a request that the cache looks at.
+// The properties of a request that the cache uses.
 struct Lookup {
     ResponseKey key;
     GroupId group{};
-    bool group_known = true;  // false: a purge of any group may concern it, so no response to it is stored
-    std::string_view client_tag;  // of the client's copy; empty: none
+    bool group_known = true;  // false: a purge of any group may apply to it, so its response is not stored
+    std::string_view client_tag;  // entity tag of the client's cached copy; empty: none
 };
 
 // A cached response that answers a request.
 struct Hit {
-    std::shared_ptr<const std::string> body;  // absent: the client's copy is current
+    std::shared_ptr<const std::string> body;  // null: the client's cached copy is current
     std::string tag;
     std::int64_t generated_ms = 0;
-    bool stale = false;  // past its max_age, within its grace
+    bool stale = false;  // past its max_age, within its stale grace
 };
 
 class ResponseCache {
@@ -42,21 +42,20 @@
     // `classes` must outlive the cache.
     ResponseCache(const std::vector<routing::ClassSettings>& classes, CacheLimits limits);
 
-    // Guards rule 5 (no purged copy): this cache drops only what it receives a purge of. It answers nothing
-    // while it may miss one, which is so until the first call.
+    // Guards rule 5 (no purged copy): the cache is only correct if it receives every purge, so it returns no
+    // hits while purges may be missed. They are unreliable until the first call.
     void set_purges_reliable(bool reliable) {
         purges_reliable_ = reliable;
     }
 
-    // Stores a server's response. `purged_ms`: when its object or group was last purged, as Unix time in ms;
-    // 0: never.
+    // Stores a server's response. `purged_ms`: Unix time in ms of the last purge of its object or group; 0:
+    // none.
     void store(const Lookup& request, std::string_view body, std::string_view tag, std::int64_t generated_ms,
                std::int64_t purged_ms);
-    // A fresh response that is sent within the class's latency objective. A hit reserves its part of the
-    // uplink.
+    // A fresh response that can be sent within the class's latency objective. A hit reserves its uplink time.
     std::optional<Hit> find_fresh(const Lookup& request, Time now, std::int64_t unix_ms);
-    // For a request that is rejected otherwise: a response, fresh or within its grace, that is sent by
-    // `deadline`. A hit reserves its part of the uplink.
+    // For a request that would be rejected otherwise: a response, fresh or within its stale grace, that can
+    // be sent by `deadline`. A hit reserves its uplink time.
     std::optional<Hit> find_last_resort(const Lookup& request, Time now, std::int64_t unix_ms, Time deadline);
 
     void set_capacity(std::size_t bytes);
--- a/src/cache/response_store.cpp
+++ b/src/cache/response_store.cpp
@@ -5,10 +5,10 @@
 namespace silverrail::cache {
 
 namespace {
-// What an entry takes beside its bytes: three tree nodes, a list node, the strings' heads.
+// Memory of an entry in addition to its bytes: three tree nodes, a list node and the string objects.
 constexpr std::size_t kEntryOverheadBytes = 400;
-// A response above this part of the capacity would evict too many others.
-constexpr std::size_t kMaxResponsePart = 8;
+// A response larger than 1/8 of the capacity would evict too many others.
+constexpr std::size_t kMaxResponseDivisor = 8;
 }  // namespace
 
 std::size_t ResponseStore::cost(const StoredResponse& response) {
@@ -18,7 +18,7 @@
 ResponseStore::Entries::iterator ResponseStore::erase(Entries::iterator entry) {
     const StoredResponse& response = entry->second.response;
     bytes_ -= cost(response);
-    uses_.erase(entry->second.use);
+    recency_.erase(entry->second.recency);
     const auto group = groups_.find(response.group);
     group->second.erase(entry->first);
     if (group->second.empty())
@@ -34,11 +34,11 @@
             return;
         erase(stored);
     }
-    if (cost(response) > capacity_bytes_ / kMaxResponsePart)
+    if (cost(response) > capacity_bytes_ / kMaxResponseDivisor)
         return;
     bytes_ += cost(response);
     groups_[response.group].insert(key);
-    entries_.emplace(key, Entry{std::move(response), uses_.insert(uses_.end(), key)});
+    entries_.emplace(key, Entry{std::move(response), recency_.insert(recency_.end(), key)});
     evict_excess();
 }
 
@@ -49,14 +49,14 @@
 
 void ResponseStore::evict_excess() {
     while (bytes_ > capacity_bytes_)
-        erase(entries_.find(uses_.front()));
+        erase(entries_.find(recency_.front()));
 }
 
 const StoredResponse* ResponseStore::find(const ResponseKey& key) {
     const auto found = entries_.find(key);
     if (found == entries_.end())
         return nullptr;
-    uses_.splice(uses_.end(), uses_, found->second.use);
+    recency_.splice(recency_.end(), recency_, found->second.recency);
     return &found->second.response;
 }
 
@@ -70,7 +70,7 @@
     const auto of_group = groups_.find(group);
     if (of_group == groups_.end())
         return;
-    const std::set<ResponseKey> keys = of_group->second;  // a copy, as erasing changes the original
+    const std::set<ResponseKey> keys = of_group->second;  // copied, as erase() modifies the original
     for (const ResponseKey& key : keys) {
         const auto entry = entries_.find(key);
         if (entry->second.response.generated_ms <= issued_ms)
--- a/src/cache/response_store.h
+++ b/src/cache/response_store.h
@@ -1,5 +1,5 @@
-// Responses that passed through this router, by object, class and segment. Bounded in bytes: the least
-// recently used one is evicted first. A purge drops what is older than itself. No clock and no I/O.
+// LRU store of responses, by object, class and segment, with a capacity in bytes. A purge removes responses
+// generated no later than the purge. Reads no clock and does no I/O.
 #pragma once
 
 #include <compare>
@@ -28,20 +28,20 @@
     std::shared_ptr<const std::string> body;
     std::string tag;
     GroupId group{};
-    std::int64_t generated_ms = 0;  // Unix time in ms at which the origin made it
+    std::int64_t generated_ms = 0;  // Unix time in ms at which the origin generated it
 };
 
 class ResponseStore {
 public:
     explicit ResponseStore(std::size_t capacity_bytes) : capacity_bytes_(capacity_bytes) {}
-    // Evicts what exceeds the new capacity.
+    // Evicts responses until the new capacity is met.
     void set_capacity(std::size_t bytes);
-    // Ignored: a response without a body, one older than the stored one, and one too large for the
-    // capacity.
+    // Ignores a response without a body, one older than the stored one, and one too large for the capacity.
     void put(const ResponseKey& key, StoredResponse response);
-    // Absent: null. Counts as a use. Valid until the next change of the store.
+    // Null: not stored. Marks the response as most recently used. Valid until the store is next modified.
     const StoredResponse* find(const ResponseKey& key);
-    // Drop what was made up to `issued_ms`: of the object, or of the whole group.
+    // Remove the responses of the object, or of the whole group, that were generated at or before
+    // `issued_ms`.
     void purge_object(ObjectId object, std::int64_t issued_ms);
     void purge_group(GroupId group, std::int64_t issued_ms);
     std::size_t bytes() const {
@@ -54,7 +54,7 @@
 private:
     struct Entry {
         StoredResponse response;
-        std::list<ResponseKey>::iterator use;
+        std::list<ResponseKey>::iterator recency;
     };
     using Entries = std::map<ResponseKey, Entry>;
     static std::size_t cost(const StoredResponse& response);
@@ -63,8 +63,8 @@
 
     std::size_t capacity_bytes_;
     std::size_t bytes_ = 0;
-    Entries entries_;              // by object first, so that an object's responses are neighbours
-    std::list<ResponseKey> uses_;  // the least recently used in front
+    Entries entries_;                 // sorted by object first, so that an object's responses are adjacent
+    std::list<ResponseKey> recency_;  // least recently used first
     std::map<GroupId, std::set<ResponseKey>> groups_;
 };
 
--- a/src/cache/uplink_budget.h
+++ b/src/cache/uplink_budget.h
@@ -1,6 +1,6 @@
-// How long the router's own uplink takes to send a response to a client. Responses share it in the order in
-// which they are reserved, and a single one is sent no faster than its own limit. No clock: time is passed
-// in.
+// Estimates how long a response to a client takes on the router's own uplink. Responses are modelled as a
+// queue in the order of their reservation, each one also limited by a rate of its own. Reads no clock: time
+// is passed in.
 #pragma once
 
 #include "silverrail/routing/router.h"
@@ -11,8 +11,8 @@
 using routing::Time;
 
 struct UplinkRates {
-    double per_response_bytes_per_s = 0;  // the most that one response gets
-    double total_bytes_per_s = 0;         // all together
+    double per_response_bytes_per_s = 0;  // limit for a single response
+    double total_bytes_per_s = 0;         // limit for all responses together
     bool known() const {
         return per_response_bytes_per_s > 0 && total_bytes_per_s > 0;
     }
@@ -21,9 +21,9 @@
 class UplinkBudget {
 public:
     explicit UplinkBudget(UplinkRates rates) : rates_(rates) {}
-    // From now until the last of so many bytes is sent, behind all that was reserved before.
+    // Time from now until `bytes` are sent after all earlier reservations.
     Span time_to_send(double bytes, Time now) const;
-    // The same on an idle uplink: the sending time that a class's latency objective stretches by.
+    // The same on an idle uplink. A class's latency objective is extended in proportion to it.
     Span time_to_send_alone(double bytes) const;
     void reserve(double bytes, Time now);
 
@@ -31,7 +31,7 @@
     Span time_in_queue(double bytes, Time now) const;
 
     UplinkRates rates_;
-    Time idle_from_{};  // when all that was reserved is sent
+    Time idle_from_{};  // when all reserved bytes will have been sent
 };
 
 }  // namespace silverrail::cache
--- a/src/limits/connection_eviction.cpp
+++ b/src/limits/connection_eviction.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 using namespace std::chrono_literals;
-// Usual clients send a request within this of connecting (docs/capacity.md, Core).
+// Ordinary clients send a request within this time of connecting (docs/capacity.md, Core).
 constexpr auto kNewcomerTime = 1s;
-// Pieces of any size are progress; a pause of this length is not.
+// Any received byte counts as progress; a connection without one for longer than this is stalled.
 constexpr auto kStallTime = 1s;
 }  // namespace
 
--- a/src/limits/gcra.h
+++ b/src/limits/gcra.h
@@ -1,5 +1,6 @@
-// A rate limit by the generic cell rate algorithm (ITU-T I.371): so many requests a second, with a burst on
-// top. A client's whole state is one time: when all that was admitted is paid for at the limit's rate.
+// A rate limit by the generic cell rate algorithm (ITU-T I.371), with a sustained rate and a burst. The state
+// of a client is a single time, the theoretical arrival time (TAT) of its next request: the time up to which
+// the requests admitted so far use up the sustained rate.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +14,7 @@
 
 struct RateDecision {
     bool admitted = false;
-    // Not admitted: after exactly this, and no earlier, a request is admitted if none is made meanwhile.
+    // Not admitted: the exact time after which a request is admitted, if none is admitted before.
     Span retry_after{};
 };
 
@@ -21,16 +22,16 @@
 public:
     static constexpr double kMaxPerSecond = 1e6;
     static constexpr std::uint32_t kMaxBurst = 1'000'000;
-    // A longer wait is of no use to any client, and the arithmetic stays far from its bounds.
+    // A longer wait is of no use to clients. The bound also rules out overflow in the arithmetic.
     static constexpr Span kMaxInterval = std::chrono::hours{1};
 
-    // `per_second` from one an hour to kMaxPerSecond, `burst` from 1 to kMaxBurst; else throws
-    // std::invalid_argument. The interval is rounded up to a nanosecond, so the rate is never exceeded.
+    // `per_second`: from 1 per hour to kMaxPerSecond. `burst`: from 1 to kMaxBurst. Throws
+    // std::invalid_argument for other values. The interval is rounded up to a whole nanosecond, so the rate
+    // is never exceeded.
     Gcra(double per_second, std::uint32_t burst);
 
-    // `paid_until` is the client's state, Time::min() at first. It
-    // is changed only when a request is admitted.
-    RateDecision request(Time& paid_until, Time now) const;
+    // `arrival_time`: the client's state, initially Time::min(). Changed only if the request is admitted.
+    RateDecision request(Time& arrival_time, Time now) const;
     Span interval() const {
         return interval_;
     }
@@ -40,7 +41,7 @@
 
 private:
     Span interval_;
-    Span tolerance_;  // how far ahead of `now` the state may be for a request to be admitted
+    Span tolerance_;  // how far ahead of `now` the TAT of an admitted request may be
 };
 
 }  // namespace silverrail::limits
--- a/src/limits/keyed_rate_limiter.h
+++ b/src/limits/keyed_rate_limiter.h
@@ -1,10 +1,10 @@
-// One rate limit for many clients, each under its own key, in a bounded table.
+// One rate limit applied to many clients, each under its own key, in a table of bounded size.
 //
-// A client that has paid for all that was admitted is as if never seen, and is forgotten without loss. Where
-// the table is full of others, the one with the least left to pay for is forgotten: that loses the least, and
-// it keeps clients at their limit, whom the table is for. A flood of ever new keys so evicts its own. A new
-// client is not remembered during a flood that fills the table faster than the client sends requests;
-// `evicted_unpaid` shows it.
+// A client whose theoretical arrival time (TAT) has passed is in the same state as a new client, so its entry
+// is removed without loss. If the table is full of other entries, the one with the earliest TAT is evicted:
+// this loses the least state and keeps the clients that are at their limit. A flood of new keys therefore
+// evicts its own entries. If the flood fills the table faster than a new client sends requests, that client's
+// entry is lost between its requests and it is not limited; `evicted_unexpired` shows this.
 #pragma once
 
 #include <cstddef>
@@ -18,11 +18,11 @@
 
 class KeyedRateLimiter {
 public:
-    // `max_keys`: 1 or more, else throws std::invalid_argument. A key in the table takes about 120 bytes.
+    // Throws std::invalid_argument if `max_keys` is 0. Each key takes about 120 bytes of memory.
     KeyedRateLimiter(Gcra limit, std::size_t max_keys);
 
-    // Times do not run backwards; an earlier one counts as the latest seen. Keys are hashed by the caller,
-    // with a secret where clients can choose them.
+    // A `now` before the latest one seen is replaced by that. The caller hashes the keys, with a secret if
+    // clients can choose them.
     RateDecision request(std::uint64_t key, Time now);
 
     std::size_t keys() const {
@@ -34,28 +34,28 @@
     std::uint64_t rejected() const {
         return rejected_;
     }
-    // Clients forgotten before they had paid, and how much of their time was lost with that in all.
-    std::uint64_t evicted_unpaid() const {
-        return evicted_unpaid_;
+    // Clients evicted before their TAT, and the total time by which their TATs were still ahead.
+    std::uint64_t evicted_unexpired() const {
+        return evicted_unexpired_;
     }
-    Span unpaid_time() const {
-        return unpaid_time_;
+    Span evicted_time() const {
+        return evicted_time_;
     }
 
 private:
-    using ByPaidTime = std::set<std::pair<Time, std::uint64_t>>;  // the least left to pay for in front
-    void forget_paid();
-    void make_room();
+    using ByArrivalTime = std::set<std::pair<Time, std::uint64_t>>;  // earliest TAT first
+    void remove_expired();
+    void evict_if_full();
 
     Gcra limit_;
     std::size_t max_keys_;
-    ByPaidTime by_paid_time_;
-    std::unordered_map<std::uint64_t, ByPaidTime::iterator> by_key_;
+    ByArrivalTime by_arrival_time_;
+    std::unordered_map<std::uint64_t, ByArrivalTime::iterator> by_key_;
     Time now_ = Time::min();
     std::uint64_t admitted_ = 0;
     std::uint64_t rejected_ = 0;
-    std::uint64_t evicted_unpaid_ = 0;
-    Span unpaid_time_{};
+    std::uint64_t evicted_unexpired_ = 0;
+    Span evicted_time_{};
 };
 
 }  // namespace silverrail::limits
--- a/src/limits/process_quota.cpp
+++ b/src/limits/process_quota.cpp
@@ -5,23 +5,25 @@
 namespace silverrail::limits {
 
 namespace {
-// Clients have a third of the descriptors at most, and some more for connections that are about to be closed.
-constexpr std::size_t kClientsPart = 3;
+// Client connections may use up to a third of the descriptors, plus an allowance for connections being
+// closed.
+constexpr std::size_t kClientsDivisor = 3;
 constexpr std::size_t kClosingConnections = 24;
-// Of the descriptors left, where these are few: each client that
-// sends a request needs a connection to a server.
+// Upper limit on their share of the unreserved descriptors. It takes effect when there are few: each client
+// that sends a request also needs a connection to a server.
 constexpr std::size_t kClientsPercentOfLeft = 60;
-// The least that still serves, whatever the limits say.
+// The minimum with which a router can operate, regardless of the limits.
 constexpr std::size_t kMinConnections = 8;
-constexpr std::size_t kControlPart = 32;
+constexpr std::size_t kControlDivisor = 32;
 constexpr std::size_t kMinControlConnections = 4;
 constexpr std::size_t kMaxControlConnections = 16;
-// Of the memory: small routers need the rest for the responses in flight (docs/capacity.md, Core).
-constexpr std::size_t kCachePart = 8;
+// 1/8 of the memory is for the response cache; small routers need the rest for responses in flight
+// (docs/capacity.md, Core).
+constexpr std::size_t kCacheDivisor = 8;
 
-// The descriptors of a process that are neither for clients nor for servers.
+// Descriptors of a process that are not available for connections to clients and servers.
 std::size_t reserved_descriptors(const RouterLimits& limits, std::size_t control_connections) {
-    // One more for a connection that is just being accepted.
+    // Plus one for a connection that is being accepted.
     const std::size_t control = limits.control_address ? control_connections + 1 : 0;
     return kFixedDescriptors + limits.part_descriptors + control;
 }
@@ -33,14 +35,14 @@
     ProcessQuota quota;
     if (limits.control_address)
         quota.control_connections =
-            std::clamp(descriptors / kControlPart, kMinControlConnections, kMaxControlConnections);
+            std::clamp(descriptors / kControlDivisor, kMinControlConnections, kMaxControlConnections);
     const std::size_t reserved = reserved_descriptors(limits, quota.control_connections);
     const std::size_t left = descriptors > reserved ? descriptors - reserved : 0;
-    const std::size_t clients = std::min(descriptors / kClientsPart + kClosingConnections / processes,
+    const std::size_t clients = std::min(descriptors / kClientsDivisor + kClosingConnections / processes,
                                          left * kClientsPercentOfLeft / 100);
     quota.client_connections = std::max(kMinConnections, clients);
     quota.server_connections = std::max(kMinConnections, left - std::min(left, quota.client_connections));
-    quota.cache_bytes = limits.memory_bytes / kCachePart / processes;
+    quota.cache_bytes = limits.memory_bytes / kCacheDivisor / processes;
     return quota;
 }
 
--- a/tests/cache/response_cache_test.cpp
+++ b/tests/cache/response_cache_test.cpp
@@ -1,4 +1,4 @@
-// The response cache: what is stored, when a response answers, and that nothing purged ever does.
+// The response cache: which responses are stored, when they are used, and that purged ones never are.
 #include "cache/response_cache.h"
 
 #include <cstdio>
@@ -26,19 +26,19 @@
     return {{ObjectId{object}, class_index, 3}, GroupId{17}, true, client_tag};
 }
 
-void age_decides_between_fresh_stale_and_none() {
+void the_age_decides_between_a_fresh_a_stale_and_no_response() {
     const struct {
         const char* what;
         std::size_t class_index;
         std::int64_t age_ms;
-        bool answers, last_resort, stale;
+        bool fresh, last_resort, stale;
     } kCases[] = {
-        {"good until it is purged", 0, 3'600'000, true, true, false},
+        {"no max_age: fresh until purged", 0, 3'600'000, true, true, false},
         {"fresh", 1, 7'900, true, true, false},
         {"at its max_age", 1, 7'990, false, true, true},
-        {"within its grace", 1, 27'900, false, true, true},
-        {"past its grace", 1, 27'990, false, false, false},
-        {"of an uncached class", 2, 10, false, false, false},
+        {"within its stale grace", 1, 27'900, false, true, true},
+        {"past its stale grace", 1, 27'990, false, false, false},
+        {"an uncached class", 2, 10, false, false, false},
     };
     for (const auto& c : kCases) {
         ResponseCache cache{kClasses, kLimits};
@@ -47,21 +47,21 @@
         const auto last = cache.find_last_resort(lookup(c.class_index), kNow, kNowMs, kNow + 2s);
         const auto now = cache.find_fresh(lookup(c.class_index), kNow + 1s, kNowMs);
         std::printf("  %s\n", c.what);
-        CHECK(now.has_value() == c.answers && last.has_value() == c.last_resort);
+        CHECK(now.has_value() == c.fresh && last.has_value() == c.last_resort);
         if (last)
             CHECK(last->stale == c.stale && *last->body == "bytes" && last->tag == "tag");
     }
 }
 
-void only_responses_known_in_full_are_stored() {
+void responses_without_group_age_or_tag_are_not_stored() {
     ResponseCache cache{kClasses, kLimits};
     cache.set_purges_reliable(true);
     Lookup no_group = lookup(0);
     no_group.group_known = false;
     cache.store(no_group, "bytes", "tag", kNowMs, 0);
-    cache.store(lookup(0), "bytes", "tag", 0, 0);            // its age is not known
-    cache.store(lookup(0), "bytes", "", kNowMs, 0);          // nor its tag
-    cache.store(lookup(0), "bytes", "tag", kNowMs, kNowMs);  // made no later than the purge
+    cache.store(lookup(0), "bytes", "tag", 0, 0);            // unknown age
+    cache.store(lookup(0), "bytes", "", kNowMs, 0);          // no tag
+    cache.store(lookup(0), "bytes", "tag", kNowMs, kNowMs);  // generated no later than the purge
     CHECK(!cache.find_fresh(lookup(0), kNow, kNowMs) && cache.bytes() == 0);
     cache.store(lookup(0), "bytes", "tag", kNowMs + 1, kNowMs);
     CHECK(cache.find_fresh(lookup(0), kNow, kNowMs));
@@ -69,7 +69,7 @@
     part.key.segment = 4;
     CHECK(!cache.find_fresh(part, kNow, kNowMs) && !cache.find_fresh(lookup(1), kNow, kNowMs));
     CHECK(!cache.find_fresh(no_group, kNow, kNowMs));
-    // An older response that comes later does not replace a newer one.
+    // An older response that arrives later does not replace a newer one.
     cache.store(lookup(0), "old", "older", kNowMs - 5, 0);
     CHECK(cache.find_fresh(lookup(0), kNow + 1s, kNowMs)->tag == "tag");
 }
@@ -87,10 +87,10 @@
             cache.purge_object(ObjectId{1}, kNowMs - 60);
         cache.purge_group(GroupId{18}, kNowMs);
         CHECK(!cache.find_last_resort(lookup(0, 1), kNow, kNowMs, kNow + 2s));
-        CHECK(cache.find_last_resort(lookup(1, 1), kNow, kNowMs, kNow + 2s));  // made after it
+        CHECK(cache.find_last_resort(lookup(1, 1), kNow, kNowMs, kNow + 2s));  // generated after the purge
         CHECK(cache.find_last_resort(lookup(0, 2), kNow, kNowMs, kNow + 2s).has_value() != whole_group);
     }
-    // While purges may be missed nothing is answered; what was stored answers again afterwards.
+    // No hits while purges may be missed; stored responses are used again afterwards.
     ResponseCache cache{kClasses, kLimits};
     cache.store(lookup(0), "a", "a", kNowMs, 0);
     CHECK(!cache.find_fresh(lookup(0), kNow, kNowMs) &&
@@ -101,9 +101,9 @@
     CHECK(!cache.find_fresh(lookup(0), kNow + 1s, kNowMs));
 }
 
-// 1,000 bytes take 100 ms alone, 33 ms of the uplink: the objective of
-// 200 ms + 1.5 x 100 ms bears eight at once.
-void the_uplink_bounds_what_is_answered() {
+// 1,000 bytes take 100 ms at the rate of a single response, and 33 ms of the whole uplink, so the latency
+// objective of 200 ms + 1.5 x 100 ms allows eight responses at once.
+void the_uplink_limits_the_number_of_hits() {
     ResponseCache cache{kClasses, kLimits};
     cache.set_purges_reliable(true);
     cache.store(lookup(0), std::string(1000, 'x'), "tag", kNowMs, 0);
@@ -113,10 +113,10 @@
     CHECK(at_once == 8);
     CHECK(!cache.find_fresh(lookup(0), kNow + 1ms, kNowMs) &&
           cache.find_fresh(lookup(0), kNow + 20ms, kNowMs));
-    // As the last resort it may come after its objective, but by the deadline.
+    // As a last resort, a response may miss its latency objective, but not its deadline.
     CHECK(cache.find_last_resort(lookup(0), kNow + 20ms, kNowMs, kNow + 2s));
     CHECK(!cache.find_last_resort(lookup(0), kNow + 20ms, kNowMs, kNow + 200ms));
-    // "Not modified" takes next to nothing.
+    // "Not modified" responses take almost no uplink time.
     ResponseCache other{kClasses, kLimits};
     other.set_purges_reliable(true);
     other.store(lookup(0), std::string(1000, 'x'), "tag", kNowMs, 0);
@@ -125,7 +125,7 @@
         CHECK(hit && !hit->body);
     }
     CHECK(other.find_fresh(lookup(0, 1, "other"), kNow, kNowMs)->body);
-    ResponseCache off{kClasses, {.bytes = 100'000, .uplink = {}}};  // rates not known
+    ResponseCache off{kClasses, {.bytes = 100'000, .uplink = {}}};  // unknown uplink rates
     off.set_purges_reliable(true);
     off.store(lookup(0), "bytes", "tag", kNowMs, 0);
     CHECK(!off.find_fresh(lookup(0), kNow, kNowMs) && off.bytes() == 0);
@@ -163,7 +163,7 @@
     CHECK(store.size() == 0 && store.bytes() == 0);
 }
 
-// A find counts as a use.
+// find() counts as a use.
 void the_least_recently_used_response_is_evicted() {
     ResponseStore store{5 * 1000};
     const auto key = [](std::uint64_t object) {
@@ -183,11 +183,11 @@
 }  // namespace
 
 int main() {
-    age_decides_between_fresh_stale_and_none();
-    only_responses_known_in_full_are_stored();
+    the_age_decides_between_a_fresh_a_stale_and_no_response();
+    responses_without_group_age_or_tag_are_not_stored();
     purges_drop_older_responses_of_all_classes();
-    the_uplink_bounds_what_is_answered();
+    the_uplink_limits_the_number_of_hits();
     the_store_matches_a_model_within_its_capacity();
     the_least_recently_used_response_is_evicted();
-    std::puts("response cache: every case holds");
+    std::puts("response cache: all cases passed");
 }
--- a/tests/limits/connection_eviction_test.cpp
+++ b/tests/limits/connection_eviction_test.cpp
@@ -1,4 +1,4 @@
-// Which client connections are evicted, and in which order.
+// Which client connections may be evicted, and in which order.
 #include "limits/connection_eviction.h"
 
 #include "../silverrail/check.h"
@@ -8,7 +8,7 @@
 
 namespace {
 
-void each_activity_has_its_class() {
+void each_activity_has_its_priority() {
     using Phase = ConnectionActivity::Phase;
     const std::optional<EvictionPriority> never;
     struct Row {
@@ -16,13 +16,13 @@
         std::optional<EvictionPriority> expected;
     };
     const Row rows[] = {
-        {{Phase::answering, false, false, 60s}, never},  // a request in flight
+        {{Phase::answering, false, false, 60s}, never},  // a request is in progress
         {{Phase::answering, true, true, 60s}, never},
-        {{Phase::closing, true, false, 0s}, EvictionPriority::closing},  // it has had its last answer
+        {{Phase::closing, true, false, 0s}, EvictionPriority::closing},  // its last response has been sent
         {{Phase::awaiting_request, false, false, 1s}, EvictionPriority::silent},
         {{Phase::awaiting_request, false, false, 999ms}, EvictionPriority::newcomer},
         {{Phase::awaiting_request, false, false, 0s}, EvictionPriority::newcomer},
-        {{Phase::awaiting_request, false, true, 0s}, never},  // a slow writer that makes progress
+        {{Phase::awaiting_request, false, true, 0s}, never},  // a slow client that makes progress
         {{Phase::awaiting_request, false, true, 1s}, never},
         {{Phase::awaiting_request, false, true, 1001ms}, EvictionPriority::stalled},
         {{Phase::awaiting_request, true, true, 1s}, never},
@@ -34,7 +34,7 @@
         CHECK(eviction_priority(row.activity) == row.expected);
 }
 
-void newcomers_go_last() {
+void newcomers_are_evicted_last() {
     CHECK(EvictionPriority::closing < EvictionPriority::silent &&
           EvictionPriority::silent < EvictionPriority::stalled);
     CHECK(EvictionPriority::stalled < EvictionPriority::idle &&
@@ -44,7 +44,7 @@
 }  // namespace
 
 int main() {
-    each_activity_has_its_class();
-    newcomers_go_last();
-    std::puts("connection eviction: every case holds");
+    each_activity_has_its_priority();
+    newcomers_are_evicted_last();
+    std::puts("connection eviction: all cases passed");
 }
--- a/tests/limits/process_quota_test.cpp
+++ b/tests/limits/process_quota_test.cpp
@@ -1,4 +1,4 @@
-// What one of a router's processes may use, over the usual limits.
+// Process quotas over the usual range of limits.
 #include "limits/process_quota.h"
 
 #include <initializer_list>
@@ -9,7 +9,7 @@
 
 namespace {
 
-void the_quotas_of_all_processes_stay_within_the_router_s_limits() {
+void the_quotas_of_all_processes_stay_within_the_limits_of_the_router() {
     for (const std::size_t descriptors : {128U, 192U, 256U, 384U, 512U, 1024U}) {
         for (const bool control : {false, true}) {
             const RouterLimits limits{
@@ -24,7 +24,8 @@
                 CHECK((quota.control_connections > 0) == control);
                 CHECK(quota.cache_bytes * processes <= limits.memory_bytes / 8);
             }
-            // Alone, all that the platform's clients hold at most finds room, at the usual limits.
+            // A single process can accept all connections that the platform's clients may open, at the usual
+            // limits.
             if (descriptors >= 256)
                 CHECK(quota_of(limits, 1).client_connections >= descriptors / 3 + 24);
         }
@@ -34,6 +35,6 @@
 }  // namespace
 
 int main() {
-    the_quotas_of_all_processes_stay_within_the_router_s_limits();
-    std::puts("process quota: every case holds");
+    the_quotas_of_all_processes_stay_within_the_limits_of_the_router();
+    std::puts("process quota: all cases passed");
 }
--- a/tests/limits/rate_limits_test.cpp
+++ b/tests/limits/rate_limits_test.cpp
@@ -1,4 +1,4 @@
-// Rate limits: what they admit, when rejected clients may retry, and the table's bound in a flood.
+// Rate limits: admission, retry times of rejected clients, and the bound of the table during a flood of keys.
 #include <cstdio>
 #include <limits>
 #include <map>
@@ -48,20 +48,20 @@
           {500ms, true, {}},
           {500ms, true, {}},
           {500ms, false, 100ms}}},
-        // A pause earns no more than the burst.
+        // A long pause does not allow more than the burst.
         {1, 2, {{0s, true, {}}, {3600s, true, {}}, {3600s, true, {}}, {3600s, false, 1s}}},
     };
     for (const auto& c : kCases) {
         const Gcra limit{c.rate, c.burst};
-        Time paid_until = Time::min();
+        Time arrival_time = Time::min();
         for (const Step& s : c.steps) {
-            const RateDecision decision = limit.request(paid_until, at(s.when));
+            const RateDecision decision = limit.request(arrival_time, at(s.when));
             CHECK(decision.admitted == s.admitted && decision.retry_after == s.retry_after);
         }
     }
 }
 
-void a_limit_outside_its_bounds_is_an_error() {
+void parameters_out_of_range_are_an_error() {
     for (const auto& [rate, burst] : {std::pair<double, std::uint32_t>{0, 1},
                                       {-1, 1},
                                       {2e6, 1},
@@ -69,13 +69,13 @@
                                       {1, 0},
                                       {1, 2'000'000},
                                       {std::numeric_limits<double>::quiet_NaN(), 1}}) {
-        bool refused = false;
+        bool rejected = false;
         try {
             Gcra{rate, burst};
         } catch (const std::invalid_argument&) {
-            refused = true;
+            rejected = true;
         }
-        CHECK(refused);
+        CHECK(rejected);
     }
 }
 
@@ -85,21 +85,21 @@
         const double rate = 1 + static_cast<double>(random() % 2000);
         const auto burst = static_cast<std::uint32_t>(1 + random() % 30);
         const Gcra limit{rate, burst};
-        Time paid_until = Time::min();
+        Time arrival_time = Time::min();
         Time now = at(0s);
         std::vector<Time> admitted;
         for (int i = 0; i < 1500; ++i) {
             now += Span{static_cast<Span::rep>(random() % static_cast<std::uint64_t>(2e9 / rate))} *
                    (random() % 3 == 0 ? 0 : 1);
-            const RateDecision decision = limit.request(paid_until, now);
+            const RateDecision decision = limit.request(arrival_time, now);
             if (decision.admitted) {
                 admitted.push_back(now);
                 continue;
             }
             CHECK(decision.retry_after > Span{});
-            Time early = paid_until;
+            Time early = arrival_time;
             CHECK(!limit.request(early, now + decision.retry_after - 1ns).admitted);
-            Time in_time = paid_until;
+            Time in_time = arrival_time;
             CHECK(limit.request(in_time, now + decision.retry_after).admitted);
         }
         for (std::size_t from = 0; from < admitted.size(); from += 7)
@@ -110,13 +110,13 @@
     }
 }
 
-void the_table_decides_like_an_unbounded_one_while_it_has_room() {
+void a_table_with_free_space_decides_like_an_unbounded_one() {
     std::mt19937_64 random{8};
     const Gcra limit{5, 4};
     KeyedRateLimiter limiter{limit, 500};
     std::map<std::uint64_t, Time> reference;
     Time now = at(0s);
-    std::uint64_t refused = 0;
+    std::uint64_t rejected = 0;
     for (int i = 0; i < 100'000; ++i) {
         now += Span{static_cast<Span::rep>(random() % 4'000'000)};
         const std::uint64_t key = random() % 3 ? random() % 12 : random();
@@ -124,33 +124,33 @@
         const RateDecision expected = limit.request(known->second, now);
         const RateDecision decision = limiter.request(key, now);
         CHECK(decision.admitted == expected.admitted && decision.retry_after == expected.retry_after);
-        refused += !decision.admitted;
+        rejected += !decision.admitted;
     }
-    CHECK(refused > 1000 && limiter.rejected() == refused && limiter.evicted_unpaid() == 0 &&
+    CHECK(rejected > 1000 && limiter.rejected() == rejected && limiter.evicted_unexpired() == 0 &&
           limiter.keys() < 500);
 }
 
-void a_flood_of_new_keys_evicts_its_own_and_no_client_at_its_limit() {
+void a_flood_of_new_keys_does_not_evict_clients_at_their_limit() {
     const Gcra limit{10, 5};
     KeyedRateLimiter limiter{limit, 1000};
     std::mt19937_64 random{1};
     Time now = at(0s);
-    std::map<std::uint64_t, int> usual;
+    std::map<std::uint64_t, int> regular;
     for (int ms = 0; ms < 11'000; ++ms) {
         now += 1ms;
-        // The usual clients are at their limit when the flood begins.
+        // The regular clients are already at their limit when the flood begins.
         for (int i = 0; ms >= 1000 && i < 50; ++i)
             limiter.request(1'000'000 + random(), now);
         for (std::uint64_t key = 0; key < 20; ++key)
             if (ms % 20 == 0)
-                usual[key] += limiter.request(key, now).admitted;  // 50 a second, five times the limit
+                regular[key] += limiter.request(key, now).admitted;  // 50 a second, five times the limit
         CHECK(limiter.keys() <= 1000);
     }
-    CHECK(limiter.evicted_unpaid() > 400'000);
-    // Each usual client got its rate and its burst, and hardly more.
-    for (const auto& [key, admitted] : usual)
+    CHECK(limiter.evicted_unexpired() > 400'000);
+    // Each regular client was admitted at its rate plus its burst, and hardly more.
+    for (const auto& [key, admitted] : regular)
         CHECK(admitted >= 110 && admitted <= 118);
-    // A clock that steps back is taken for standing still.
+    // A clock that steps back is treated as if it had stopped.
     const auto keys = limiter.keys();
     CHECK(!limiter.request(3, now - 1h).admitted && limiter.keys() <= keys);
 }
@@ -159,9 +159,9 @@
 
 int main() {
     a_limit_admits_its_rate_and_its_burst();
-    a_limit_outside_its_bounds_is_an_error();
+    parameters_out_of_range_are_an_error();
     no_window_exceeds_the_limit_and_retry_after_is_exact();
-    the_table_decides_like_an_unbounded_one_while_it_has_room();
-    a_flood_of_new_keys_evicts_its_own_and_no_client_at_its_limit();
-    std::puts("rate limits: every case holds");
+    a_table_with_free_space_decides_like_an_unbounded_one();
+    a_flood_of_new_keys_does_not_evict_clients_at_their_limit();
+    std::puts("rate limits: all cases passed");
 }
