--- a/src/overrides/server_overrides.cpp
+++ b/src/overrides/server_overrides.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-// The stored form: a head with the version, a line for each
-// excluded server, and the count of these as the end.
-constexpr std::string_view kHeadPrefix = "silverrail-bans ";
+// Stored format: a header line with the version, one line for each excluded server, and a final line with
+// their number.
+constexpr std::string_view kHeaderPrefix = "silverrail-bans ";
 constexpr std::string_view kVersion = "1";
 constexpr std::string_view kServerPrefix = "out ";
 constexpr std::string_view kEndPrefix = "end ";
 
-// Removes the next line from `text` and returns it without its end. Absent: no complete line is left.
+// Removes the next line from `text` and returns it without its newline. Absent: no complete line is left.
 std::optional<std::string_view> next_line(std::string_view& text) {
     const auto end = text.find('\n');
     if (end == std::string_view::npos)
@@ -42,19 +42,19 @@
     return true;
 }
 
-std::string ServerOverrides::to_text() const {
+std::string ServerOverrides::serialize() const {
     std::string text;
-    text.append(kHeadPrefix).append(kVersion) += '\n';
+    text.append(kHeaderPrefix).append(kVersion) += '\n';
     for (const auto& id : excluded_)
         text.append(kServerPrefix).append(id.address) += '\n';
     return text.append(kEndPrefix).append(std::to_string(excluded_.size())) += '\n';
 }
 
 ServerOverrides::ParseResult ServerOverrides::parse(std::string_view text) {
-    const auto head = next_line(text);
-    if (!head || !head->starts_with(kHeadPrefix))
+    const auto header = next_line(text);
+    if (!header || !header->starts_with(kHeaderPrefix))
         return damaged();
-    if (head->substr(kHeadPrefix.size()) != kVersion)
+    if (header->substr(kHeaderPrefix.size()) != kVersion)
         return {.overrides = {}, .error = ParseError::unknown_version};
     ParseResult result;
     while (const auto line = next_line(text)) {
--- a/src/overrides/server_overrides.h
+++ b/src/overrides/server_overrides.h
@@ -1,4 +1,4 @@
-// The servers that operators have excluded, by id, and the text in which they are stored. No I/O.
+// The servers excluded by operators, by id, and their serialisation. No I/O.
 #pragma once
 
 #include <set>
@@ -14,9 +14,9 @@
     static constexpr std::size_t kMaxServers = 1024;
     static constexpr std::size_t kMaxIdLength = 128;
 
-    // An id that can be stored: of visible ASCII, and not too long.
+    // Whether the id can be stored: visible ASCII, at most kMaxIdLength bytes.
     static bool is_valid_id(std::string_view id);
-    // False: the id is not valid, or there are too many.
+    // False: the id is invalid, or kMaxServers are already excluded.
     bool exclude(const routing::ServerId& id);
     void readmit(const routing::ServerId& id) {
         excluded_.erase(id);
@@ -29,8 +29,8 @@
     }
     bool operator==(const ServerOverrides&) const = default;
 
-    // The stored form. `parse` recognises a text that is cut short, damaged, or of an unknown version.
-    std::string to_text() const;
+    // The stored format. `parse` detects input that is truncated, damaged or of an unknown version.
+    std::string serialize() const;
     enum class ParseError { none, damaged, unknown_version };
     struct ParseResult;
     static ParseResult parse(std::string_view text);
--- a/src/store/file_descriptor.h
+++ b/src/store/file_descriptor.h
@@ -1,4 +1,4 @@
-// A file descriptor that is closed with its scope.
+// RAII wrapper that closes a file descriptor at the end of its scope.
 #pragma once
 
 #include <unistd.h>
@@ -9,7 +9,7 @@
 
 class FileDescriptor {
 public:
-    // Negative: none, as open() returns it.
+    // Takes the return value of open(); negative: no descriptor.
     explicit FileDescriptor(int fd) : fd_(fd) {}
     ~FileDescriptor() {
         if (fd_ >= 0)
@@ -23,7 +23,7 @@
     explicit operator bool() const {
         return fd_ >= 0;
     }
-    // Closes it now. False, with errno set: a write that was still on its way failed.
+    // Closes the descriptor now. False, with errno set: a delayed write has failed.
     bool close() {
         return ::close(std::exchange(fd_, -1)) == 0;
     }
--- a/src/store/file_error.h
+++ b/src/store/file_error.h
@@ -1,4 +1,4 @@
-// An operation on a file that the operating system refused.
+// A failed operation on a file.
 #pragma once
 
 #include <stdexcept>
@@ -7,10 +7,10 @@
 
 namespace silverrail::store {
 
-// Unlike std::system_error, it never causes a failed start of the program to be tried again.
+// Unlike a std::system_error, it never makes the program retry its start.
 class FileError : public std::runtime_error {
 public:
-    // `what`: the path, and the operation where that is not obvious. `error`: an errno.
+    // `what`: the path, followed by the operation unless it is obvious. `error`: an errno value.
     FileError(const std::string& what, int error)
         : std::runtime_error(what + ": " + std::generic_category().message(error)), error_(error) {}
     int error() const {
--- a/src/store/overrides_file.cpp
+++ b/src/store/overrides_file.cpp
@@ -20,7 +20,8 @@
 using ParseError = ServerOverrides::ParseError;
 
 constexpr std::size_t kMaxFileBytes = std::size_t{256} * 1024;
-// Another process holds the lock for one write. It may be stopped meanwhile, and nobody waits for that.
+// Other processes hold the lock only during a write. A process that is stopped while it holds the lock must
+// not block this one, so the number of attempts is limited.
 constexpr int kLockAttempts = 20;
 constexpr useconds_t kLockRetryMicroseconds = 2'000;
 
@@ -43,7 +44,7 @@
     return false;
 }
 
-// At most kMaxFileBytes of it.
+// Reads at most kMaxFileBytes.
 std::string read_all(const FileDescriptor& file, const std::string& path) {
     std::string text(kMaxFileBytes, '\0');
     std::size_t length = 0;
@@ -70,14 +71,14 @@
     return ServerOverrides::parse(read_all(file, path));
 }
 
-const char* text_of(ParseError reason) {
-    return reason == ParseError::unknown_version ? "of a version that is not known here" : "damaged";
+const char* description_of(ParseError reason) {
+    return reason == ParseError::unknown_version ? "unsupported file version" : "damaged";
 }
 
 }  // namespace
 
 OverridesFileError::OverridesFileError(const std::string& path, ParseError reason)
-    : std::runtime_error(path + ": " + text_of(reason)), reason_(reason) {}
+    : std::runtime_error(path + ": " + description_of(reason)), reason_(reason) {}
 
 ServerOverrides OverridesFile::read() const {
     const auto stored = load(path_);
@@ -99,7 +100,7 @@
     if (stored.error == ParseError::damaged)
         stored.overrides = own;
     change(stored.overrides);
-    replace_file(path_, stored.overrides.to_text());
+    replace_file(path_, stored.overrides.serialize());
     seen_ = version();
     return stored.overrides;
 }
--- a/src/store/overrides_file.h
+++ b/src/store/overrides_file.h
@@ -1,5 +1,5 @@
-// The operators' overrides on disk, for all processes of one router. Changed under a lock, written beside and
-// renamed, so that a reader finds the old file or the new one.
+// The operators' overrides on disk, shared by the processes of a router. Updated under a lock by writing a
+// new file and renaming it, so that readers see either the old file or the new one.
 #pragma once
 
 #include <functional>
@@ -10,7 +10,7 @@
 
 namespace silverrail::store {
 
-// The file can be read, but not understood.
+// The file can be read, but its content is damaged or of an unknown version.
 class OverridesFileError : public std::runtime_error {
 public:
     OverridesFileError(const std::string& path, overrides::ServerOverrides::ParseError reason);
@@ -27,18 +27,18 @@
     using Change = std::function<void(overrides::ServerOverrides&)>;
 
     explicit OverridesFile(std::string path) : path_(std::move(path)) {}
-    // No file is no overrides. Throws FileError if it can't be read, OverridesFileError if it can't be
-    // understood; both with its path.
+    // A missing file means no overrides. Throws FileError if the file can't be read and OverridesFileError if
+    // it can't be parsed; both messages contain the path.
     overrides::ServerOverrides read() const;
-    // Reads, changes and writes, and returns what was written. A damaged file is replaced by `own` with the
-    // change; one of an unknown version is left alone. Throws as read() does, or FileError if nothing was
-    // written. Waits for other processes for up to 40 ms.
+    // Reads the file, applies `change`, writes the file and returns what was written. A damaged file is
+    // replaced by `own` with the change applied; one of an unknown version is left unchanged. Throws like
+    // read(), and FileError if the file can't be written. Waits up to 40 ms for the lock.
     overrides::ServerOverrides update(const overrides::ServerOverrides& own, const Change& change);
-    // Whether it was replaced since the last call, or since this object's own last update.
+    // Whether the file was replaced since the last call or the last update by this object.
     bool has_changed();
 
 private:
-    // Identifies one replacement of the file; all 0: there is no file.
+    // Identifies a state of the file. All 0: no file.
     struct Version {
         std::uint64_t inode = 0;
         std::int64_t bytes = 0;
--- a/src/store/process_registry.h
+++ b/src/store/process_registry.h
@@ -1,5 +1,5 @@
-// Which processes of one router are running, by locks on one file: each process holds a byte of it. The
-// kernel releases a lock however its holder ends, so nothing needs cleaning up and nothing can be stale.
+// Registry of the running processes of a router. Each process locks one byte of a shared file. The kernel
+// releases the lock however the process ends, so entries need no cleanup and cannot outlive their process.
 #pragma once
 
 #include <cstddef>
@@ -11,17 +11,17 @@
 
 class ProcessRegistry {
 public:
-    // Registers this process for the lifetime of the object. Throws std::system_error, with the file's path,
-    // if the file can't be opened or has no free place.
+    // Registers this process for the lifetime of the object. Throws std::system_error with the file's path if
+    // the file can't be opened or all slots are taken.
     explicit ProcessRegistry(const std::string& path);
-    // How many are registered, this process among them.
+    // The number of registered processes, including this one.
     std::size_t processes() const;
 
 private:
-    bool lock(int place);
+    bool lock(int slot);
 
     FileDescriptor file_;
-    int own_place_ = -1;
+    int own_slot_ = -1;
 };
 
 }  // namespace silverrail::store
--- a/src/store/read_file.h
+++ b/src/store/read_file.h
@@ -1,4 +1,4 @@
-// Reads a whole file at once.
+// Reads a whole file into memory.
 #pragma once
 
 #include <cstddef>
@@ -6,12 +6,12 @@
 
 namespace silverrail::store {
 
-// The file's bytes, at most `max_bytes` of them. Throws std::system_error with its path if it can't be opened
-// or read; a read that a signal interrupts is repeated.
+// Returns at most the first `max_bytes` bytes of the file. Throws std::system_error with its path if it can't
+// be opened or read. Retries reads that are interrupted by a signal.
 std::string read_file(const std::string& path, std::size_t max_bytes);
 
-// Whether the same call may succeed soon after this errno: no descriptors, buffers or memory, an interrupted
-// or failed transfer, an address that is not available yet.
+// Whether a system call that failed with this errno may succeed if it is retried soon: out of descriptors,
+// buffers, memory or disk space, an interrupted or failed transfer, or an address that is not available yet.
 bool is_transient(int error);
 
 }  // namespace silverrail::store
--- a/src/store/replace_file.cpp
+++ b/src/store/replace_file.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// The new name lasts once its folder is on the disk. The new file is in place already.
+// Makes a completed rename durable by syncing the folder.
 void sync_folder_of(const std::string& path) {
     const auto slash = path.rfind('/');
     const std::string folder = slash == std::string::npos ? "." : path.substr(0, slash);
@@ -35,7 +35,7 @@
     return true;
 }
 
-// Creates a new file that is on the disk when this returns true. Else errno is set.
+// Writes the file, syncs it to disk and closes it. False: failed, with errno set.
 bool write_durably(FileDescriptor& file, std::string_view bytes) {
     const bool written = ::fchmod(file.get(), 0600) == 0 && write_all(file, bytes);
     const bool synced = ::fsync(file.get()) == 0;
--- a/src/store/replace_file.h
+++ b/src/store/replace_file.h
@@ -1,4 +1,4 @@
-// Replaces a small file as a whole: a reader, also after a crash, finds the old one or the new one.
+// Atomic replacement of a small file: readers see either the old content or the new one, also after a crash.
 #pragma once
 
 #include <string>
@@ -6,9 +6,9 @@
 
 namespace silverrail::store {
 
-// Writes beside it, syncs and renames; readable by its owner alone. Throws FileError with its path if
-// that fails; then the old one stands, unless only the sync of the folder failed. Concurrent writers need a
-// lock of their own.
+// Writes a temporary file next to `path`, syncs it and renames it. Only the owner can read the new file.
+// Throws FileError with the path on failure; the old file is then unchanged, unless only the sync of the
+// folder has failed. Concurrent callers must hold a lock.
 void replace_file(const std::string& path, std::string_view bytes);
 
 }  // namespace silverrail::store
--- a/src/store/replica_store.cpp
+++ b/src/store/replica_store.cpp
@@ -10,9 +10,10 @@
 
 namespace {
 
-constexpr int kApplicationId = 0x51527231;  // "QRr1": tells our files from any other SQLite file
+constexpr int kApplicationId = 0x51527231;  // "QRr1": distinguishes these files from other SQLite databases
 constexpr int kVersion = 1;
 
+// In the tables, `origin` is a writer, and `forgotten` its collected version.
 constexpr const char* kCreateTables =
     "CREATE TABLE meta(origin TEXT NOT NULL);"
     "CREATE TABLE entries(key TEXT PRIMARY KEY, entry BLOB NOT NULL) WITHOUT ROWID;"
@@ -23,7 +24,7 @@
 
 }  // namespace
 
-// One prepared statement, finalised with its scope. Parameters count from 1, columns from 0.
+// RAII wrapper of a prepared statement. Parameters are numbered from 1, columns from 0.
 class ReplicaStore::Statement {
 public:
     Statement(const ReplicaStore& store, const char* sql) : store_(store) {
@@ -50,14 +51,14 @@
         sqlite3_bind_int64(statement_, parameter, static_cast<sqlite3_int64>(value));
         return *this;
     }
-    // True: there is a row.
+    // True: a row is available.
     bool step() {
         const int code = sqlite3_step(statement_);
         if (code != SQLITE_ROW && code != SQLITE_DONE)
             store_.fail(sqlite3_errmsg(store_.db_.get()));
         return code == SQLITE_ROW;
     }
-    // Runs a statement without rows, ready to be bound and run again.
+    // Runs a statement that returns no rows, and resets it so that it can be bound and run again.
     void execute() {
         step();
         sqlite3_reset(statement_);
@@ -76,7 +77,7 @@
     sqlite3_stmt* statement_ = nullptr;
 };
 
-// The statements of one commit.
+// The prepared statements of one commit.
 class ReplicaStore::Commit {
 public:
     Commit(const ReplicaStore& store, const cluster::Replica& replica)
@@ -84,26 +85,26 @@
           origins_(replica.writer_logs()),
           put_entry_(store, "INSERT OR REPLACE INTO entries VALUES(?, ?)"),
           delete_entry_(store, "DELETE FROM entries WHERE key = ?"),
-          put_origin_(store, "INSERT OR REPLACE INTO origins VALUES(?, ?, ?)"),
+          put_writer_(store, "INSERT OR REPLACE INTO origins VALUES(?, ?, ?)"),
           put_log_item_(store, "INSERT OR REPLACE INTO log VALUES(?, ?, ?)"),
           delete_log_item_(store, "DELETE FROM log WHERE origin = ? AND key = ?") {}
 
     void write_everything() {
         for (const auto& [key, entry] : entries_)
             write_entry(key);
-        for (const auto& [origin, log] : origins_) {
-            write_origin(origin);
+        for (const auto& [writer, log] : origins_) {
+            write_writer(writer);
             for (const auto& [key, version] : log.versions_by_key)
-                write_log_item(origin, key);
+                write_log_item(writer, key);
         }
     }
     void write(const cluster::Replica::UnsavedChanges& changes) {
         for (const auto& key : changes.keys)
             write_entry(key);
-        for (const auto& origin : changes.writers)
-            write_origin(origin);
-        for (const auto& [origin, key] : changes.log_items)
-            write_log_item(origin, key);
+        for (const auto& writer : changes.origins)
+            write_writer(writer);
+        for (const auto& [writer, key] : changes.log_items)
+            write_log_item(writer, key);
     }
 
 private:
@@ -114,26 +115,26 @@
         else
             delete_entry_.bind_text(1, key).execute();
     }
-    void write_origin(const std::string& origin) {
-        const auto& log = origins_.at(origin);
-        put_origin_.bind_text(1, origin)
+    void write_writer(const std::string& writer) {
+        const auto& log = origins_.at(writer);
+        put_writer_.bind_text(1, writer)
             .bind_integer(2, log.version)
             .bind_integer(3, log.collected_version)
             .execute();
     }
-    void write_log_item(const std::string& origin, const std::string& key) {
-        const auto& versions = origins_.at(origin).versions_by_key;
+    void write_log_item(const std::string& writer, const std::string& key) {
+        const auto& versions = origins_.at(writer).versions_by_key;
         if (const auto version = versions.find(key); version != versions.end())
-            put_log_item_.bind_text(1, origin).bind_text(2, key).bind_integer(3, version->second).execute();
+            put_log_item_.bind_text(1, writer).bind_text(2, key).bind_integer(3, version->second).execute();
         else
-            delete_log_item_.bind_text(1, origin).bind_text(2, key).execute();
+            delete_log_item_.bind_text(1, writer).bind_text(2, key).execute();
     }
 
     const cluster::Replica::Entries& entries_;
     const cluster::Replica::WriterLogs& origins_;
     Statement put_entry_;
     Statement delete_entry_;
-    Statement put_origin_;
+    Statement put_writer_;
     Statement put_log_item_;
     Statement delete_log_item_;
 };
@@ -152,7 +153,7 @@
     return statement.step() ? statement.text(0) : std::string{};
 }
 
-ReplicaStore::ReplicaStore(std::string file, const std::string& origin)
+ReplicaStore::ReplicaStore(std::string file, const std::string& writer)
     : file_(std::move(file)), db_(nullptr, sqlite3_close) {
     open_and_lock();
     const bool empty = query("SELECT count(*) FROM sqlite_master") == "0";
@@ -160,43 +161,43 @@
         verify();
     run("PRAGMA journal_mode=WAL; PRAGMA synchronous=NORMAL; PRAGMA journal_size_limit=1048576;");
     if (empty)
-        initialise(origin);
-    origin_ = query("SELECT origin FROM meta");
-    if (origin_.empty() || origin_.size() > cluster::kMaxWriterLength)
-        fail("damaged: no origin");
+        initialise(writer);
+    writer_ = query("SELECT origin FROM meta");
+    if (writer_.empty() || writer_.size() > cluster::kMaxWriterLength)
+        fail("damaged: writer id missing or too long");
 }
 
 ReplicaStore::~ReplicaStore() = default;
 
-// Locked from the first read on until the process ends, however it ends.
+// Exclusive locking mode holds the lock from the first access until the process ends, however it ends.
 void ReplicaStore::open_and_lock() {
     sqlite3* db = nullptr;
     const int opened =
         sqlite3_open_v2(file_.c_str(), &db, SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE, nullptr);
     db_.reset(db);
     if (opened != SQLITE_OK)
-        fail(db ? sqlite3_errmsg(db) : "no memory");
+        fail(db ? sqlite3_errmsg(db) : "out of memory");
     if (sqlite3_exec(db, "PRAGMA locking_mode=EXCLUSIVE; PRAGMA cache_size=-512; BEGIN IMMEDIATE; COMMIT;",
                      nullptr, nullptr, nullptr) == SQLITE_BUSY)
-        throw Locked(file_ + ": held by another process");
+        throw Locked(file_ + ": locked by another process");
 }
 
 void ReplicaStore::verify() {
     if (query("PRAGMA application_id") != std::to_string(kApplicationId))
-        fail("not a store of this program");
+        fail("not a replica store of this program");
     if (const auto version = query("PRAGMA user_version"); version != std::to_string(kVersion))
-        fail("of version " + version + ", which this program does not know");
+        fail("unsupported file version " + version);
     if (const auto result = query("PRAGMA quick_check(1)"); result != "ok")
         fail("damaged: " + result);
 }
 
-void ReplicaStore::initialise(const std::string& origin) {
+void ReplicaStore::initialise(const std::string& writer) {
     run("BEGIN;");
     run(kCreateTables);
     run(("PRAGMA application_id=" + std::to_string(kApplicationId) +
          "; PRAGMA user_version=" + std::to_string(kVersion) + ";")
             .c_str());
-    Statement{*this, "INSERT INTO meta VALUES(?)"}.bind_text(1, origin).step();
+    Statement{*this, "INSERT INTO meta VALUES(?)"}.bind_text(1, writer).step();
     run("COMMIT;");
 }
 
@@ -206,7 +207,7 @@
     while (rows.step()) {
         auto entry = cluster::codec::decode_entry(rows.text(1));
         if (!entry)
-            fail("damaged: the entry of " + rows.text(0));
+            fail("damaged: undecodable entry " + rows.text(0));
         out.emplace(rows.text(0), std::move(*entry));
     }
     return out;
@@ -214,11 +215,11 @@
 
 cluster::Replica::WriterLogs ReplicaStore::writer_logs() {
     cluster::Replica::WriterLogs out;
-    Statement origins{*this, "SELECT name, number, forgotten FROM origins"};
-    while (origins.step()) {
-        auto& log = out[origins.text(0)];
-        log.version = origins.integer(1);
-        log.collected_version = origins.integer(2);
+    Statement writers{*this, "SELECT name, number, forgotten FROM origins"};
+    while (writers.step()) {
+        auto& log = out[writers.text(0)];
+        log.version = writers.integer(1);
+        log.collected_version = writers.integer(2);
     }
     Statement items{
         *this, "SELECT log.origin, log.key, log.number, entries.key FROM log LEFT JOIN entries USING(key)"};
@@ -227,7 +228,7 @@
         const auto version = items.integer(2);
         const bool has_entry = !items.text(3).empty();
         if (log == out.end() || version > log->second.version || !has_entry)
-            fail("damaged: the log of " + items.text(0));
+            fail("damaged: inconsistent log of writer " + items.text(0));
         log->second.keys_by_version[version] = items.text(1);
         log->second.versions_by_key[items.text(1)] = version;
     }
--- a/src/store/replica_store.h
+++ b/src/store/replica_store.h
@@ -1,9 +1,10 @@
-// The replicated state on disk: written before it is acknowledged, restored by a restart. SQLite, one file
-// with its write-ahead log beside it, held by one process at a time.
+// The replicated state on disk. Changes are written before they are acknowledged, and restored after a
+// restart. The store is an SQLite database, a file and its write-ahead log, locked by one process at a time.
 //
-// A kill at any moment leaves the last commit whole (the log's frames are checksummed, a torn one is
-// ignored). A loss of power may lose the last commits, but leaves a consistent state: synchronous=NORMAL, as
-// the folder is memory on the platform and a command on the control address must not wait for a disk.
+// If the process is killed at any moment, no completed commit is lost: the frames of the log are checksummed,
+// and torn ones are ignored. A power failure may lose the last commits but leaves a consistent state. This is
+// due to synchronous=NORMAL, used because the folder is in memory on the platform and commands on the control
+// address must not wait for a disk.
 #pragma once
 
 #include <cstdint>
@@ -20,26 +21,26 @@
 
 class ReplicaStore {
 public:
-    // Another process has locked the file.
+    // The file is locked by another process.
     struct Locked : std::runtime_error {
         using std::runtime_error::runtime_error;
     };
-    // Opens the file or makes it; `origin` is written to a new one. Throws std::runtime_error, which names
-    // the file, if it is damaged, another program's or of another version; it is left unchanged then.
-    ReplicaStore(std::string file, const std::string& origin);
+    // Opens or creates the file. `writer` is the writer id stored in a new file. Throws std::runtime_error
+    // with the file's path if it is damaged, of another program or of another version, and leaves it
+    // unchanged.
+    ReplicaStore(std::string file, const std::string& writer);
     ~ReplicaStore();
     ReplicaStore(const ReplicaStore&) = delete;
     ReplicaStore& operator=(const ReplicaStore&) = delete;
 
-    // The origin under which this store's changes have their versions.
+    // The writer id under which this store's changes are versioned.
     const std::string& writer() const {
-        return origin_;
+        return writer_;
     }
-    // The whole stored state. Throw as the constructor does.
+    // The entire stored state. Both throw like the constructor.
     cluster::Replica::Entries entries();
     cluster::Replica::WriterLogs writer_logs();
-    // Writes the changes in one commit; on return they are stored. Throws std::runtime_error, with the file's
-    // name, if it is not.
+    // Writes the changes in one commit. Throws std::runtime_error with the file's path if that fails.
     void write(const cluster::Replica& replica, const cluster::Replica::UnsavedChanges& changes);
 
 private:
@@ -47,14 +48,14 @@
     class Commit;
     void open_and_lock();
     void verify();
-    void initialise(const std::string& origin);
+    void initialise(const std::string& writer);
     void run(const char* sql);
-    // The first column of the first row; empty: there is none.
+    // The first column of the first row. Empty: no rows.
     std::string query(const char* sql) const;
     [[noreturn]] void fail(const std::string& what) const;
 
     std::string file_;
-    std::string origin_;
+    std::string writer_;
     std::unique_ptr<sqlite3, int (*)(sqlite3*)> db_;
 };
 
--- a/tests/overrides/server_overrides_test.cpp
+++ b/tests/overrides/server_overrides_test.cpp
@@ -1,4 +1,4 @@
-// Operators' overrides and their stored form.
+// Operators' server overrides and their stored format.
 #include "overrides/server_overrides.h"
 
 #include "../silverrail/check.h"
@@ -16,17 +16,17 @@
     return overrides;
 }
 
-void the_stored_form_is_read_back() {
+void the_stored_format_is_parsed_back() {
     const ServerOverrides overrides = two_servers();
-    const std::string text = overrides.to_text();
+    const std::string text = overrides.serialize();
     CHECK(text == "silverrail-bans 1\nout s-1\nout s-2\nend 2\n");
     CHECK(ServerOverrides::parse(text).overrides == overrides);
     CHECK(ServerOverrides::parse(text).error == ParseError::none);
-    CHECK(ServerOverrides::parse(ServerOverrides{}.to_text()).overrides == ServerOverrides{});
+    CHECK(ServerOverrides::parse(ServerOverrides{}.serialize()).overrides == ServerOverrides{});
 }
 
-void a_text_that_is_cut_or_damaged_is_recognised() {
-    const std::string text = two_servers().to_text();
+void truncated_and_damaged_input_is_detected() {
+    const std::string text = two_servers().serialize();
     for (std::size_t i = 0; i < text.size(); ++i) {
         CHECK(ServerOverrides::parse(text.substr(0, i)).error != ParseError::none);
         std::string damaged = text;
@@ -38,7 +38,7 @@
     CHECK(ServerOverrides::parse(text + "out s-3\n").error == ParseError::damaged);
 }
 
-void invalid_ids_and_too_many_are_refused() {
+void invalid_ids_and_too_many_servers_are_rejected() {
     ServerOverrides overrides = two_servers();
     for (const char* id : {"", "a b", "a\n", "\x80"})
         CHECK(!overrides.exclude(ServerId{id}));
@@ -50,8 +50,8 @@
 }  // namespace
 
 int main() {
-    the_stored_form_is_read_back();
-    a_text_that_is_cut_or_damaged_is_recognised();
-    invalid_ids_and_too_many_are_refused();
-    std::puts("server overrides: every case holds");
+    the_stored_format_is_parsed_back();
+    truncated_and_damaged_input_is_detected();
+    invalid_ids_and_too_many_servers_are_rejected();
+    std::puts("server overrides: all cases passed");
 }
--- a/tests/store/process_registry_test.cpp
+++ b/tests/store/process_registry_test.cpp
@@ -1,4 +1,4 @@
-// The registry of a router's processes, also when one of them is killed.
+// The registry of a router's processes, including a process that is killed.
 #include "store/process_registry.h"
 
 #include <sys/wait.h>
@@ -27,7 +27,7 @@
             CHECK(one.processes() == 2 && two.processes() == 2);
         }
         CHECK(one.processes() == 1);
-        // One that dies of kill -9 leaves no lock behind.
+        // A process killed with SIGKILL leaves no lock behind.
         int ready[2];
         CHECK(::pipe(ready) == 0);
         const pid_t pid = ::fork();
@@ -44,13 +44,13 @@
         CHECK(::kill(pid, SIGKILL) == 0 && ::waitpid(pid, nullptr, 0) == pid);
         CHECK(one.processes() == 1);
     }
-    bool refused = false;
+    bool failed = false;
     try {
         ProcessRegistry nowhere{folder / "no" / "such"};
     } catch (const std::system_error& e) {
-        refused = std::string{e.what()}.find("no/such") != std::string::npos;
+        failed = std::string{e.what()}.find("no/such") != std::string::npos;
     }
-    CHECK(refused);
+    CHECK(failed);
     std::filesystem::remove_all(folder);
 }
 
@@ -58,5 +58,5 @@
 
 int main() {
     processes_are_counted_by_their_locks();
-    std::puts("process registry: every case holds");
+    std::puts("process registry: all cases passed");
 }
--- a/tests/store/replica_store_test.cpp
+++ b/tests/store/replica_store_test.cpp
@@ -1,5 +1,6 @@
-// The replicated state's store: what is written is there again, cut at every write nothing acknowledged is
-// lost, and what is damaged or somebody else's is rejected by name and left alone.
+// The store of the replicated state: written state is restored, no completed commit is lost if the
+// write-ahead log is truncated in the last one, and files that are damaged or of another program are rejected
+// with their path and left unchanged.
 #include "store/replica_store.h"
 
 #include <unistd.h>
@@ -70,8 +71,8 @@
     return std::nullopt;
 }
 
-void what_was_written_is_restored_and_removed_when_gone(const Folder& folder) {
-    const auto file = folder.file("whole");
+void written_state_is_restored_and_deleted_entries_are_removed(const Folder& folder) {
+    const auto file = folder.file("restored");
     Replica a{"a", "a", "a@1", {}, 1, 0ms};
     {
         ReplicaStore store{file, "a@1"};
@@ -83,7 +84,7 @@
             store.write(a, a.take_unsaved_changes());
             CHECK(holds(store, a));
         }
-        // One process at a time.
+        // The file is locked by one process at a time.
         bool held = false;
         try {
             ReplicaStore second{file, "b@1"};
@@ -92,14 +93,14 @@
         }
         CHECK(held);
     }
-    // The origin is the store's, whoever opens it, and numbers go on from there.
+    // The stored writer id takes precedence over the one passed in, and versions continue.
     ReplicaStore store{file, "later@2"};
     CHECK(store.writer() == "a@1" && holds(store, a));
     Replica again{"a", "a", store.writer(), {}, 1, 0ms};
     again.restore(store.entries(), store.writer_logs());
     CHECK(again.digest() == a.digest());
     CHECK(again.set("ban/new", "", kNow) && again.versions().at("a@1") == a.versions().at("a@1") + 1);
-    // Forgotten, and replaced by a full copy: what is gone is gone from the file too.
+    // A full write removes entries that no longer exist from the file, too.
     Replica empty{"a", "a", "a@1", {}, 1, 0ms};
     Replica::UnsavedChanges all;
     all.everything = true;
@@ -107,13 +108,13 @@
     CHECK(store.entries().empty() && holds(store, empty));
 }
 
-// A kill leaves the log of writes cut anywhere in the last commit: all commits before it are there, and it is
-// there whole or not at all.
-void a_log_cut_anywhere_holds_the_last_commit_whole_or_not_at_all(const Folder& folder) {
-    const auto file = folder.file("cut");
+// A killed process may leave the write-ahead log truncated anywhere in the last commit. All earlier commits
+// must be intact, and the last one restored completely or not at all.
+void a_truncated_log_contains_the_last_commit_completely_or_not_at_all(const Folder& folder) {
+    const auto file = folder.file("truncated");
     Replica a{"a", "a", "a@1", {}, 1, 0ms};
     ReplicaStore store{file, "a@1"};
-    std::size_t cuts = 0;
+    std::size_t truncations = 0;
     for (int i = 0; i < 12; ++i) {
         const auto before_log = read(file + "-wal");
         const auto entries_before = a.entries();
@@ -135,14 +136,14 @@
             }
             fs::remove(copy);
             fs::remove(copy + "-wal");
-            ++cuts;
+            ++truncations;
         }
     }
-    CHECK(cuts > 500);
-    std::printf("%zu cuts\n", cuts);
+    CHECK(truncations > 500);
+    std::printf("%zu truncations\n", truncations);
 }
 
-void a_damaged_or_foreign_file_is_rejected_by_name_and_left_alone(const Folder& folder) {
+void a_damaged_or_foreign_file_is_rejected_with_its_path_and_left_unchanged(const Folder& folder) {
     const auto good = folder.file("good");
     {
         ReplicaStore store{good, "a@1"};
@@ -154,17 +155,17 @@
     const auto bytes = read(good);
     CHECK(bytes.size() > 8'192 && !rejection(good));
     const auto bad = folder.file("bad");
-    // Nobody's database, and one cut in the middle of its pages.
+    // Files that are not a database, and databases truncated in the middle of their pages.
     std::size_t rejected = 0;
     for (const auto& damaged : {std::string(10'000, 'x'), std::string("not a store"), bytes.substr(0, 4'096),
                                 bytes.substr(0, bytes.size() - 5'000)}) {
         write(bad, damaged);
         const auto why = rejection(bad);
         CHECK(why && why->find(bad) != std::string::npos);
-        CHECK(read(bad) == damaged);  // left as it was
+        CHECK(read(bad) == damaged);  // unchanged
         ++rejected;
     }
-    // Bytes overwritten anywhere: rejected, or it reads; never a crash.
+    // Bytes overwritten anywhere: the file is rejected or can be read, and never causes a crash.
     for (std::size_t at = 0; at + 64 < bytes.size(); at += 509) {
         auto damaged = bytes;
         for (std::size_t i = 0; i < 64; ++i)
@@ -185,8 +186,8 @@
 
 int main() {
     const Folder folder;
-    what_was_written_is_restored_and_removed_when_gone(folder);
-    a_log_cut_anywhere_holds_the_last_commit_whole_or_not_at_all(folder);
-    a_damaged_or_foreign_file_is_rejected_by_name_and_left_alone(folder);
-    std::puts("replica store: what is acknowledged is kept, what is damaged is rejected by name");
+    written_state_is_restored_and_deleted_entries_are_removed(folder);
+    a_truncated_log_contains_the_last_commit_completely_or_not_at_all(folder);
+    a_damaged_or_foreign_file_is_rejected_with_its_path_and_left_unchanged(folder);
+    std::puts("replica store: all cases passed");
 }
