--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -36,7 +36,7 @@
 
 void HttpSession::set_timeout(std::chrono::milliseconds timeout, void (HttpSession::*action)()) {
     timeout_.expires_after(timeout);
-    // A handler that was already queued when the timeout was replaced must not behaviour on the new state.
+    // A handler that was already queued when the timeout was replaced must not act on the new state.
     timeout_.async_wait(
         [weak = weak_from_this(), action, generation = ++timeout_generation_](const error_code& error) {
             const auto self = weak.lock();
--- a/src/net/server_protocol.cpp
+++ b/src/net/server_protocol.cpp
@@ -181,7 +181,7 @@
     if (result.attempt_status == AttemptStatus::success) {
         result.not_modified = response.result() == http::status::not_modified;
         result.tag = to_string_view(response[kTag]);
-        result.made_ms = parse_unix_ms(to_string_view(response[kMadeAtUnixMs]));
+        result.generated_ms = parse_unix_ms(to_string_view(response[kMadeAtUnixMs]));
         result.body = std::move(response.body());
     }
     return result;
--- a/src/store/replica_store.cpp
+++ b/src/store/replica_store.cpp
@@ -101,7 +101,7 @@
     void write(const cluster::Replica::UnsavedChanges& changes) {
         for (const auto& key : changes.keys)
             write_entry(key);
-        for (const auto& writer : changes.origins)
+        for (const auto& writer : changes.writers)
             write_writer(writer);
         for (const auto& [writer, key] : changes.log_items)
             write_log_item(writer, key);
