--- a/src/app/dns_part.cpp
+++ b/src/app/dns_part.cpp
@@ -21,10 +21,11 @@
 front::dns::ZoneSettings zone_settings(const config::DnsSettings& settings) {
     front::dns::ZoneSettings zone;
     zone.name = name_from(settings.zone);
-    zone.server = name_from(settings.server);
-    zone.server_address = settings.server_address;
+    zone.name_server = name_from(settings.server);
+    zone.name_server_address = settings.server_address;
     zone.mailbox = name_from(settings.mailbox);
-    const bool server_inside = zone.server != zone.name && front::dns::ends_with(zone.server, zone.name);
+    const bool server_inside =
+        zone.name_server != zone.name && front::dns::ends_with(zone.name_server, zone.name);
     if (!server_inside)
         throw config::ConfigError("dns: the server's name is not inside the zone");
     if (!settings.server_address.empty() && front::dns::address_data(settings.server_address).empty())
@@ -42,11 +43,11 @@
     explicit ZoneChallengeRecords(DnsFrontEnd& front_end) : front_end_(front_end) {}
     void publish(const std::string& name, const std::string& text) override {
         if (const auto parsed = front::dns::parse_name(name))
-            front_end_.add_text(*parsed, text);
+            front_end_.add_txt_record(*parsed, text);
     }
     void remove(const std::string& name) override {
         if (const auto parsed = front::dns::parse_name(name))
-            front_end_.remove_texts(*parsed);
+            front_end_.remove_txt_records(*parsed);
     }
 
 private:
--- a/src/app/program.cpp
+++ b/src/app/program.cpp
@@ -52,7 +52,7 @@
         on_process_count(processes);
     handover_.on_change([this](std::size_t processes) { on_process_count(processes); });
     lifecycle_.on_change([this](Lifecycle::Phase phase) { on_phase(phase); });
-    platform_.set_more_counters([this] { return module_counters(); });
+    platform_.set_additional_counters([this] { return module_counters(); });
     parts_.create();
 }
 
--- a/src/front/dns/dns_front_end.cpp
+++ b/src/front/dns/dns_front_end.cpp
@@ -130,21 +130,21 @@
     };
     // Never all there is (RFC 8482).
     if (type == RecordType::any)
-        return {static_record(RecordType::hinfo, text_data("RFC8482") + text_data(""))};
+        return {static_record(RecordType::hinfo, txt_data("RFC8482") + txt_data(""))};
     if (entry.kind == Kind::apex && type == RecordType::soa)
         return {soa()};
     if (entry.kind == Kind::apex && type == RecordType::ns)
-        return {static_record(RecordType::ns, encode_name(zone_.server))};
+        return {static_record(RecordType::ns, encode_name(zone_.name_server))};
     if (entry.kind == Kind::name_server && asks_for_address(query)) {
-        std::string address = address_data(zone_.server_address);
+        std::string address = address_data(zone_.name_server_address);
         if (is_wanted_address(query, address))
             return {static_record(type, std::move(address))};
     }
     std::vector<Record> records;
-    if (entry.kind == Kind::text && type == RecordType::txt) {
+    if (entry.kind == Kind::txt && type == RecordType::txt) {
         const auto [begin, end] = texts_.equal_range(query.name);
         for (auto at = begin; at != end; ++at)
-            records.push_back({.type = RecordType::txt, .ttl_s = kTextTtl, .data = text_data(at->second)});
+            records.push_back({.type = RecordType::txt, .ttl_s = kTextTtl, .data = txt_data(at->second)});
     }
     return records;
 }
@@ -153,7 +153,7 @@
     return {.at_apex = true,
             .type = RecordType::soa,
             .ttl_s = zone_.redirect_ttl_s,
-            .data = soa_data(zone_.server, zone_.mailbox, kSoaSerial, zone_.redirect_ttl_s)};
+            .data = soa_data(zone_.name_server, zone_.mailbox, kSoaSerial, zone_.redirect_ttl_s)};
 }
 
 Response DnsFrontEnd::negative(Rcode rcode) const {
--- a/src/front/dns/dns_front_end.h
+++ b/src/front/dns/dns_front_end.h
@@ -19,10 +19,10 @@
     void handle(std::string_view bytes, const net::DnsQuerySource& source, net::DnsReplyHandler reply);
 
     // TXT records, by which certificate orders are proven.
-    void add_text(const Name& name, std::string text) {
+    void add_txt_record(const Name& name, std::string text) {
         texts_.emplace(name, std::move(text));
     }
-    void remove_texts(const Name& name) {
+    void remove_txt_records(const Name& name) {
         texts_.erase(name);
     }
     const ZoneSettings& zone() const {
@@ -51,7 +51,7 @@
     ZoneSettings zone_;
     Log& log_;
     RequestClasses classes_;
-    TextRecords texts_;
+    TxtRecords texts_;
 };
 
 }  // namespace silverrail::front::dns
--- a/src/front/dns/response.cpp
+++ b/src/front/dns/response.cpp
@@ -150,7 +150,7 @@
     return {};
 }
 
-std::string text_data(std::string_view text) {
+std::string txt_data(std::string_view text) {
     std::string out;
     do {
         const std::string_view part = text.substr(0, kMaxStringBytes);
--- a/src/front/dns/response.h
+++ b/src/front/dns/response.h
@@ -35,7 +35,7 @@
 
 // RDATA. Of an address 4 or 16 bytes; empty if the text is no address.
 std::string address_data(std::string_view address);
-std::string text_data(std::string_view text);
+std::string txt_data(std::string_view text);
 std::string soa_data(const Name& server, const Name& mailbox, std::uint32_t serial,
                      std::uint32_t negative_ttl_s);
 
--- a/src/front/dns/zone.cpp
+++ b/src/front/dns/zone.cpp
@@ -64,8 +64,8 @@
     return entry;
 }
 
-bool has_names_below(const Name& name, const ZoneSettings& zone, const TextRecords& texts) {
-    if (ends_with(zone.server, name))
+bool has_names_below(const Name& name, const ZoneSettings& zone, const TxtRecords& texts) {
+    if (ends_with(zone.name_server, name))
         return true;
     return std::any_of(texts.begin(), texts.end(),
                        [&](const auto& record) { return ends_with(record.first, name); });
@@ -74,17 +74,17 @@
 }  // namespace
 
 ZoneEntry find_entry(const Name& name, const ZoneSettings& zone, const RequestClasses& classes,
-                     const TextRecords& texts) {
+                     const TxtRecords& texts) {
     using Kind = ZoneEntry::Kind;
     if (!ends_with(name, zone.name))
         return {.kind = Kind::outside_zone};
     const std::size_t labels = name.size() - zone.name.size();
     if (labels == 0)
         return {.kind = Kind::apex};
-    if (name == zone.server)
+    if (name == zone.name_server)
         return {.kind = Kind::name_server};
     if (texts.contains(name))
-        return {.kind = Kind::text};
+        return {.kind = Kind::txt};
     if (classes.exists(name[labels - 1]))
         return entry_of_class(name, labels, classes);
     if (has_names_below(name, zone, texts))
--- a/src/front/dns/zone.h
+++ b/src/front/dns/zone.h
@@ -11,9 +11,9 @@
 
 struct ZoneSettings {
     Name name;
-    Name server;                 // the zone's name server, inside the zone: NS, SOA and certificate name
-    std::string server_address;  // of the name server itself
-    Name mailbox;                // of the SOA record
+    Name name_server;                 // the zone's name server, inside the zone: NS, SOA and certificate name
+    std::string name_server_address;  // of the name server itself
+    Name mailbox;                     // of the SOA record
     std::uint32_t redirect_ttl_s = 1;                       // of an answer that names a server of the list
     std::uint32_t static_ttl_s = 300;                       // of the zone's own records
     core::Span deadline = std::chrono::milliseconds{1000};  // of the requests that queries become
@@ -29,7 +29,7 @@
         empty_non_terminal,    // it only has other names below it (RFC 8020)
         object,                // `request` says which
         non_idempotent_class,  // or below one; resolvers repeat queries by themselves
-        text,                  // there are TXT records
+        txt,                   // there are TXT records
         nonexistent
     };
     Kind kind = Kind::nonexistent;
@@ -43,9 +43,9 @@
 };
 
 // TXT records that are set at run time.
-using TextRecords = std::multimap<Name, std::string>;
+using TxtRecords = std::multimap<Name, std::string>;
 
 ZoneEntry find_entry(const Name& name, const ZoneSettings& zone, const RequestClasses& classes,
-                     const TextRecords& texts);
+                     const TxtRecords& texts);
 
 }  // namespace silverrail::front::dns
--- a/src/front/platform/platform.cpp
+++ b/src/front/platform/platform.cpp
@@ -212,8 +212,8 @@
 net::HttpResponse Platform::counters_response() const {
     net::HttpResponse response{http::status::ok, kHttp11};
     response.body() = engine_.counters().text();
-    if (more_counters_)
-        response.body() += more_counters_();
+    if (additional_counters_)
+        response.body() += additional_counters_();
     return response;
 }
 
--- a/src/front/platform/platform.h
+++ b/src/front/platform/platform.h
@@ -28,8 +28,8 @@
     Platform(core::Engine& engine, const Lifecycle& lifecycle, Log& log)
         : engine_(engine), lifecycle_(lifecycle), log_(log) {}
     // Lines that `GET /counters` shows after the core's.
-    void set_more_counters(std::function<std::string()> more) {
-        more_counters_ = std::move(more);
+    void set_additional_counters(std::function<std::string()> counters) {
+        additional_counters_ = std::move(counters);
     }
     // Handles a request that was read whole, and answers it now or later.
     void handle(const std::shared_ptr<net::HttpSession>& session, net::HttpRequest request);
@@ -41,7 +41,7 @@
     core::Engine& engine_;
     const Lifecycle& lifecycle_;
     Log& log_;
-    std::function<std::string()> more_counters_;
+    std::function<std::string()> additional_counters_;
 };
 
 }  // namespace silverrail::front
--- a/tests/acme/order_test.cpp
+++ b/tests/acme/order_test.cpp
@@ -42,10 +42,10 @@
 struct FrontChallengeRecords : acme::ChallengeRecords {
     explicit FrontChallengeRecords(DnsFrontEnd& f) : front_end(f) {}
     void publish(const std::string& name, const std::string& text) override {
-        front_end.add_text(*parse_name(name), text);
+        front_end.add_txt_record(*parse_name(name), text);
     }
     void remove(const std::string& name) override {
-        front_end.remove_texts(*parse_name(name));
+        front_end.remove_txt_records(*parse_name(name));
     }
     DnsFrontEnd& front_end;
 };
@@ -87,8 +87,8 @@
     static ZoneSettings zone() {
         ZoneSettings z;
         z.name = *parse_name("route.example");
-        z.server = *parse_name(kDomain);
-        z.server_address = "127.0.0.53";
+        z.name_server = *parse_name(kDomain);
+        z.name_server_address = "127.0.0.53";
         z.mailbox = *parse_name("hostmaster.example");
         return z;
     }
--- a/tests/dns/fixture.h
+++ b/tests/dns/fixture.h
@@ -45,8 +45,8 @@
 inline ZoneSettings zone() {
     ZoneSettings z;
     z.name = *parse_name("route.example");
-    z.server = *parse_name("ns1.route.example");
-    z.server_address = "127.0.0.53";
+    z.name_server = *parse_name("ns1.route.example");
+    z.name_server_address = "127.0.0.53";
     z.mailbox = *parse_name("hostmaster.example");
     return z;
 }
--- a/tests/dns/front_end_test.cpp
+++ b/tests/dns/front_end_test.cpp
@@ -66,7 +66,7 @@
 void long_responses_are_truncated_over_udp() {
     Fixture f;
     for (int i = 0; i < 8; ++i)
-        f.router.front_end.add_text(*parse_name("t.route.example"), std::string(200, 'x'));
+        f.router.front_end.add_txt_record(*parse_name("t.route.example"), std::string(200, 'x'));
     CHECK(f.udp.ask(query("t.route.example", RecordType::txt)).truncated);
 }
 
--- a/tests/dns/server_test.cpp
+++ b/tests/dns/server_test.cpp
@@ -44,7 +44,7 @@
     DnsRouter router{io};
     router.list({listed("s-a", "127.0.1.1:80")});
     for (int i = 0; i < 8; ++i)
-        router.front_end.add_text(*parse_name("t.route.example"), std::string(200, 'x'));
+        router.front_end.add_txt_record(*parse_name("t.route.example"), std::string(200, 'x'));
     tcp::socket stream{io};
     stream.connect(router.server.tcp_local());
     const std::string queries = with_length(query("t.route.example", RecordType::txt)) +
--- a/tests/silverrail/parsers_test.cpp
+++ b/tests/silverrail/parsers_test.cpp
@@ -219,7 +219,7 @@
     const auto q = std::get<Query>(parse_query(query("a.example", 16)));
     Response r;
     for (int i = 0; i < 4; ++i)
-        r.answers.push_back({false, RecordType::txt, 0, text_data(std::string(200, 'x'))});
+        r.answers.push_back({false, RecordType::txt, 0, txt_data(std::string(200, 'x'))});
     const std::string truncated = encode_response(q, r, *parse_name("example"), max_udp_response(q));
     CHECK(truncated.size() <= 512 && (truncated[2] & 2) && truncated[7] == 0);
     CHECK(!(encode_response(q, r, *parse_name("example"), 65535)[2] & 2));
@@ -230,12 +230,12 @@
     using Kind = ZoneEntry::Kind;
     ZoneSettings zone;
     zone.name = *parse_name("route.example");
-    zone.server = *parse_name("ns1.hosts.route.example");
+    zone.name_server = *parse_name("ns1.hosts.route.example");
     const RequestClasses classes{[](const std::string& n) { return n == "pages" || n == "lodge"; },
                                  [](const std::string& n) {
                                      return n == "lodge";
                                  }};
-    TextRecords texts;
+    TxtRecords texts;
     texts.emplace(*parse_name("_acme-challenge.ns1.hosts.route.example"), "proof");
     struct Case {
         const char* name;
@@ -247,7 +247,7 @@
         {"xroute.example", Kind::outside_zone},
         {"NS1.hosts.Route.example", Kind::name_server},
         {"hosts.route.example", Kind::empty_non_terminal},
-        {"_acme-challenge.ns1.hosts.route.example", Kind::text},
+        {"_acme-challenge.ns1.hosts.route.example", Kind::txt},
         {"pages.route.example", Kind::empty_non_terminal},
         {"7f3a9c21e0b4d655.pages.route.example", Kind::object},
         {"lot-17.7f3a9c21e0b4d655.PAGES.route.example", Kind::object},
