--- a/src/acme/base64url.cpp
+++ b/src/acme/base64url.cpp
@@ -11,12 +11,12 @@
 constexpr unsigned kBitsPerByte = 8;
 constexpr std::uint32_t kDigitMask = 0x3f;
 constexpr std::uint32_t kByteMask = 0xff;
-constexpr std::size_t kDigitsPerGroup = 4;  // that stand for three bytes
+constexpr std::size_t kDigitsPerGroup = 4;  // which encode 3 bytes
 
 }  // namespace
 
 std::string encode_base64url(std::string_view bytes) {
-    std::string text;
+    std::string encoded;
     std::uint32_t bits = 0;
     unsigned bit_count = 0;
     for (const unsigned char byte : bytes) {
@@ -24,22 +24,22 @@
         bit_count += kBitsPerByte;
         while (bit_count >= kBitsPerDigit) {
             bit_count -= kBitsPerDigit;
-            text += kDigits[bits >> bit_count & kDigitMask];
+            encoded += kDigits[bits >> bit_count & kDigitMask];
         }
     }
     if (bit_count > 0)
-        text += kDigits[bits << (kBitsPerDigit - bit_count) & kDigitMask];
-    return text;
+        encoded += kDigits[bits << (kBitsPerDigit - bit_count) & kDigitMask];
+    return encoded;
 }
 
-std::optional<std::string> decode_base64url(std::string_view text) {
-    // A single digit cannot stand for a whole byte.
-    if (text.size() % kDigitsPerGroup == 1)
+std::optional<std::string> decode_base64url(std::string_view encoded) {
+    // A single remaining digit (6 bits) cannot encode a byte.
+    if (encoded.size() % kDigitsPerGroup == 1)
         return std::nullopt;
     std::string bytes;
     std::uint32_t bits = 0;
     unsigned bit_count = 0;
-    for (const char digit : text) {
+    for (const char digit : encoded) {
         const auto value = kDigits.find(digit);
         if (value == std::string_view::npos)
             return std::nullopt;
@@ -50,8 +50,8 @@
             bytes += static_cast<char>(bits >> bit_count & kByteMask);
         }
     }
-    const std::uint32_t left_over = bits & ((1U << bit_count) - 1);
-    if (left_over != 0)
+    const std::uint32_t trailing_bits = bits & ((1U << bit_count) - 1);
+    if (trailing_bits != 0)
         return std::nullopt;
     return bytes;
 }
--- a/src/acme/base64url.h
+++ b/src/acme/base64url.h
@@ -1,4 +1,4 @@
-// Base64 for URLs, without padding (RFC 4648, section 5).
+// URL-safe Base64 without padding (RFC 4648, section 5).
 #pragma once
 
 #include <optional>
@@ -8,7 +8,7 @@
 namespace silverrail::acme {
 
 std::string encode_base64url(std::string_view bytes);
-// Absent if the text has another character, an impossible length, or bits left over that are not 0.
-std::optional<std::string> decode_base64url(std::string_view text);
+// Returns std::nullopt if the input has an invalid character, an impossible length or non-zero trailing bits.
+std::optional<std::string> decode_base64url(std::string_view encoded);
 
 }  // namespace silverrail::acme
--- a/src/acme/client.h
+++ b/src/acme/client.h
@@ -1,4 +1,5 @@
-// An ACME client (RFC 8555): orders a certificate by a DNS-01 challenge and renews it. It knows no sockets.
+// An ACME client (RFC 8555) that orders a certificate with a DNS-01 challenge and renews it. Network access
+// is left to HttpTransport.
 #pragma once
 
 #include <deque>
@@ -14,7 +15,7 @@
 namespace silverrail::acme {
 
 struct IssuedCertificate {
-    std::string chain_pem;  // the certificate first
+    std::string chain_pem;  // leaf certificate first
     std::string key_pem;
 };
 
@@ -26,7 +27,7 @@
 
 class Client {
 public:
-    // What the client acts through; the references outlive it.
+    // The referenced objects must outlive the client.
     struct Dependencies {
         CredentialStore store;
         HttpTransport& transport;
@@ -34,26 +35,26 @@
         core::Timers& timers;
         const core::Clock& clock;
         Log& log;
-        std::uint64_t seed;  // of the jitter between attempts
+        std::uint64_t seed;  // of the retry jitter
     };
     using IssuedHandler = std::function<void(const IssuedCertificate&)>;
 
-    // `on_issued` gets each certificate that is to be used from then on.
+    // `on_issued` is called with each certificate that is put into use.
     Client(ClientSettings settings, Dependencies dependencies, IssuedHandler on_issued);
     ~Client();
     Client(const Client&) = delete;
     Client& operator=(const Client&) = delete;
 
-    // Uses the stored certificate while it is valid; orders one if there is none or two thirds of its time
-    // are over. An order that fails is repeated with backoff, for ever.
+    // Uses the stored certificate while it is valid. Orders a new one if there is none or once two thirds of
+    // its validity period have passed. A failed order is retried with backoff, without limit.
     void start();
 
 private:
     using PollHandler = void (Client::*)(const HttpResponse&);
 
-    // One order, in this sequence.
+    // The steps of an order, in sequence.
     void begin_order();
-    void load_or_make_account_key();
+    void load_or_create_account_key();
     void request_order();
     void on_order(const HttpResponse& response);
     void request_next_authorization();
@@ -64,7 +65,7 @@
     void on_order_status(const HttpResponse& response);
     void on_certificate(const HttpResponse& response);
 
-    // Asks again for the state at `url` after a pause.
+    // Fetches the state at `url` again after a delay.
     void poll(const char* step, const std::string& url, const HttpResponse& last, PollHandler handler);
     void fail(const AcmeError& error);
     core::Span next_retry_delay();
@@ -76,23 +77,23 @@
     void run_after(core::Span delay, std::function<void()> action);
 
     const ClientSettings settings_;
-    Dependencies with_;
+    Dependencies dependencies_;
     IssuedHandler on_issued_;
     std::mt19937_64 random_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-    int failures_ = 0;  // in succession
+    int consecutive_failures_ = 0;
 
     PrivateKey account_key_;
     Session session_;
 
-    // Of the order in progress.
+    // State of the order in progress.
     std::string order_url_;
     std::string finalize_url_;
-    std::deque<std::string> authorization_urls_;  // still to be fulfilled
+    std::deque<std::string> authorization_urls_;  // not yet fulfilled
     std::string authorization_url_;
-    std::vector<std::string> published_names_;  // of challenge records
+    std::vector<std::string> published_names_;  // owner names of the published challenge records
     PrivateKey certificate_key_;
-    int polls_ = 0;  // of the state that is waited for
+    int polls_ = 0;  // of the current authorization or order
 };
 
 }  // namespace silverrail::acme
--- a/src/acme/credential_store.h
+++ b/src/acme/credential_store.h
@@ -1,4 +1,4 @@
-// The files in which the account's key and the certificate outlast the process.
+// Stores the account key, the certificate and its key in files, so that they survive a restart.
 #pragma once
 
 #include <optional>
@@ -13,12 +13,12 @@
 
 class CredentialStore {
 public:
-    // An empty folder stores nothing.
+    // With an empty `folder`, nothing is stored.
     explicit CredentialStore(std::string folder) : folder_(std::move(folder)) {}
-    // Absent if there is no such file, or it cannot be opened.
+    // Returns std::nullopt if the file does not exist or cannot be opened.
     std::optional<std::string> load(const std::string& file) const;
-    // Replaces the file as a whole; it is readable by its owner alone from its first byte on. Throws
-    // store::FileError.
+    // Replaces the file atomically. It is never readable by anyone but its owner, not even while it is being
+    // written. Throws store::FileError.
     void save(const std::string& file, std::string_view bytes) const;
 
 private:
--- a/src/acme/crypto.cpp
+++ b/src/acme/crypto.cpp
@@ -29,7 +29,7 @@
 };
 using Extensions = std::unique_ptr<STACK_OF(X509_EXTENSION), ExtensionsDeleter>;
 
-constexpr int kCoordinateBytes = 32;  // of a P-256 point
+constexpr int kCoordinateBytes = 32;  // of one coordinate of a P-256 point
 constexpr std::size_t kSha256Bytes = 32;
 constexpr std::size_t kMaxDerSignatureBytes = 128;
 
@@ -46,7 +46,7 @@
 
 std::string coordinate(const PrivateKey& key, const char* name) {
     BIGNUM* raw = nullptr;
-    require(EVP_PKEY_get_bn_param(key.get(), name, &raw) == 1, "key without a public part");
+    require(EVP_PKEY_get_bn_param(key.get(), name, &raw) == 1, "key has no public key");
     const BigNumber number{raw};
     std::string bytes(kCoordinateBytes, '\0');
     require(BN_bn2binpad(number.get(), reinterpret_cast<unsigned char*>(bytes.data()), kCoordinateBytes) ==
@@ -55,23 +55,23 @@
     return bytes;
 }
 
-// r and s, one behind the other, of a signature in DER.
+// Converts a DER signature to r and s, concatenated.
 std::string raw_signature(std::string_view der) {
     const auto* next = reinterpret_cast<const unsigned char*>(der.data());
     const Signature signature{d2i_ECDSA_SIG(nullptr, &next, static_cast<long>(der.size()))};
-    require(signature != nullptr, "not signed");
+    require(signature != nullptr, "cannot decode the DER signature");
     std::string out(static_cast<std::size_t>(2) * kCoordinateBytes, '\0');
     auto* r = reinterpret_cast<unsigned char*>(out.data());
     unsigned char* s = r + kCoordinateBytes;
     require(BN_bn2binpad(ECDSA_SIG_get0_r(signature.get()), r, kCoordinateBytes) == kCoordinateBytes &&
                 BN_bn2binpad(ECDSA_SIG_get0_s(signature.get()), s, kCoordinateBytes) == kCoordinateBytes,
-            "not signed");
+            "signature is not P-256");
     return out;
 }
 
 std::int64_t unix_seconds(const ASN1_TIME* time) {
     std::tm tm{};
-    require(ASN1_TIME_to_tm(time, &tm) == 1, "certificate without a time");
+    require(ASN1_TIME_to_tm(time, &tm) == 1, "certificate has an invalid validity period");
     return timegm(&tm);
 }
 
@@ -80,20 +80,20 @@
 std::string sha256(std::string_view bytes) {
     std::array<unsigned char, kSha256Bytes> out{};
     require(EVP_Digest(bytes.data(), bytes.size(), out.data(), nullptr, EVP_sha256(), nullptr) == 1,
-            "sha256");
+            "SHA-256 failed");
     return {reinterpret_cast<const char*>(out.data()), out.size()};
 }
 
 PrivateKey generate_key() {
     PrivateKey key{EVP_EC_gen("P-256")};
-    require(key != nullptr, "no key made");
+    require(key != nullptr, "cannot generate a P-256 key");
     return key;
 }
 
 std::string key_to_pem(const PrivateKey& key) {
     const Bio bio{BIO_new(BIO_s_mem())};
     require(bio && PEM_write_bio_PrivateKey(bio.get(), key.get(), nullptr, nullptr, 0, nullptr, nullptr) == 1,
-            "key not written");
+            "cannot encode the key as PEM");
     char* data = nullptr;
     const long size = BIO_get_mem_data(bio.get(), &data);
     return {data, static_cast<std::size_t>(size)};
@@ -101,7 +101,7 @@
 
 PrivateKey key_from_pem(std::string_view pem) {
     PrivateKey key{PEM_read_bio_PrivateKey(memory_reader(pem).get(), nullptr, nullptr, nullptr)};
-    require(key != nullptr, "not a key in PEM");
+    require(key != nullptr, "not a PEM private key");
     (void)coordinate(key, OSSL_PKEY_PARAM_EC_PUB_X);
     return key;
 }
@@ -119,11 +119,12 @@
 std::string sign_es256(const PrivateKey& key, std::string_view bytes) {
     const Digest digest{EVP_MD_CTX_new()};
     require(digest && EVP_DigestSignInit(digest.get(), nullptr, EVP_sha256(), nullptr, key.get()) == 1,
-            "not signed");
+            "cannot sign with ES256");
     std::array<unsigned char, kMaxDerSignatureBytes> der{};
     std::size_t size = der.size();
     const auto* input = reinterpret_cast<const unsigned char*>(bytes.data());
-    require(EVP_DigestSign(digest.get(), der.data(), &size, input, bytes.size()) == 1, "not signed");
+    require(EVP_DigestSign(digest.get(), der.data(), &size, input, bytes.size()) == 1,
+            "cannot sign with ES256");
     return raw_signature({reinterpret_cast<const char*>(der.data()), size});
 }
 
@@ -131,20 +132,20 @@
     const SigningRequest request{X509_REQ_new()};
     require(request && X509_REQ_set_version(request.get(), 0) == 1 &&
                 X509_REQ_set_pubkey(request.get(), key.get()) == 1,
-            "no signing request");
+            "cannot create the certificate signing request");
     const Extensions extensions{sk_X509_EXTENSION_new_null()};
     const std::string names = "DNS:" + domain;
     X509_EXTENSION* alternative_names =
         X509V3_EXT_conf_nid(nullptr, nullptr, NID_subject_alt_name, names.c_str());
     require(
         extensions && alternative_names && sk_X509_EXTENSION_push(extensions.get(), alternative_names) > 0,
-        "no name in the request");
+        "cannot add the DNS name to the certificate signing request");
     require(X509_REQ_add_extensions(request.get(), extensions.get()) == 1 &&
                 X509_REQ_sign(request.get(), key.get(), EVP_sha256()) > 0,
-            "signing request not signed");
+            "cannot sign the certificate signing request");
     unsigned char* der = nullptr;
     const int size = i2d_X509_REQ(request.get(), &der);
-    require(size > 0, "signing request not written");
+    require(size > 0, "cannot encode the certificate signing request");
     std::string out{reinterpret_cast<char*>(der), static_cast<std::size_t>(size)};
     OPENSSL_free(der);
     return out;
@@ -152,7 +153,7 @@
 
 Certificate first_certificate(std::string_view pem) {
     Certificate certificate{PEM_read_bio_X509(memory_reader(pem).get(), nullptr, nullptr, nullptr)};
-    require(certificate != nullptr, "not a certificate in PEM");
+    require(certificate != nullptr, "not a PEM certificate");
     return certificate;
 }
 
--- a/src/acme/error.h
+++ b/src/acme/error.h
@@ -1,4 +1,4 @@
-// Why a certificate order was given up.
+// The error that ends a certificate order.
 #pragma once
 
 #include <stdexcept>
@@ -8,10 +8,10 @@
 
 namespace silverrail::acme {
 
-// The authority's answer, or the lack of one, ends the order.
+// The order failed: the authority sent an error or an invalid response, or did not respond.
 class AcmeError : public std::runtime_error {
 public:
-    // `retry_after`: what the authority asked for before the next order; 0: nothing.
+    // `retry_after`: the minimum delay before the next order, as requested by the authority; 0 if none.
     explicit AcmeError(const std::string& reason, core::Span retry_after = {})
         : std::runtime_error(reason), retry_after_(retry_after) {}
     core::Span retry_after() const {
--- a/src/acme/http_transport.h
+++ b/src/acme/http_transport.h
@@ -1,4 +1,4 @@
-// HTTPS as the ACME client sees it.
+// The HTTPS interface of the ACME client.
 #pragma once
 
 #include <functional>
@@ -9,23 +9,23 @@
 struct HttpRequest {
     std::string method{};  // GET, HEAD or POST
     std::string url{};
-    std::string body{};  // of a POST: a JWS in JSON
+    std::string body{};  // for POST: a JWS in JSON
 };
 
-// The fields that ACME reads; each is empty if the response does not have it.
+// The response fields that ACME uses. A field that the response lacks is empty.
 struct HttpResponse {
-    unsigned status = 0;  // 0: there was no response
+    unsigned status = 0;  // 0: no response was received
     std::string body{};
     std::string location{};
     std::string nonce{};        // Replay-Nonce
-    std::string retry_after{};  // Retry-After, as it stands in the header
-    std::string error{};        // why there was no response
+    std::string retry_after{};  // Retry-After, unparsed
+    std::string error{};        // why no response was received
 };
 
 class HttpTransport {
 public:
     virtual ~HttpTransport() = default;
-    // Calls `done` once, with a response or an error; this may be before it returns.
+    // Calls `done` exactly once, with a response or an error, possibly before this returns.
     virtual void send(HttpRequest request, std::function<void(HttpResponse)> done) = 0;
 };
 
--- a/src/acme/messages.cpp
+++ b/src/acme/messages.cpp
@@ -18,15 +18,15 @@
     return json;
 }
 
-// Empty if there is no such member, or it is no text.
-std::string text_member(const Json::Value& json, const char* key) {
+// Returns an empty string if the member is missing or not a string.
+std::string string_member(const Json::Value& json, const char* key) {
     if (!json.isObject() || !json[key].isString())
         return {};
     return json[key].asString();
 }
 
 std::string required_url(const Json::Value& directory, const char* key) {
-    std::string url = text_member(directory, key);
+    std::string url = string_member(directory, key);
     if (url.empty())
         throw AcmeError(std::string{"directory without "} + key);
     return url;
@@ -50,9 +50,9 @@
     if (!json)
         return std::nullopt;
     Order order;
-    order.status = text_member(*json, "status");
-    order.finalize_url = text_member(*json, "finalize");
-    order.certificate_url = text_member(*json, "certificate");
+    order.status = string_member(*json, "status");
+    order.finalize_url = string_member(*json, "finalize");
+    order.certificate_url = string_member(*json, "certificate");
     for (const Json::Value& url : (*json)["authorizations"])
         if (url.isString() && order.authorization_urls.size() < kMaxAuthorizations)
             order.authorization_urls.push_back(url.asString());
@@ -64,11 +64,12 @@
     if (!json)
         return std::nullopt;
     Authorization authorization;
-    authorization.status = text_member(*json, "status");
-    authorization.domain = text_member((*json)["identifier"], "value");
+    authorization.status = string_member(*json, "status");
+    authorization.domain = string_member((*json)["identifier"], "value");
     for (const Json::Value& challenge : (*json)["challenges"])
-        if (!authorization.dns_challenge && text_member(challenge, "type") == kDnsChallengeType)
-            authorization.dns_challenge = {text_member(challenge, "url"), text_member(challenge, "token")};
+        if (!authorization.dns_challenge && string_member(challenge, "type") == kDnsChallengeType)
+            authorization.dns_challenge = {string_member(challenge, "url"),
+                                           string_member(challenge, "token")};
     return authorization;
 }
 
@@ -76,7 +77,7 @@
     const auto json = parse_object(text);
     if (!json)
         return std::nullopt;
-    return Problem{text_member(*json, "type"), text_member(*json, "detail")};
+    return Problem{string_member(*json, "type"), string_member(*json, "detail")};
 }
 
 std::string account_request(const std::string& contact) {
--- a/src/acme/messages.h
+++ b/src/acme/messages.h
@@ -1,4 +1,4 @@
-// The JSON objects of ACME (RFC 8555, section 7), read and written.
+// Parses and creates the JSON objects of ACME (RFC 8555, section 7).
 #pragma once
 
 #include <optional>
@@ -8,15 +8,15 @@
 
 namespace silverrail::acme {
 
-// Unless said otherwise, a text is empty if the authority did not send it.
+// Unless noted otherwise, a string is empty if the authority did not send it.
 
-// Where requests go to.
+// The URLs of the authority's resources.
 struct Directory {
     std::string new_nonce_url;
     std::string new_account_url;
     std::string new_order_url;
 };
-// Absent if the text is no JSON object. Throws AcmeError if one of the URLs is missing.
+// Returns std::nullopt if the input is not a JSON object. Throws AcmeError if a URL is missing.
 std::optional<Directory> parse_directory(std::string_view json);
 
 struct Order {
@@ -25,7 +25,7 @@
     std::string certificate_url;
     std::vector<std::string> authorization_urls;  // at most 16
 };
-// Absent if the text is no JSON object.
+// Returns std::nullopt if the input is not a JSON object.
 std::optional<Order> parse_order(std::string_view json);
 
 struct DnsChallenge {
@@ -37,15 +37,15 @@
     std::string domain;
     std::optional<DnsChallenge> dns_challenge;  // the first of type dns-01
 };
-// Absent if the text is no JSON object.
+// Returns std::nullopt if the input is not a JSON object.
 std::optional<Authorization> parse_authorization(std::string_view json);
 
-// An error (RFC 7807).
+// A problem document (RFC 7807).
 struct Problem {
     std::string type;
     std::string detail;
 };
-// Absent if the text is no JSON object.
+// Returns std::nullopt if the input is not a JSON object.
 std::optional<Problem> parse_problem(std::string_view json);
 
 // `contact`: such as "mailto:oncall@example.com"; may be empty.
--- a/src/acme/session.cpp
+++ b/src/acme/session.cpp
@@ -13,15 +13,15 @@
 
 constexpr int kMaxBadNonces = 5;
 constexpr unsigned kMaxRetryAfterSeconds = 86'400;
-constexpr std::chrono::seconds kRetryAfterDate{60};
+constexpr std::chrono::seconds kRetryAfterDateDelay{60};
 constexpr const char* kBadNonceType = "urn:ietf:params:acme:error:badNonce";
 
 constexpr unsigned kOk = 200;
-constexpr unsigned kEndOfSuccess = 300;
+constexpr unsigned kFirstRedirect = 300;
 constexpr unsigned kBadRequest = 400;
 
 bool is_success(const HttpResponse& response) {
-    return response.status >= kOk && response.status < kEndOfSuccess;
+    return response.status >= kOk && response.status < kFirstRedirect;
 }
 
 bool is_bad_nonce(const HttpResponse& response) {
@@ -47,7 +47,7 @@
         return {};
     const auto seconds = config::parse_number<unsigned>(response.retry_after);
     if (!seconds)
-        return kRetryAfterDate;
+        return kRetryAfterDateDelay;
     return std::chrono::seconds{std::min(*seconds, kMaxRetryAfterSeconds)};
 }
 
@@ -89,12 +89,12 @@
     const auto directory = response.status == kOk ? parse_directory(response.body) : std::nullopt;
     if (!directory) {
         const std::string reason = response.error.empty() ? std::to_string(response.status) : response.error;
-        throw AcmeError{"no directory: " + reason, retry_after(response)};
+        throw AcmeError{"cannot fetch the directory: " + reason, retry_after(response)};
     }
     directory_ = *directory;
     const auto on_account = [this](const HttpResponse& account) {
         if (account.location.empty())
-            throw AcmeError{"account without a URL"};
+            throw AcmeError{"account response has no Location header"};
         account_url_ = account.location;
         ready_();
     };
@@ -128,12 +128,12 @@
 
 void Session::on_nonce(const HttpResponse& response) {
     if (response.nonce.empty())
-        throw AcmeError{"no nonce: " + response.error, retry_after(response)};
+        throw AcmeError{"no nonce received: " + response.error, retry_after(response)};
     nonce_ = response.nonce;
     send_pending();
 }
 
-// The request as a JWS in flattened JSON (RFC 7515). Uses up the nonce.
+// The pending request as a JWS in flattened JSON serialization (RFC 7515). Consumes the nonce.
 std::string Session::sign_pending() {
     Json::Value header{Json::objectValue};
     header["alg"] = "ES256";
@@ -157,15 +157,15 @@
     if (!response.nonce.empty())
         nonce_ = response.nonce;
     if (is_bad_nonce(response)) {
-        // RFC 8555, section 6.5: the same request again, with the nonce that came with the error.
+        // RFC 8555, section 6.5: retry the same request with the nonce from the error response.
         if (++pending_.bad_nonces > kMaxBadNonces)
-            throw AcmeError{"badNonce, again and again"};
-        log_.line("acme", "badNonce, once more");
+            throw AcmeError{"badNonce after " + std::to_string(kMaxBadNonces) + " retries"};
+        log_.line("acme", "badNonce; retrying with a new nonce");
         return send_pending();
     }
     if (!is_success(response))
         throw error_of(pending_.step, response);
-    // It may replace the pending request, and itself with that.
+    // The handler may replace pending_, which owns it, so it is moved out before the call.
     const ResponseHandler on_response = std::exchange(pending_.on_response, nullptr);
     on_response(response);
 }
--- a/src/acme/session.h
+++ b/src/acme/session.h
@@ -1,4 +1,4 @@
-// The signed exchange with an authority (RFC 8555, section 6): directory, account, nonces and JWS.
+// An authenticated session with an ACME authority (RFC 8555, section 6): directory, account, nonces and JWS.
 #pragma once
 
 #include <functional>
@@ -12,33 +12,34 @@
 
 namespace silverrail::acme {
 
-// One request is in flight at a time. Nothing is called after the destructor.
+// At most one request is in flight. No handler is called after destruction.
 class Session {
 public:
-    // May throw AcmeError or CryptoError, which then goes to the error handler.
+    // May throw AcmeError or CryptoError, which is passed to the error handler.
     using ResponseHandler = std::function<void(const HttpResponse&)>;
     using ReadyHandler = std::function<void()>;
     using ErrorHandler = std::function<void(const AcmeError&)>;
 
-    // `on_error` is called once for a request that fails for good; no handler of that request follows.
+    // `on_error` is called once when a request fails and is not retried. No other handler of that request is
+    // called afterwards.
     Session(HttpTransport& transport, Log& log, ErrorHandler on_error);
     ~Session();
     Session(const Session&) = delete;
     Session& operator=(const Session&) = delete;
 
-    // Reads the directory and registers the account, which is always the same for one key; then calls
-    // `ready`. `account_key` outlives the session.
+    // Fetches the directory and registers the account, or finds the existing account of that key, then calls
+    // `ready`. `account_key` must outlive the session.
     void open(const std::string& directory_url, const std::string& contact, const PrivateKey& account_key,
               ReadyHandler ready);
-    // Once open: sends a signed request, again with the new nonce if that of the last one was not accepted.
-    // `payload`: empty for a POST-as-GET. `step`: named in errors. `on_response` gets a response with a
-    // status of 2xx, any other is an error.
+    // Sends a signed request; the session must be open. A request rejected with badNonce is retried with a
+    // new nonce. `payload`: empty for a POST-as-GET. `step`: names the request in errors. `on_response` is
+    // called for a 2xx status; any other status is an error.
     void post(const char* step, std::string url, std::string payload, ResponseHandler on_response);
-    // Of the last open().
+    // The directory fetched by the last open().
     const Directory& directory() const {
         return directory_;
     }
-    // Runs `action` as if it were a response handler: what it throws goes to the error handler.
+    // Runs `action` and passes AcmeError and CryptoError thrown by it to the error handler.
     void guard(const std::function<void()>& action);
 
 private:
@@ -47,7 +48,7 @@
         std::string url;
         std::string payload;
         ResponseHandler on_response{};
-        bool with_public_key = false;  // in place of the account's URL, which is not known yet
+        bool with_public_key = false;  // instead of the account URL, which is not known yet
         int bad_nonces = 0;
     };
 
@@ -68,11 +69,12 @@
     ReadyHandler ready_;
     Directory directory_;
     std::string account_url_;  // empty until the account is registered
-    std::string nonce_;        // for the next request; empty: none
+    std::string nonce_;        // for the next request; empty if there is none
     SignedRequest pending_;
 };
 
-// The time of a Retry-After header in seconds, a day at most; a date counts as a minute. 0 if there is none.
+// The delay in the Retry-After header, limited to one day. A date, which is not parsed, counts as one minute.
+// 0 if there is no header.
 core::Span retry_after(const HttpResponse& response);
 
 }  // namespace silverrail::acme
--- a/src/front/admin/admin.cpp
+++ b/src/front/admin/admin.cpp
@@ -4,12 +4,12 @@
 
 namespace {
 
-constexpr const char* kNoMembers = "no peers: this router keeps no view of the fleet";
-constexpr const char* kNoReplica = "no peers: this router shares nothing";
-constexpr const char* kNoFailover = "no failover: the peers section names no zones";
+constexpr const char* kNoMembership = "no peers configured: this router does not track fleet membership";
+constexpr const char* kNoReplica = "no peers configured: this router does not replicate state";
+constexpr const char* kNoFailover = "failover not configured: the peers section lists no zones";
 
-std::string result_line(const CommandResult& result) {
-    return result.ok ? acknowledge(result.text) : reject(result.text);
+std::string response_line(const CommandResult& result) {
+    return result.ok ? acknowledge(result.message) : reject(result.message);
 }
 
 }  // namespace
@@ -28,22 +28,22 @@
         case Command::Kind::health:
             return health();
         case Command::Kind::dump:
-            return counters_text(engine_.counters());
+            return format_counters(engine_.counters());
         case Command::Kind::offline:
-            return result_line(overrides_.take_offline(core::ServerId{command.target}));
+            return response_line(overrides_.take_offline(core::ServerId{command.target}));
         case Command::Kind::online:
-            return result_line(overrides_.bring_online(core::ServerId{command.target}));
+            return response_line(overrides_.bring_online(core::ServerId{command.target}));
         case Command::Kind::members:
-            return cluster_.members ? cluster_.members() : reject(kNoMembers);
+            return cluster_.members ? cluster_.members() : reject(kNoMembership);
         case Command::Kind::replica:
             return cluster_.replica ? cluster_.replica() : reject(kNoReplica);
         case Command::Kind::failover:
             return cluster_.failover ? cluster_.failover() : reject(kNoFailover);
         case Command::Kind::pin:
-            return cluster_.pin ? result_line(cluster_.pin(command.target, command.mode))
+            return cluster_.pin ? response_line(cluster_.pin(command.target, command.mode))
                                 : reject(kNoFailover);
     }
-    return reject("unknown call");
+    return reject("unknown command");
 }
 
 std::string Admin::health() const {
--- a/src/front/admin/admin.h
+++ b/src/front/admin/admin.h
@@ -1,4 +1,4 @@
-// The control address: answers operators' commands.
+// Runs operators' commands received on the control address.
 #pragma once
 
 #include <functional>
@@ -11,13 +11,13 @@
 
 namespace silverrail::front::admin {
 
-// How an operator's command ended.
+// The outcome of an operator's command.
 struct CommandResult {
     bool ok = false;
-    std::string text;  // for the operator
+    std::string message;  // for the operator
 };
 
-// Excludes and readmits servers by an operator's command.
+// Takes servers out of rotation and puts them back on an operator's command.
 class OverrideCommands {
 public:
     virtual ~OverrideCommands() = default;
@@ -25,7 +25,7 @@
     virtual CommandResult bring_online(const core::ServerId& server) = 0;
 };
 
-// Commands that the cluster's parts answer; each is empty if the router has no such part.
+// Handlers of the commands about the cluster. A handler is empty if that feature is not configured.
 struct ClusterCommands {
     std::function<std::string()> members{};
     std::function<std::string()> replica{};
@@ -42,7 +42,7 @@
           lifecycle_(lifecycle),
           log_(log),
           cluster_(std::move(cluster)) {}
-    // The answer to a line; see parse_command().
+    // Runs the command in `line` and returns the response. For the parameters see parse_command().
     std::string answer(std::string_view line, bool terminated);
 
 private:
--- a/src/front/dns/dns_front_end.cpp
+++ b/src/front/dns/dns_front_end.cpp
@@ -8,12 +8,12 @@
 
 using namespace std::chrono_literals;
 
-// No answer may name a server later than 2 s after it began to drain, and one lives for its TTL, which is 1 s
-// at most. Half a second of the rest is for the way.
+// Clients must not be sent to a server later than 2 s after it started to drain. A response is cached for its
+// TTL of at most 1 s. Of the remaining second, half is for the delay here and half for the network.
 constexpr auto kMaxReplyDelay = 500ms;
 
 constexpr std::uint32_t kSoaSerial = 1;
-constexpr std::uint32_t kTextTtl = 0;  // s
+constexpr std::uint32_t kTxtTtlSeconds = 0;
 constexpr std::size_t kIpv4Bytes = 4;
 constexpr std::size_t kIpv6Bytes = 16;
 
@@ -21,7 +21,7 @@
     return query.asks_for(RecordType::a) || query.asks_for(RecordType::aaaa);
 }
 
-// Whether the address is of the family that was asked for.
+// Whether the address in `data` is of the queried address family.
 bool is_wanted_address(const Query& query, const std::string& data) {
     return data.size() == (query.asks_for(RecordType::a) ? kIpv4Bytes : kIpv6Bytes);
 }
@@ -87,7 +87,7 @@
 
 void DnsFrontEnd::answer(const Query& query, const net::DnsQuerySource& source, net::DnsReplyHandler reply) {
     const std::size_t max_bytes = source.datagram ? max_udp_response(query) : kMaxMessageBytes;
-    ZoneEntry entry = find_entry(query.name, zone_, classes_, texts_);
+    ZoneEntry entry = find_entry(query.name, zone_, classes_, txt_records_);
     if (const auto response = local_response(query, entry))
         return reply({.bytes = encode(query, *response, max_bytes)});
     entry.request.front_end = core::FrontEnd::dns;
@@ -104,8 +104,8 @@
     if (entry.kind == Kind::non_idempotent_class)
         return failure(Rcode::refused, ExtendedError::prohibited,
                        "a resolver repeats by itself, and this class must never run twice");
-    // A resolver asks for both families, which would count a read twice: so the core is asked only if a
-    // server has an address of this one.
+    // Resolvers query both address families, and a read must not be counted twice. The request is therefore
+    // submitted to the core only if a server has an address of the queried family.
     const bool is_request = entry.kind == Kind::object && asks_for_address(query) &&
                             engine_.has_address_family(query.asks_for(RecordType::aaaa));
     if (is_request)
@@ -113,7 +113,7 @@
     return zone_response(query, entry);
 }
 
-// Of the zone's own records; NXDOMAIN or NODATA where there are none.
+// The response from the zone's own records, or NXDOMAIN or NODATA if there are none.
 Response DnsFrontEnd::zone_response(const Query& query, const ZoneEntry& entry) const {
     if (entry.kind == ZoneEntry::Kind::nonexistent)
         return negative(Rcode::name_error);
@@ -128,7 +128,7 @@
     const auto static_record = [&](RecordType record_type, std::string data) {
         return Record{.type = record_type, .ttl_s = zone_.static_ttl_s, .data = std::move(data)};
     };
-    // Never all there is (RFC 8482).
+    // ANY queries get a minimal HINFO response instead of all records (RFC 8482).
     if (type == RecordType::any)
         return {static_record(RecordType::hinfo, txt_data("RFC8482") + txt_data(""))};
     if (entry.kind == Kind::apex && type == RecordType::soa)
@@ -142,9 +142,10 @@
     }
     std::vector<Record> records;
     if (entry.kind == Kind::txt && type == RecordType::txt) {
-        const auto [begin, end] = texts_.equal_range(query.name);
+        const auto [begin, end] = txt_records_.equal_range(query.name);
         for (auto at = begin; at != end; ++at)
-            records.push_back({.type = RecordType::txt, .ttl_s = kTextTtl, .data = txt_data(at->second)});
+            records.push_back(
+                {.type = RecordType::txt, .ttl_s = kTxtTtlSeconds, .data = txt_data(at->second)});
     }
     return records;
 }
--- a/src/front/dns/dns_front_end.h
+++ b/src/front/dns/dns_front_end.h
@@ -1,5 +1,5 @@
-// The DNS front end: queries into the core's requests, answers into responses. The core decides which server
-// is named.
+// The DNS front end: converts DNS queries to core::ClientRequest and core::Answer to DNS responses. The core
+// selects the server that a response names.
 #pragma once
 
 #include <memory>
@@ -11,19 +11,19 @@
 
 namespace silverrail::front::dns {
 
-// Answers queries for one zone.
+// Authoritative DNS server for one zone.
 class DnsFrontEnd {
 public:
     DnsFrontEnd(core::Engine& engine, const core::Clock& clock, ZoneSettings zone, Log& log);
-    // Calls `reply` once, at once or later, or never for what must not be answered.
+    // Calls `reply` once, possibly after this returns, or never if no response may be sent.
     void handle(std::string_view bytes, const net::DnsQuerySource& source, net::DnsReplyHandler reply);
 
-    // TXT records, by which certificate orders are proven.
-    void add_txt_record(const Name& name, std::string text) {
-        texts_.emplace(name, std::move(text));
+    // TXT records for DNS-01 challenges of certificate orders.
+    void add_txt_record(const Name& name, std::string content) {
+        txt_records_.emplace(name, std::move(content));
     }
     void remove_txt_records(const Name& name) {
-        texts_.erase(name);
+        txt_records_.erase(name);
     }
     const ZoneSettings& zone() const {
         return zone_;
@@ -32,7 +32,7 @@
 private:
     class Sink;
     void answer(const Query& query, const net::DnsQuerySource& source, net::DnsReplyHandler reply);
-    // What can be answered without the core; absent for an object's address.
+    // The response, if it does not need the core; std::nullopt for an address query for an object.
     std::optional<Response> local_response(const Query& query, const ZoneEntry& entry) const;
     Response zone_response(const Query& query, const ZoneEntry& entry) const;
     std::vector<Record> zone_records(const Query& query, const ZoneEntry& entry) const;
@@ -51,7 +51,7 @@
     ZoneSettings zone_;
     Log& log_;
     RequestClasses classes_;
-    TxtRecords texts_;
+    TxtRecords txt_records_;
 };
 
 }  // namespace silverrail::front::dns
--- a/src/front/dns/name.cpp
+++ b/src/front/dns/name.cpp
@@ -18,7 +18,7 @@
         dotted.remove_suffix(1);
     if (dotted.empty())
         return name;
-    std::size_t encoded_bytes = 1;  // the root's label
+    std::size_t encoded_bytes = 1;  // the root label
     while (true) {
         const auto dot = dotted.find('.');
         const std::string_view label = dotted.substr(0, dot);
--- a/src/front/dns/protocol.h
+++ b/src/front/dns/protocol.h
@@ -1,4 +1,4 @@
-// Numbers of the DNS protocol that this server uses.
+// Constants of the DNS protocol.
 #pragma once
 
 #include <cstddef>
@@ -6,7 +6,7 @@
 
 namespace silverrail::front::dns {
 
-// RFC 1035, section 3.2.2, and later.
+// RFC 1035, section 3.2.2, and later RFCs.
 enum class RecordType : std::uint16_t {
     a = 1,
     ns = 2,
@@ -41,7 +41,7 @@
     network_error = 23
 };
 
-// Of a message's header.
+// Message header.
 inline constexpr std::size_t kHeaderBytes = 12;
 inline constexpr std::uint16_t kResponseFlag = 0x8000;
 inline constexpr std::uint16_t kAuthoritativeFlag = 0x0400;
@@ -51,9 +51,9 @@
 inline constexpr std::uint16_t kOpcodeMask = 0xf;
 inline constexpr std::uint16_t kRcodeMask = 0xf;
 
-// The most that is offered and sent over UDP, so that no datagram is fragmented.
+// The largest UDP payload that the server advertises and sends, chosen to avoid IP fragmentation.
 inline constexpr std::size_t kMaxUdpPayloadBytes = 1232;
-// What any resolver takes over UDP.
+// The UDP payload size that every resolver accepts (RFC 1035, section 4.2.1).
 inline constexpr std::size_t kMinUdpPayloadBytes = 512;
 inline constexpr std::size_t kMaxMessageBytes = 65'535;
 
--- a/src/front/dns/query.cpp
+++ b/src/front/dns/query.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::uint8_t kPointerMask = 0xc0;  // a label's length with these bits is a pointer
+constexpr std::uint8_t kPointerMask = 0xc0;  // marks a compression pointer in place of a label length
 constexpr unsigned kBitsPerByte = 8;
 
 class MessageReader {
@@ -30,17 +30,17 @@
             return std::nullopt;
         return static_cast<std::uint16_t>(*high << kBitsPerByte | *low);
     }
-    // Returns false if there are fewer bytes.
+    // Returns false if fewer than `count` bytes are left.
     bool skip(std::size_t count) {
         if (count > bytes_.size() - position_)
             return false;
         position_ += count;
         return true;
     }
-    // Absent if the name is malformed or has a pointer in it.
+    // Returns std::nullopt if the name is malformed or contains a compression pointer.
     std::optional<Name> read_name() {
         Name labels;
-        std::size_t encoded_bytes = 1;  // the root's label
+        std::size_t encoded_bytes = 1;  // the root label
         while (true) {
             const auto length = read_u8();
             if (!length)
@@ -54,7 +54,7 @@
             labels.push_back(lower_case(bytes_.substr(label_at, *length)));
         }
     }
-    // The name may end in a pointer. Returns false if it is malformed.
+    // Accepts a name that ends in a compression pointer. Returns false if the name is malformed.
     bool skip_name() {
         std::size_t encoded_bytes = 1;
         while (true) {
@@ -76,8 +76,8 @@
     std::size_t position_ = 0;
 };
 
-// A record of the additional section. For an OPT (RFC 6891) the class is the payload's size, and of the time
-// to live the second byte is the version.
+// A record of the additional section. In an OPT record (RFC 6891) the class field is the UDP payload size and
+// the second byte of the TTL field is the EDNS version.
 struct AdditionalRecord {
     bool at_root = false;
     std::uint16_t type = 0;
@@ -85,7 +85,7 @@
     std::uint8_t version = 0;
 };
 
-// Absent if it is malformed.
+// Returns std::nullopt if the record is malformed.
 std::optional<AdditionalRecord> read_additional_record(MessageReader& reader) {
     const std::size_t name_at = reader.position();
     if (!reader.skip_name())
@@ -103,7 +103,7 @@
     return AdditionalRecord{at_root, *type, *record_class, *version};
 }
 
-// Reads the additional section, of which only an OPT is of use. Returns false if it is malformed.
+// Reads the additional section and ignores all records but OPT. Returns false if the section is malformed.
 bool read_additional_section(MessageReader& reader, std::uint16_t count, Query& query) {
     for (std::uint16_t i = 0; i < count; ++i) {
         const auto record = read_additional_record(reader);
@@ -134,13 +134,13 @@
     const auto answers = reader.read_u16();
     const auto authority = reader.read_u16();
     const auto additional = reader.read_u16();
-    // Each of the others came before it.
+    // The fields are read in order, so if the last one is present, all are.
     if (!additional)
         return std::nullopt;
     return Header{*id, *flags, *questions, *answers, *authority, *additional};
 }
 
-// Reads the question and what follows it. Returns false if it is malformed.
+// Reads the question and the additional section. Returns false if the message is malformed.
 bool read_body(MessageReader& reader, std::string_view bytes, const Header& header, Query& query) {
     auto name = reader.read_name();
     const auto type = reader.read_u16();
@@ -159,7 +159,8 @@
 std::variant<Query, QueryError> parse_query(std::string_view bytes) {
     MessageReader reader{bytes};
     const auto header = read_header(reader);
-    // Too short to answer, or itself a response: two servers must not answer each other for ever.
+    // No response is sent to a message without a full header, or to a response: two DNS servers could
+    // otherwise respond to each other endlessly.
     if (!header || (header->flags & kResponseFlag) != 0)
         return QueryError{};
     QueryError error{.respond = true,
--- a/src/front/dns/query.h
+++ b/src/front/dns/query.h
@@ -1,4 +1,4 @@
-// DNS queries (RFC 1035, 6891), read from bytes that may be anything.
+// Parses DNS queries (RFC 1035, 6891) from untrusted bytes.
 #pragma once
 
 #include <optional>
@@ -18,7 +18,7 @@
     };
     std::uint16_t id = 0;
     bool recursion_desired = false;
-    std::string question;  // as it came, which is how it is echoed
+    std::string question;  // as received; copied unchanged into the response
     Name name;
     std::uint16_t type = 0;
     std::uint16_t record_class = 0;
@@ -29,9 +29,9 @@
     }
 };
 
-// What cannot be read as a query.
+// A message that cannot be parsed as a query, and the error response to it.
 struct QueryError {
-    bool respond = false;  // false: it must not be answered at all
+    bool respond = false;  // false: no response may be sent
     std::uint16_t id = 0;
     std::uint8_t opcode = 0;
     bool recursion_desired = false;
@@ -40,7 +40,7 @@
 
 std::variant<Query, QueryError> parse_query(std::string_view bytes);
 
-// The longest response in bytes that the resolver takes over UDP.
+// The size in bytes of the largest response that may be sent to the resolver over UDP.
 std::size_t max_udp_response(const Query& query);
 
 }  // namespace silverrail::front::dns
--- a/src/front/dns/response.cpp
+++ b/src/front/dns/response.cpp
@@ -10,14 +10,14 @@
 
 constexpr std::uint16_t kExtendedErrorOption = 15;
 constexpr std::size_t kMaxExtendedTextBytes = 200;
-constexpr unsigned kExtendedRcodeShift = 4;  // the bits above those of the header
+constexpr unsigned kExtendedRcodeShift = 4;  // the RCODE bits above the 4 in the header
 constexpr std::uint16_t kPointer = 0xc000;
 constexpr std::size_t kTypeAndClassBytes = 4;
-constexpr std::size_t kMaxStringBytes = 255;  // of a TXT record
+constexpr std::size_t kMaxStringBytes = 255;  // of one character-string in a TXT record
 constexpr std::size_t kIpv4Bytes = 4;
 constexpr std::size_t kIpv6Bytes = 16;
 
-// Of the SOA record, in seconds; no secondary server reads this zone.
+// SOA timers, in seconds. They have no effect, because the zone has no secondary servers.
 constexpr std::uint32_t kRefresh = 3600;
 constexpr std::uint32_t kRetry = 600;
 constexpr std::uint32_t kExpire = 86'400;
@@ -51,8 +51,8 @@
     append_u16(out, counts.additional);
 }
 
-std::string extended_error_option(ExtendedError error, const std::string& whole_text) {
-    const std::string text = whole_text.substr(0, kMaxExtendedTextBytes);
+std::string extended_error_option(ExtendedError error, const std::string& full_text) {
+    const std::string text = full_text.substr(0, kMaxExtendedTextBytes);
     std::string out;
     append_u16(out, kExtendedErrorOption);
     append_u16(out, sizeof(std::uint16_t) + text.size());
@@ -64,7 +64,7 @@
     const std::string options = response.extended_error
                                     ? extended_error_option(*response.extended_error, response.extended_text)
                                     : std::string{};
-    std::string out(1, '\0');  // at the root
+    std::string out(1, '\0');  // owner: the root
     append_u16(out, static_cast<std::uint16_t>(RecordType::opt));
     append_u16(out, kMaxUdpPayloadBytes);
     out += static_cast<char>(static_cast<std::uint16_t>(response.rcode) >> kExtendedRcodeShift);
@@ -92,8 +92,8 @@
     return flags | (static_cast<std::uint16_t>(response.rcode) & kRcodeMask);
 }
 
-// The zone's name is the end of the name that was asked for, so a pointer into the question stands for
-// either.
+// The zone's name is a suffix of the queried name, so a compression pointer into the question can encode
+// either owner name.
 std::string encode_records(const Query& query, const Response& response, const Name& zone_name) {
     const std::size_t question_name_bytes = query.question.size() - kTypeAndClassBytes;
     const std::size_t apex_at = kHeaderBytes + question_name_bytes - encode_name(zone_name).size();
@@ -150,20 +150,20 @@
     return {};
 }
 
-std::string txt_data(std::string_view text) {
+std::string txt_data(std::string_view content) {
     std::string out;
     do {
-        const std::string_view part = text.substr(0, kMaxStringBytes);
+        const std::string_view part = content.substr(0, kMaxStringBytes);
         out += static_cast<char>(part.size());
         out += part;
-        text.remove_prefix(part.size());
-    } while (!text.empty());
+        content.remove_prefix(part.size());
+    } while (!content.empty());
     return out;
 }
 
-std::string soa_data(const Name& server, const Name& mailbox, std::uint32_t serial,
+std::string soa_data(const Name& name_server, const Name& mailbox, std::uint32_t serial,
                      std::uint32_t negative_ttl_s) {
-    std::string out = encode_name(server) + encode_name(mailbox);
+    std::string out = encode_name(name_server) + encode_name(mailbox);
     for (const std::uint32_t value : {serial, kRefresh, kRetry, kExpire, negative_ttl_s})
         append_u32(out, value);
     return out;
--- a/src/front/dns/zone.cpp
+++ b/src/front/dns/zone.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t kObjectDigits = 16;
 constexpr std::uint32_t kMaxGroup = 255;
 
-// The number of "PREFIXn". Without leading zeros, so that an object has one name only.
+// Parses the number in "PREFIXn". Leading zeros are rejected so that each object has exactly one name.
 std::optional<std::uint32_t> parse_numbered(std::string_view label, std::string_view prefix) {
     if (!label.starts_with(prefix))
         return std::nullopt;
@@ -24,8 +24,8 @@
     return config::parse_number<std::uint32_t>(label);
 }
 
-// Reads the first `count` labels, which stand before the class, from the last to the first. Returns false if
-// they name no object.
+// Parses the first `count` labels, which precede the class label, from last to first. Returns false if they
+// do not name an object.
 bool parse_object(const Name& name, std::size_t count, core::ClientRequest& request) {
     if (count == 0)
         return false;
@@ -50,7 +50,7 @@
     return left == 0;
 }
 
-// `labels`: how many stand before the zone's name, the class's last.
+// `labels`: the number of labels before the zone's name; the last of them is the class.
 ZoneEntry entry_of_class(const Name& name, std::size_t labels, const RequestClasses& classes) {
     ZoneEntry entry;
     entry.request.class_name = name[labels - 1];
--- a/src/front/dns/zone.h
+++ b/src/front/dns/zone.h
@@ -1,4 +1,4 @@
-// The names of the zone, and what each stands for.
+// Maps the names of the zone to what they identify: objects or the zone's own records.
 #pragma once
 
 #include <functional>
@@ -11,38 +11,38 @@
 
 struct ZoneSettings {
     Name name;
-    Name name_server;                 // the zone's name server, inside the zone: NS, SOA and certificate name
-    std::string name_server_address;  // of the name server itself
-    Name mailbox;                     // of the SOA record
-    std::uint32_t redirect_ttl_s = 1;                       // of an answer that names a server of the list
-    std::uint32_t static_ttl_s = 300;                       // of the zone's own records
-    core::Span deadline = std::chrono::milliseconds{1000};  // of the requests that queries become
+    Name name_server;                  // inside the zone; used in NS and SOA records and in the certificate
+    std::string name_server_address;   // IP address of the name server
+    Name mailbox;                      // RNAME of the SOA record
+    std::uint32_t redirect_ttl_s = 1;  // of responses that name a server
+    std::uint32_t static_ttl_s = 300;  // of the zone's own records
+    core::Span deadline = std::chrono::milliseconds{1000};  // of requests made from queries
 };
 
-// An object's name is [piece-N.][lot-N.]OBJECT.CLASS.ZONE: its part, its purge group, its id in 16 hex digits
-// and its class.
+// What a name identifies. The name of an object is [piece-N.][lot-N.]OBJECT.CLASS.ZONE: segment number, purge
+// group, id of 16 hex digits, and class.
 struct ZoneEntry {
     enum class Kind {
         outside_zone,
         apex,
         name_server,
-        empty_non_terminal,    // it only has other names below it (RFC 8020)
-        object,                // `request` says which
-        non_idempotent_class,  // or below one; resolvers repeat queries by themselves
-        txt,                   // there are TXT records
+        empty_non_terminal,    // has no records, but has subdomains (RFC 8020)
+        object,                // described by `request`
+        non_idempotent_class,  // or a name below; not served, because resolvers retry queries on their own
+        txt,                   // has TXT records
         nonexistent
     };
     Kind kind = Kind::nonexistent;
     core::ClientRequest request{};
 };
 
-// What the zone has to know about classes of requests.
+// Lookups of request classes by name.
 struct RequestClasses {
     std::function<bool(const std::string& name)> exists;
     std::function<bool(const std::string& name)> non_idempotent;
 };
 
-// TXT records that are set at run time.
+// TXT records added at run time, by owner name.
 using TxtRecords = std::multimap<Name, std::string>;
 
 ZoneEntry find_entry(const Name& name, const ZoneSettings& zone, const RequestClasses& classes,
--- a/src/front/platform/platform.cpp
+++ b/src/front/platform/platform.cpp
@@ -17,7 +17,7 @@
 
 constexpr unsigned kHttp11 = 11;
 
-// Targets.
+// Request targets.
 constexpr std::string_view kHealthTarget = "/alive";
 constexpr std::string_view kCountersTarget = "/counters";
 constexpr std::string_view kObjectPrefix = "/ops/";
@@ -33,14 +33,14 @@
 // Response headers.
 constexpr const char* kRetryAfterMs = "Hold-Off-Ms";
 
-constexpr std::size_t kIdDigits = 16;  // of requests and objects
+constexpr std::size_t kIdDigits = 16;  // of request and object ids
 constexpr std::int64_t kMaxTimeoutMs = 600'000;
 constexpr std::uint64_t kMaxPurgeGroup = 255;
 constexpr double kMaxExpectedKb = 1e7;
 constexpr std::size_t kMaxTagBytes = 128;
 constexpr std::size_t kMaxKeyBytes = 128;
 
-// "piece-N", in the one form that servers are sent it in: without leading zeros.
+// Parses "piece-N". Leading zeros are rejected: requests to servers write the number without them.
 std::optional<std::uint32_t> parse_segment(std::string_view text) {
     if (!text.starts_with(kSegmentPrefix))
         return std::nullopt;
@@ -51,7 +51,7 @@
     return segment;
 }
 
-// "/ops/CLASS/OBJECT/piece-N". Returns false if the target is of another form.
+// Parses "/ops/CLASS/OBJECT/piece-N". Returns false if the target has another form.
 bool parse_target(std::string_view target, core::ClientRequest& client_request) {
     if (!target.starts_with(kObjectPrefix))
         return false;
@@ -73,9 +73,9 @@
     return true;
 }
 
-// The bare tag of `"TAG"`. Empty for a list or a weak tag, which name no copy here, and for a tag that no
-// server could read.
-std::string bare_tag(std::string_view text) {
+// The entity tag without its quotes. Empty for a list or a weak tag, which cannot identify a cached copy
+// here, and for a tag with characters that a server could not parse.
+std::string unquoted_tag(std::string_view text) {
     if (text.size() < 3 || text.size() > kMaxTagBytes || text.front() != '"' || text.back() != '"')
         return {};
     text = text.substr(1, text.size() - 2);
@@ -84,7 +84,7 @@
     return plain ? std::string{text} : std::string{};
 }
 
-// Empty if the request has no key; absent if what it has is not one good key.
+// Empty if the request has no key; std::nullopt if it has several keys or an invalid one.
 std::optional<std::string> parse_idempotency_key(const net::HttpRequest& request) {
     const auto count = request.count(kIdempotencyKey);
     if (count == 0)
@@ -103,7 +103,7 @@
     return std::chrono::milliseconds{*ms};
 }
 
-// Returns false if the header is there and no group.
+// Returns false if the header is present but not a valid group.
 bool parse_purge_group(const net::HttpRequest& request, core::ClientRequest& client_request) {
     const auto text = to_string_view(request[kPurgeGroup]);
     client_request.group_known = !text.empty();
@@ -116,7 +116,7 @@
     return true;
 }
 
-// Returns false if the header is there and no size.
+// Returns false if the header is present but not a valid size.
 bool parse_expected_size(const net::HttpRequest& request, core::ClientRequest& client_request) {
     const auto text = to_string_view(request[kExpectedKb]);
     if (text.empty())
@@ -148,25 +148,25 @@
 std::variant<core::ClientRequest, RequestError> parse_request(net::HttpRequest request, core::Time arrived) {
     core::ClientRequest client_request;
     if (request.method() != http::verb::get && request.method() != http::verb::put)
-        return RequestError{"neither GET nor PUT"};
+        return RequestError{"method is neither GET nor PUT"};
     if (!parse_target(to_string_view(request.target()), client_request))
-        return RequestError{"no such target"};
+        return RequestError{"target is not /ops/CLASS/OBJECT/piece-N"};
     client_request.trace_id = to_string_view(request[kRequestId]);
     if (client_request.trace_id.size() != kIdDigits || !config::parse_hex(client_request.trace_id))
         return RequestError{"Trace-Id: not 16 hex digits"};
     const auto timeout = parse_timeout(request);
     if (!timeout)
-        return RequestError{"Max-Wait-Ms: not a time"};
+        return RequestError{"Max-Wait-Ms: not an integer from 1 to 600000"};
     client_request.deadline = arrived + *timeout;
     if (!parse_purge_group(request, client_request))
-        return RequestError{"X-Lot: not 0 to 255"};
+        return RequestError{"X-Lot: not an integer from 0 to 255"};
     if (!parse_expected_size(request, client_request))
-        return RequestError{"Reserve-Kb: not a size"};
+        return RequestError{"Reserve-Kb: not a number from 0 to 10000000"};
     const auto key = parse_idempotency_key(request);
     if (!key)
-        return RequestError{"Replay-Key: not one key"};
+        return RequestError{"Replay-Key: not exactly one key of 1 to 128 printable ASCII characters"};
     client_request.idempotency_key = *key;
-    client_request.client_tag = bare_tag(to_string_view(request[http::field::if_none_match]));
+    client_request.client_tag = unquoted_tag(to_string_view(request[http::field::if_none_match]));
     client_request.write = request.method() == http::verb::put;
     if (client_request.write)
         client_request.body = std::make_shared<const std::string>(std::move(request.body()));
@@ -195,7 +195,7 @@
                 response.result(http::status::gateway_timeout);
             break;
         case Kind::redirected:
-            break;  // only the DNS front asks for it
+            break;  // only the DNS front end requests redirects
     }
     if (!answer.tag.empty())
         response.set(http::field::etag, "\"" + answer.tag + "\"");
--- a/src/front/platform/platform.h
+++ b/src/front/platform/platform.h
@@ -1,5 +1,5 @@
-// The platform's protocol (HTTP/1.1): maps requests to core::ClientRequest and answers to responses. It
-// decides nothing.
+// The platform's HTTP/1.1 protocol: converts HTTP requests to core::ClientRequest and core::Answer to HTTP
+// responses. All routing decisions are made by the core.
 #pragma once
 
 #include <functional>
@@ -12,26 +12,25 @@
 
 namespace silverrail::front {
 
-// Why a request is not one of the platform's; for the log.
+// Why a request does not follow the platform's protocol. Logged, not sent to the client.
 struct RequestError {
     std::string reason;
 };
 
-// `arrived`: when the request's last byte came; its deadline counts from then.
+// `arrived`: when the last byte of the request was received. The deadline is relative to this time.
 std::variant<core::ClientRequest, RequestError> parse_request(net::HttpRequest request, core::Time arrived);
-// The response that stands for an answer.
-net::HttpResponse response_of(core::ClientResponse answer);
+net::HttpResponse response_of(core::Answer answer);
 
-// Answers the platform's requests: health, counters, and everything else by the engine.
+// Serves the platform's requests: health and counters directly, all others through the engine.
 class Platform {
 public:
     Platform(core::Engine& engine, const Lifecycle& lifecycle, Log& log)
         : engine_(engine), lifecycle_(lifecycle), log_(log) {}
-    // Lines that `GET /counters` shows after the core's.
+    // Sets the source of the lines that follow the core's counters in the response to `GET /counters`.
     void set_additional_counters(std::function<std::string()> counters) {
         additional_counters_ = std::move(counters);
     }
-    // Handles a request that was read whole, and answers it now or later.
+    // Handles a fully received request. The response may be sent after this returns.
     void handle(const std::shared_ptr<net::HttpSession>& session, net::HttpRequest request);
 
 private:
