--- a/tests/acme/authority.h
+++ b/tests/acme/authority.h
@@ -1,5 +1,5 @@
-// A certificate authority on loopback, written from RFC 8555: it checks each signature, nonce and URL, and
-// asks a DNS server for the challenge's record before it signs anything.
+// A stand-in ACME certificate authority (RFC 8555) on loopback. It verifies each signature, nonce and URL,
+// and queries a DNS server for the challenge record before it issues a certificate.
 #pragma once
 
 #include <atomic>
@@ -24,8 +24,8 @@
 inline const std::string kDomain = "ns1.route.example";
 inline const std::string kChallengeName = "_acme-challenge." + kDomain;
 
-// The TXT records of a name, asked of a DNS server.
-inline std::set<std::string> texts_at(const std::string& name, const asio::ip::udp::endpoint& server) {
+// Queries a DNS server for the TXT records of a name.
+inline std::set<std::string> txt_records_at(const std::string& name, const asio::ip::udp::endpoint& server) {
     asio::io_context io;
     asio::ip::udp::socket socket{io, {asio::ip::udp::v4(), 0}};
     const std::string encoded_name = front::dns::encode_name(*front::dns::parse_name(name));
@@ -46,7 +46,7 @@
     return out;
 }
 
-// Serves one request after another on a thread of its own.
+// Serves one request at a time on its own thread.
 class Authority {
 public:
     explicit Authority(asio::ip::udp::endpoint dns) : dns_(std::move(dns)), acceptor_(io_, loopback()) {
@@ -77,7 +77,7 @@
 
     std::atomic<int> good_nonces_to_reject{0};
     std::atomic<int> orders_to_fail{0};  // with 503 and Retry-After: 7
-    std::atomic<int> rejected{0};        // by its own checks
+    std::atomic<int> rejected{0};        // requests that failed the authority's checks
     std::atomic<int> missing_records{0};
     std::atomic<int> issued{0};
     std::atomic<int> accounts{0};
@@ -166,16 +166,16 @@
         const auto jws = config::parse_json(bytes);
         if (!jws)
             return problem(400, "malformed");
-        const std::string encoded_header = text((*jws)["protected"]);
-        const std::string encoded_payload = text((*jws)["payload"]);
-        const auto signature = acme::decode_base64url(text((*jws)["signature"]));
+        const std::string encoded_header = string_of((*jws)["protected"]);
+        const std::string encoded_payload = string_of((*jws)["payload"]);
+        const auto signature = acme::decode_base64url(string_of((*jws)["signature"]));
         const auto header_text = acme::decode_base64url(encoded_header);
         const auto payload = acme::decode_base64url(encoded_payload);
         const auto header = header_text ? config::parse_json(*header_text) : std::nullopt;
-        if (!header || !payload || !signature || text((*header)["alg"]) != "ES256" ||
-            text((*header)["url"]) != base_ + target)
+        if (!header || !payload || !signature || string_of((*header)["alg"]) != "ES256" ||
+            string_of((*header)["url"]) != base_ + target)
             return problem(400, "malformed");
-        if (nonces_.erase(text((*header)["nonce"])) != 1)
+        if (nonces_.erase(string_of((*header)["nonce"])) != 1)
             return problem(400, "badNonce");
         if (good_nonces_to_reject > 0) {
             --good_nonces_to_reject;
@@ -183,15 +183,16 @@
             return problem(400, "badNonce");
         }
         const bool is_new = target == "/account";
-        const Json::Value& jwk = is_new ? (*header)["jwk"] : accounts_[text((*header)["kid"])];
+        const Json::Value& jwk = is_new ? (*header)["jwk"] : accounts_[string_of((*header)["kid"])];
         if (!jwk.isObject() ||
             !is_signed_by(public_key(jwk), encoded_header + "." + encoded_payload, *signature))
             return problem(403, "unauthorized");
         return act({target, *payload, jwk, thumbprint_of(jwk)});
     }
     static std::string thumbprint_of(const Json::Value& jwk) {
-        return acme::encode_base64url(acme::sha256(R"({"crv":"P-256","kty":"EC","x":")" + text(jwk["x"]) +
-                                                   R"(","y":")" + text(jwk["y"]) + R"("})"));
+        return acme::encode_base64url(acme::sha256(R"({"crv":"P-256","kty":"EC","x":")" +
+                                                   string_of(jwk["x"]) + R"(","y":")" + string_of(jwk["y"]) +
+                                                   R"("})"));
     }
 
     Reply act(const SignedRequest& request) {
@@ -234,7 +235,7 @@
             return {503, "{}", {}, "7"};
         }
         const auto json = config::parse_json(request.payload);
-        if (!json || text((*json)["identifiers"][0]["value"]) != kDomain)
+        if (!json || string_of((*json)["identifiers"][0]["value"]) != kDomain)
             return problem(400, "malformed");
         Order order;
         order.url = base_ + "/" + std::to_string(orders_.size());
@@ -256,7 +257,7 @@
     }
     Reply check_challenge(Order& order) {
         const std::string proof = acme::encode_base64url(acme::sha256(order.token + "." + order.thumbprint));
-        const bool shown = texts_at(kChallengeName, dns_).contains(proof);
+        const bool shown = txt_records_at(kChallengeName, dns_).contains(proof);
         if (!shown)
             ++missing_records;
         order.authorization = shown ? "processing" : "invalid";
@@ -265,7 +266,7 @@
     Reply finalize(const SignedRequest& request, Order& order) {
         using SigningRequest = std::unique_ptr<X509_REQ, acme::OpenSslDeleter<X509_REQ_free>>;
         const auto json = config::parse_json(request.payload);
-        const auto csr = json ? acme::decode_base64url(text((*json)["csr"])) : std::nullopt;
+        const auto csr = json ? acme::decode_base64url(string_of((*json)["csr"])) : std::nullopt;
         if (order.authorization != "valid" || !csr)
             return problem(403, "orderNotReady");
         const auto* der = reinterpret_cast<const unsigned char*>(csr->data());
--- a/tests/acme/certificates.h
+++ b/tests/acme/certificates.h
@@ -1,4 +1,4 @@
-// Certificates for tests, by OpenSSL.
+// Creates certificates for tests with OpenSSL.
 #pragma once
 
 #include <openssl/pem.h>
@@ -38,9 +38,9 @@
 }
 
 struct CertificateRequest {
-    EVP_PKEY* key = nullptr;  // of its subject
+    EVP_PKEY* key = nullptr;  // of the subject
     std::string names{};      // such as "DNS:example.org"; may be empty
-    X509* issuer = nullptr;   // null: it signs itself
+    X509* issuer = nullptr;   // null: self-signed
     EVP_PKEY* issuer_key = nullptr;
     long valid_for_s = 0;
     bool authority = false;
--- a/tests/acme/messages_test.cpp
+++ b/tests/acme/messages_test.cpp
@@ -1,4 +1,4 @@
-// What the ACME client reads and writes, as tables: base64url, URLs, and the authority's JSON.
+// Table-driven tests of base64url, HTTPS URLs, and the parsing of the authority's JSON.
 #include "acme/messages.h"
 
 #include "../silverrail/check.h"
@@ -54,7 +54,7 @@
     }
 }
 
-void members_of_a_wrong_type_count_as_absent() {
+void members_of_a_wrong_type_are_treated_as_absent() {
     const auto order =
         acme::parse_order(R"({"status":7,"finalize":"f","authorizations":["a",{},"b"],"certificate":null})");
     CHECK(order && order->status.empty() && order->finalize_url == "f" && order->certificate_url.empty());
@@ -66,7 +66,7 @@
     CHECK(odd && odd->status == "pending" && odd->domain.empty() && !odd->dns_challenge);
 }
 
-void first_dns_challenge_is_taken() {
+void first_dns_challenge_is_used() {
     const auto authorization = acme::parse_authorization(
         R"({"identifier":{"type":"dns","value":"a.example"},"challenges":[{"type":"http-01","url":"x"},
             {"type":"dns-01","url":"u","token":"t"},{"type":"dns-01","url":"v","token":"w"}]})");
@@ -88,8 +88,8 @@
     base64url_round_trips();
     only_https_urls_are_accepted();
     directories_need_all_urls();
-    members_of_a_wrong_type_count_as_absent();
-    first_dns_challenge_is_taken();
+    members_of_a_wrong_type_are_treated_as_absent();
+    first_dns_challenge_is_used();
     retry_after_is_bounded();
-    std::puts("acme messages: every case holds");
+    std::puts("acme messages: all cases pass");
 }
--- a/tests/acme/order_test.cpp
+++ b/tests/acme/order_test.cpp
@@ -1,4 +1,4 @@
-// The ACME client against a stand-in authority. The certificate then serves DNS over TLS.
+// Tests the ACME client against a stand-in authority and the use of the issued certificate for DNS over TLS.
 #include <sys/stat.h>
 
 #include <filesystem>
@@ -17,9 +17,9 @@
 
 namespace {
 
-// Short waits pass at once; long ones are kept for the test to look at and to end.
-struct HandTimers : core::Timers {
-    explicit HandTimers(asio::io_context& context) : io(context) {}
+// Timers of up to 2 s fire immediately. Longer ones are held for the test to inspect and fire.
+struct ManualTimers : core::Timers {
+    explicit ManualTimers(asio::io_context& context) : io(context) {}
     Handle at(core::Time when, std::function<void()> action) override {
         const auto span = when - clock.now();
         if (span <= 2s)
@@ -39,8 +39,8 @@
     std::vector<std::pair<core::Span, std::function<void()>>> held;
 };
 
-struct FrontChallengeRecords : acme::ChallengeRecords {
-    explicit FrontChallengeRecords(DnsFrontEnd& f) : front_end(f) {}
+struct ZoneChallengeRecords : acme::ChallengeRecords {
+    explicit ZoneChallengeRecords(DnsFrontEnd& f) : front_end(f) {}
     void publish(const std::string& name, const std::string& text) override {
         front_end.add_txt_record(*parse_name(name), text);
     }
@@ -50,7 +50,7 @@
     DnsFrontEnd& front_end;
 };
 
-// Asks the server over TLS, its certificate checked against the authority's.
+// Sends a query over TLS and verifies the server's certificate against the authority's.
 std::string ask_over_tls(const tcp::endpoint& to, const std::string& trust, const std::string& query) {
     asio::io_context io;
     asio::ssl::context tls{asio::ssl::context::tls_client};
@@ -97,7 +97,7 @@
     net::DnsServer server;
 };
 
-// A folder of its own, with the certificate that the client is to trust; removed at the end.
+// A temporary folder with the CA certificate that the client trusts.
 class TestFolder {
 public:
     explicit TestFolder(const Authority& authority) {
@@ -125,7 +125,7 @@
         std::filesystem::temp_directory_path() / ("silverrail-" + std::to_string(::getpid()));
 };
 
-// A client with its authority, and the files that it leaves.
+// An ACME client, its authority and the folder of its files.
 struct OrderFixture {
     acme::Client make_client() {
         return {
@@ -136,7 +136,7 @@
                 router.server.use_certificate(net::server_tls_context(certificate));
             }};
     }
-    // Lets `action` block on a thread of its own while the router serves.
+    // Runs the blocking `action` on another thread while the router serves.
     template <class Action>
     auto run_beside(Action action) {
         auto result = std::async(std::launch::async, std::move(action));
@@ -148,14 +148,15 @@
     DnsRouter router{io};
     Authority authority{router.server.udp_local()};
     TestFolder folder{authority};
-    HandTimers timers{io};
-    FrontChallengeRecords records{router.front_end};
+    ManualTimers timers{io};
+    ZoneChallengeRecords records{router.front_end};
     net::HttpsClient https{io, folder.trusted_file()};
     std::vector<acme::IssuedCertificate> issued;
 };
 
-// The first order fails: the next one is held until the authority's Retry-After, which is the longer.
-void failed_order_is_repeated_after_retry_after(OrderFixture& f, acme::Client& client) {
+// After the first order fails, the next one waits for the authority's Retry-After, which is longer than the
+// backoff.
+void failed_order_is_retried_after_retry_after(OrderFixture& f, acme::Client& client) {
     f.authority.orders_to_fail = 1;
     f.authority.good_nonces_to_reject = 2;
     client.start();
@@ -171,11 +172,12 @@
 }
 
 void challenge_record_is_removed_after_use(OrderFixture& f) {
-    const auto records = f.run_beside([&] { return texts_at(kChallengeName, f.router.server.udp_local()); });
+    const auto records =
+        f.run_beside([&] { return txt_records_at(kChallengeName, f.router.server.udp_local()); });
     CHECK(records.empty());
 }
 
-// DNS over TLS, with a chain that a resolver can check.
+// DNS over TLS with a certificate chain that a resolver can verify.
 void certificate_serves_dns_over_tls(OrderFixture& f) {
     const std::string query =
         "\x12\x34\1\0\0\1\0\0\0\0\0\0"s + encode_name(*parse_name(kDomain)) + "\0\1\0\1"s;
@@ -184,7 +186,7 @@
     CHECK(answer.size() > 16 && answer.substr(answer.size() - 4) == "\x7f\0\0\x35"s);
 }
 
-// Due after two thirds of 90 days, with a new key and the same account.
+// The renewal is due after two thirds of 90 days, and uses a new key and the same account.
 void renewal_has_a_new_key_and_the_same_account(OrderFixture& f) {
     CHECK(f.timers.held.size() == 1);
     CHECK(f.timers.held[0].first > 60 * 24h - 1min && f.timers.held[0].first < 60 * 24h + 1min);
@@ -204,48 +206,51 @@
 void certificate_is_ordered_and_renewed() {
     OrderFixture fixture;
     auto client = fixture.make_client();
-    failed_order_is_repeated_after_retry_after(fixture, client);
+    failed_order_is_retried_after_retry_after(fixture, client);
     challenge_record_is_removed_after_use(fixture);
     certificate_serves_dns_over_tls(fixture);
     renewal_has_a_new_key_and_the_same_account(fixture);
     restart_uses_the_stored_certificate(fixture);
 }
 
-struct NoChallengeRecords : acme::ChallengeRecords {
+struct DiscardedChallengeRecords : acme::ChallengeRecords {
     void publish(const std::string&, const std::string&) override {}
     void remove(const std::string&) override {}
 };
 
-// The checks of the authority bite: without the record there is no certificate, and the client backs off.
+// Without the challenge record the authority issues no certificate, and the client backs off. This also shows
+// that the stand-in authority's checks are effective.
 void failed_challenge_yields_no_certificate() {
     OrderFixture f;
-    NoChallengeRecords nothing;
+    DiscardedChallengeRecords nothing;
     acme::Client client{
         {f.authority.directory_url(), "", kDomain},
         {acme::CredentialStore{""}, f.https, nothing, f.timers, f.timers.clock, f.router.parts.log, 3},
         [](const acme::IssuedCertificate&) {
-            CHECK(!"issued without a proof");
+            CHECK(!"issued without a challenge record");
         }};
     client.start();
     core::Span last{};
     for (int tries = 1; tries <= 3; ++tries) {
         run_until(f.io, [&] { return !f.timers.held.empty(); });
         CHECK(f.authority.missing_records == tries && f.authority.issued == 0);
-        CHECK(f.timers.held[0].first > last * 3 / 2 && f.timers.held[0].first >= 4900ms);  // longer each time
+        CHECK(f.timers.held[0].first > last * 3 / 2 &&
+              f.timers.held[0].first >= 4900ms);  // increasing delays
         last = f.timers.held[0].first;
-        // No order may be under way when the authority ends: its thread would wait for our DNS server.
+        // No order may be in progress when the authority is destroyed: its thread would block on a response
+        // from this test's DNS server.
         if (tries < 3)
             f.timers.fire();
     }
 }
 
-void untrusted_authority_is_not_talked_to() {
+void untrusted_authority_is_rejected() {
     OrderFixture f;
     f.folder.trust(Authority{f.router.server.udp_local()});
-    net::HttpsClient stranger{f.io, f.folder.trusted_file()};
+    net::HttpsClient client{f.io, f.folder.trusted_file()};
     acme::HttpResponse result;
     bool done = false;
-    stranger.send({"GET", f.authority.directory_url(), ""}, [&](acme::HttpResponse response) {
+    client.send({"GET", f.authority.directory_url(), ""}, [&](acme::HttpResponse response) {
         result = std::move(response);
         done = true;
     });
@@ -258,6 +263,6 @@
 int main() {
     certificate_is_ordered_and_renewed();
     failed_challenge_yields_no_certificate();
-    untrusted_authority_is_not_talked_to();
-    std::puts("acme: certificates are ordered, renewed and used again after a restart");
+    untrusted_authority_is_rejected();
+    std::puts("acme: certificates are ordered, renewed and reused after a restart");
 }
--- a/tests/acme/signatures.h
+++ b/tests/acme/signatures.h
@@ -1,4 +1,4 @@
-// The authority's side of JWS (RFC 7515): public keys from JSON, and signatures checked.
+// The authority's side of JWS (RFC 7515): reads public keys from JSON and verifies signatures.
 #pragma once
 
 #include <json/json.h>
@@ -13,15 +13,15 @@
 
 namespace silverrail::test {
 
-inline std::string text(const Json::Value& json) {
+inline std::string string_of(const Json::Value& json) {
     return json.isString() ? json.asString() : "";
 }
 
-// Null if the JSON Web Key is no point of P-256.
+// Returns null if the JSON Web Key is not a P-256 key.
 inline acme::PrivateKey public_key(const Json::Value& jwk) {
-    const auto x = acme::decode_base64url(text(jwk["x"]));
-    const auto y = acme::decode_base64url(text(jwk["y"]));
-    if (!x || !y || x->size() != 32 || y->size() != 32 || text(jwk["crv"]) != "P-256")
+    const auto x = acme::decode_base64url(string_of(jwk["x"]));
+    const auto y = acme::decode_base64url(string_of(jwk["y"]));
+    if (!x || !y || x->size() != 32 || y->size() != 32 || string_of(jwk["crv"]) != "P-256")
         return nullptr;
     const std::string point = "\x04" + *x + *y;
     OSSL_PARAM parameters[] = {
@@ -37,7 +37,7 @@
     return acme::PrivateKey{key};
 }
 
-// `raw`: r and s, 64 bytes.
+// `raw`: r and s concatenated, 64 bytes.
 inline bool is_signed_by(const acme::PrivateKey& key, const std::string& bytes, const std::string& raw) {
     if (!key || raw.size() != 64)
         return false;
@@ -48,12 +48,13 @@
     const int size = i2d_ECDSA_SIG(signature, &der);
     EVP_MD_CTX* digest = EVP_MD_CTX_new();
     const auto* input = reinterpret_cast<const unsigned char*>(bytes.data());
-    const bool good = EVP_DigestVerifyInit(digest, nullptr, EVP_sha256(), nullptr, key.get()) == 1 &&
-                      EVP_DigestVerify(digest, der, static_cast<std::size_t>(size), input, bytes.size()) == 1;
+    const bool valid =
+        EVP_DigestVerifyInit(digest, nullptr, EVP_sha256(), nullptr, key.get()) == 1 &&
+        EVP_DigestVerify(digest, der, static_cast<std::size_t>(size), input, bytes.size()) == 1;
     EVP_MD_CTX_free(digest);
     OPENSSL_free(der);
     ECDSA_SIG_free(signature);
-    return good;
+    return valid;
 }
 
 }  // namespace silverrail::test
--- a/tests/dns/caching_resolver_test.cpp
+++ b/tests/dns/caching_resolver_test.cpp
@@ -1,4 +1,4 @@
-// Clients behind caching resolvers, while servers drain and restart.
+// Tests clients behind caching resolvers while servers drain and restart.
 #include "config/endpoint.h"
 #include "fixture.h"
 
@@ -7,52 +7,52 @@
 
 namespace {
 
-// A resolver that caches: as long as it is told, or longer.
+// A caching resolver that keeps answers for their TTL plus `extra_ttl`.
 class Resolver {
 public:
-    Resolver(Udp& udp, const HandClock& clock, core::Span overstay)
-        : udp_(udp), clock_(clock), overstay_(overstay) {}
+    Resolver(UdpClient& udp, const ManualClock& clock, core::Span extra_ttl)
+        : udp_(udp), clock_(clock), extra_ttl_(extra_ttl) {}
     std::string resolve(const std::string& name) {
         Entry& e = cache_[name];
-        if (e.address.empty() || clock_.now() >= e.until) {
+        if (e.address.empty() || clock_.now() >= e.expires_at) {
             const Reply r = udp_.ask(query(name));
             ++queries;
             e = {r.rcode == 0 ? r.address : "", clock_.now(), clock_.now() + std::chrono::seconds{r.ttl}};
             if (r.rcode == 0)
-                e.until += overstay_;
+                e.expires_at += extra_ttl_;
         }
-        asked_at = e.asked;
+        queried_at = e.queried_at;
         return e.address;
     }
     int queries = 0;
-    core::Time asked_at{};  // when the answer just given was asked for
+    core::Time queried_at{};  // when the last returned answer was queried
 
 private:
     struct Entry {
         std::string address;
-        core::Time asked{};
-        core::Time until{};
+        core::Time queried_at{};
+        core::Time expires_at{};
     };
-    Udp& udp_;
-    const HandClock& clock_;
-    core::Span overstay_;
+    UdpClient& udp_;
+    const ManualClock& clock_;
+    core::Span extra_ttl_;
     std::map<std::string, Entry> cache_;
 };
 
 struct RequestCounts {
     int all = 0;
-    int drained = 0;             // on a server, later than 2 s after it began to drain
-    int starting = 0;            // on a server that has just started
-    int starting_by_choice = 0;  // of those, by an answer given after its start was known
+    int drained = 0;                   // to a server that began to drain more than 2 s before
+    int starting = 0;                  // to a server that has just started
+    int starting_by_fresh_answer = 0;  // of those, by an answer queried after the start was known
     int unresolved = 0;
 };
 
-// Three servers; the first drains after 3 s, the second starts anew after 8 s. Clients come through one
-// resolver, ten requests a second of the test's clock, each with a real connection to the server that it was
-// named.
+// Three servers: the first starts to drain after 3 s, the second restarts after 8 s. Clients send ten
+// requests per second of the manual clock through one resolver, each over a real connection to the resolved
+// server.
 class Scenario {
 public:
-    explicit Scenario(core::Span overstay) : resolver_(udp_, router_.clock, overstay) {
+    explicit Scenario(core::Span extra_ttl) : resolver_(udp_, router_.clock, extra_ttl) {
         for (int i = 1; i <= 3; ++i) {
             servers_.push_back(std::make_unique<Server>(io_, ("127.0.1." + std::to_string(i)).c_str()));
             listed_.push_back(listed("s-" + std::to_string(i), servers_.back()->address()));
@@ -65,7 +65,7 @@
             request(name_of(step % 6));
         }
         CHECK(router_.engine.open() == 0);
-        CHECK(resolver_.queries < counts_.all);  // it does cache
+        CHECK(resolver_.queries < counts_.all);  // some answers came from the cache
         return counts_;
     }
 
@@ -99,7 +99,7 @@
         CHECK(index < servers_.size());
         return index;
     }
-    // The client goes where it was sent; the server has to see that.
+    // Sends a request to the resolved address and checks that the server receives it.
     void send_to(const Server& server, const std::string& address) {
         const std::size_t seen_before = server.seen.size();
         const auto port = config::parse_endpoint(server.address())->port;
@@ -114,12 +114,12 @@
         counts_.drained += server == 0 && now > drains_at_ + 2s;
         const bool starting = server == 1 && now >= starts_at_;
         counts_.starting += starting;
-        counts_.starting_by_choice += starting && resolver_.asked_at >= starts_at_;
+        counts_.starting_by_fresh_answer += starting && resolver_.queried_at >= starts_at_;
     }
 
     net::asio::io_context io_;
     DnsRouter router_{io_};
-    Udp udp_{io_, router_.server.udp_local()};
+    UdpClient udp_{io_, router_.server.udp_local()};
     Resolver resolver_;
     const core::Time drains_at_ = router_.clock.now() + 3s;
     const core::Time starts_at_ = router_.clock.now() + 8s;
@@ -130,23 +130,24 @@
 
 void print(const char* resolver, const RequestCounts& counts) {
     std::printf(
-        "%s: %d requests, %d on a drained server, %d on a starting one (%d by an answer since its start), %d "
+        "%s: %d requests, %d to a drained server, %d to a starting one (%d by an answer since its start), %d "
         "unresolved\n",
-        resolver, counts.all, counts.drained, counts.starting, counts.starting_by_choice, counts.unresolved);
+        resolver, counts.all, counts.drained, counts.starting, counts.starting_by_fresh_answer,
+        counts.unresolved);
 }
 
 void resolvers_that_honour_the_ttl_follow_drains_and_restarts() {
     const RequestCounts counts = Scenario{0s}.run();
     print("honouring the TTL", counts);
-    CHECK(counts.all > 150 && counts.drained == 0 && counts.starting_by_choice == 0);
-    CHECK(counts.starting <= 10);  // within the one second that an answer given before lives
+    CHECK(counts.all > 150 && counts.drained == 0 && counts.starting_by_fresh_answer == 0);
+    CHECK(counts.starting <= 10);  // only within the 1 s TTL of answers given before the restart
 }
 
-// What no answer can prevent; docs/dns.md has these counts.
-void overstaying_resolvers_are_never_named_a_starting_server() {
+// Requests by answers kept past their TTL cannot be prevented by the server; docs/dns.md lists these counts.
+void fresh_answers_never_name_a_starting_server_if_the_ttl_is_exceeded() {
     const RequestCounts counts = Scenario{30s}.run();
-    print("overstaying by 30 s", counts);
-    CHECK(counts.starting_by_choice == 0);
+    print("exceeding the TTL by 30 s", counts);
+    CHECK(counts.starting_by_fresh_answer == 0);
     CHECK(counts.drained > 0 && counts.starting > 0);
 }
 
@@ -154,6 +155,6 @@
 
 int main() {
     resolvers_that_honour_the_ttl_follow_drains_and_restarts();
-    overstaying_resolvers_are_never_named_a_starting_server();
-    std::puts("dns resolvers: drains and restarts are followed as far as answers can do it");
+    fresh_answers_never_name_a_starting_server_if_the_ttl_is_exceeded();
+    std::puts("dns resolvers: drains and restarts take effect as far as the TTL is honoured");
 }
--- a/tests/dns/fixture.h
+++ b/tests/dns/fixture.h
@@ -1,5 +1,5 @@
-// A router's DNS server on real sockets, and resolvers that ask it. The clock is the test's own, so the
-// seconds of a drain pass without waiting and every verdict is the same each time.
+// A router's DNS server on real sockets and a client that queries it. A manual clock lets the seconds of a
+// drain pass without waiting and makes the results deterministic.
 #pragma once
 
 #include <functional>
@@ -14,7 +14,7 @@
 using namespace std::string_literals;
 using routing::Condition;
 
-class HandClock : public core::Clock {
+class ManualClock : public core::Clock {
 public:
     core::Time now() const override {
         return core::Time{1000s} + passed;
@@ -25,7 +25,7 @@
     core::Span passed{};
 };
 
-struct NoTimers : core::Timers {
+struct UnusedTimers : core::Timers {
     Handle at(core::Time, std::function<void()>) override {
         return ++last;
     }
@@ -33,8 +33,8 @@
     Handle last = 0;
 };
 
-// Nothing of a referral may ever be sent from here.
-struct NoSender : core::AttemptSender {
+// Fails the test on any attempt: redirected requests must not be sent to servers by the router.
+struct UnusedSender : core::AttemptSender {
     void start(core::AttemptRequest, core::AttemptEvents&) override {
         CHECK(!"an attempt was sent");
     }
@@ -67,9 +67,9 @@
         }
         engine.apply(core::ServerChange{complete, std::move(servers)});
     }
-    HandClock clock;
-    NoTimers timers;
-    NoSender sender;
+    ManualClock clock;
+    UnusedTimers timers;
+    UnusedSender sender;
     Log log;
     core::Engine engine;
     DnsFrontEnd front_end;
@@ -99,7 +99,7 @@
     return v;
 }
 
-// Reads what this server writes: owner names are pointers.
+// Parses responses of this server only: owner names are assumed to be compression pointers.
 inline Reply read_reply(std::string_view b) {
     Reply r;
     CHECK(b.size() >= 12 && number(b, 0, 2) == 0x1234 && (b[2] & 0x80));
@@ -130,9 +130,9 @@
     return r;
 }
 
-class Udp {
+class UdpClient {
 public:
-    Udp(net::asio::io_context& io, const net::asio::ip::udp::endpoint& to)
+    UdpClient(net::asio::io_context& io, const net::asio::ip::udp::endpoint& to)
         : io_(io), socket_(io, {net::asio::ip::udp::v4(), 0}), to_(to) {}
     std::string raw(const std::string& bytes) {
         socket_.send_to(net::asio::buffer(bytes), to_);
--- a/tests/dns/front_end_test.cpp
+++ b/tests/dns/front_end_test.cpp
@@ -1,4 +1,4 @@
-// What the DNS front end answers, and what it refuses.
+// Tests which queries the DNS front end answers and which it refuses.
 #include "fixture.h"
 
 using namespace silverrail;
@@ -6,17 +6,17 @@
 
 namespace {
 
-// A router with one server, and a resolver that asks it.
+// A router with one server, and a DNS client.
 struct Fixture {
     Fixture() {
         router.list({listed("s-a", "127.0.1.1:80")});
     }
     net::asio::io_context io;
     DnsRouter router{io};
-    Udp udp{io, router.server.udp_local()};
+    UdpClient udp{io, router.server.udp_local()};
 };
 
-void names_get_their_answers_or_errors() {
+void names_get_the_expected_answers_or_errors() {
     Fixture f;
     struct Case {
         std::string name;
@@ -62,7 +62,7 @@
     CHECK(f.udp.ask(update).rcode == 4);
 }
 
-// Over the limit of UDP: the flag that it is truncated, and TCP has it all.
+// A response over the UDP limit has the TC flag; server_test.cpp covers the full response over TCP.
 void long_responses_are_truncated_over_udp() {
     Fixture f;
     for (int i = 0; i < 8; ++i)
@@ -79,7 +79,7 @@
     CHECK(f.udp.ask(query(name_of(1))).address == "127.0.1.3");
 }
 
-// One answer brings more requests than a budget counts.
+// A resolver's clients share one answer, so it can bring more requests than the slow start's budget counts.
 void starting_servers_are_not_named() {
     Fixture f;
     auto starting = listed("s-a", "127.0.1.1:80");
@@ -92,47 +92,49 @@
     CHECK(f.udp.ask(query(name_of(1))).rcode == 0);
 }
 
-// No name carries the age bound that a purge needs: refused, until all older copies are gone.
-void purged_groups_are_refused_for_a_while() {
+// A DNS name cannot carry the age limit that requests need after a purge, so queries for the group are
+// refused until all older copies have expired.
+void purged_groups_are_refused_until_old_copies_expire() {
     Fixture f;
     f.router.engine.apply(core::PurgeNotice{{}, routing::GroupId{17}, f.router.clock.unix_ms()});
     const Reply reply = f.udp.ask(query(name_of(1)));
     CHECK(reply.rcode == 2 && reply.extended == 14);
-    CHECK(f.udp.ask(query(kObject + ".pages.route.example")).rcode == 2);  // may be of any group
+    // Without a group label, the object may belong to any group.
+    CHECK(f.udp.ask(query(kObject + ".pages.route.example")).rcode == 2);
     CHECK(f.udp.ask(query("lot-18." + kObject + ".pages.route.example")).rcode == 0);
     f.router.clock.passed += 10s;
     CHECK(f.udp.ask(query(name_of(1))).rcode == 0);
     CHECK(f.router.engine.counters().not_carried == 2 && f.router.engine.open() == 0);
 }
 
-// A fill from the origin is more than a name says.
-void nothing_is_named_without_hub_caches() {
+// Without a parent, edge caches would have to fill from the origin, and a DNS name cannot express that.
+void no_server_is_named_without_a_parent() {
     Fixture f;
     f.router.list({listed("s-parent", "127.0.0.1:9", "parent", Condition::gone)}, false);
     CHECK(f.udp.ask(query(name_of(2))).rcode == 2);
 }
 
-void passed_deadlines_are_errors() {
+void expired_deadlines_are_errors() {
     net::asio::io_context io;
     auto settings = zone();
     settings.deadline = 0ms;
     DnsRouter router{io, settings};
     router.list({listed("s-a", "127.0.1.1:80")});
-    const Reply reply = Udp{io, router.server.udp_local()}.ask(query(name_of(1)));
+    const Reply reply = UdpClient{io, router.server.udp_local()}.ask(query(name_of(1)));
     CHECK(reply.rcode == 2 && reply.extended == 23);
 }
 
 }  // namespace
 
 int main() {
-    names_get_their_answers_or_errors();
+    names_get_the_expected_answers_or_errors();
     answers_name_a_server_for_a_second_at_most();
     malformed_and_unknown_queries_get_errors();
     long_responses_are_truncated_over_udp();
     draining_and_gone_servers_are_not_named();
     starting_servers_are_not_named();
-    purged_groups_are_refused_for_a_while();
-    nothing_is_named_without_hub_caches();
-    passed_deadlines_are_errors();
-    std::puts("dns: every name has its answer or its error");
+    purged_groups_are_refused_until_old_copies_expire();
+    no_server_is_named_without_a_parent();
+    expired_deadlines_are_errors();
+    std::puts("dns: all names get the expected answers or errors");
 }
--- a/tests/dns/server_test.cpp
+++ b/tests/dns/server_test.cpp
@@ -1,4 +1,4 @@
-// The DNS server's sockets: streams with several queries, and replies that come too late.
+// Tests the DNS server's sockets: TCP streams with several queries, and replies that are ready too late.
 #include "fixture.h"
 
 using namespace silverrail;
@@ -11,13 +11,13 @@
            message;
 }
 
-// Collects what comes on a stream.
+// Collects all bytes received on a stream.
 class StreamReader {
 public:
     explicit StreamReader(tcp::socket& stream) : stream_(stream) {
         read();
     }
-    // The length of the message at `at`; absent until it is complete.
+    // The length of the message at offset `at`, or std::nullopt while it is incomplete.
     std::optional<std::size_t> complete_message(std::size_t at) const {
         if (bytes.size() < at + 2 || bytes.size() < at + 2 + number(bytes, at, 2))
             return std::nullopt;
@@ -38,7 +38,7 @@
     std::array<char, 4096> part_{};
 };
 
-// Several queries at once (RFC 7766), the first cut in two.
+// Two queries sent back to back on one TCP connection (RFC 7766), the first split over two writes.
 void streams_carry_several_queries() {
     net::asio::io_context io;
     DnsRouter router{io};
@@ -62,10 +62,10 @@
     CHECK(read_reply(bytes.substr(4 + first)).address == "127.0.1.1");
 }
 
-// A reply that names a server is not sent once it is too old.
-void late_replies_are_replaced() {
+// A reply that names a server must not be sent after its send_by time; its replacement is sent instead.
+void late_replies_are_replaced_by_errors() {
     net::asio::io_context io;
-    HandClock clock;
+    ManualClock clock;
     Log log;
     net::DnsReplyHandler held;
     net::DnsServer server{io, {}, [&](auto, auto, auto reply) { held = std::move(reply); }, clock, log};
@@ -91,6 +91,6 @@
 
 int main() {
     streams_carry_several_queries();
-    late_replies_are_replaced();
-    std::puts("dns server: streams are answered whole, late replies replaced");
+    late_replies_are_replaced_by_errors();
+    std::puts("dns server: streamed queries get full responses, and late replies are replaced");
 }
--- a/tests/silverrail/admin_test.cpp
+++ b/tests/silverrail/admin_test.cpp
@@ -1,5 +1,5 @@
-// The second address on real sockets: its words by table, callers that misbehave, and figures for each kind
-// of end.
+// Tests the control address on real sockets: command parsing, misbehaving clients, and the counters for each
+// outcome of a request.
 #include "front/admin/admin.h"
 
 #include "front/admin/command_parser.h"
@@ -14,13 +14,13 @@
 
 const std::string kObject = "7f3a9c21e0b4d655";
 
-void commands_are_parsed_or_refused() {
+void commands_are_parsed_or_rejected() {
     using Kind = admin::Command::Kind;
     struct Row {
         std::string line;
-        bool ended;
-        std::optional<Kind> kind;  // absent: a no
-        std::string server{};
+        bool terminated;
+        std::optional<Kind> kind;  // absent: rejected
+        std::string target{};
     };
     const Row rows[] = {
         {"HEALTH", true, Kind::health},
@@ -37,19 +37,19 @@
         {"PIN  OUT", true, std::nullopt},
         {"PIN z1 OUT now", true, std::nullopt},
         {"HEALTH\r", true, Kind::health},
-        {"HEALTH", false, std::nullopt},   // half a call, then closed
-        {"", true, std::nullopt},          // an empty line
-        {"\r", true, std::nullopt},        // also an empty one
-        {"health", true, std::nullopt},    // words are as written
-        {" HEALTH", true, std::nullopt},   // nothing before them
-        {"HEALTH ", true, std::nullopt},   // nor behind
-        {"DUMP all", true, std::nullopt},  // an extra word
+        {"HEALTH", false, std::nullopt},   // connection closed before the end of the line
+        {"", true, std::nullopt},          // empty line
+        {"\r", true, std::nullopt},        // empty line
+        {"health", true, std::nullopt},    // keywords are case-sensitive
+        {" HEALTH", true, std::nullopt},   // leading space
+        {"HEALTH ", true, std::nullopt},   // trailing space
+        {"DUMP all", true, std::nullopt},  // unexpected argument
         {"HEALTHY", true, std::nullopt},
         {"OFFLINE s-00c41f7a", true, Kind::offline, "s-00c41f7a"},
         {"ONLINE s-00c41f7a\r", true, Kind::online, "s-00c41f7a"},
-        {"OFFLINE", true, std::nullopt},  // which one?
+        {"OFFLINE", true, std::nullopt},  // missing server id
         {"OFFLINE ", true, std::nullopt},
-        {"OFFLINE s-1 s-2", true, std::nullopt},  // one at a time
+        {"OFFLINE s-1 s-2", true, std::nullopt},  // more than one server id
         {"OFFLINE  s-1", true, std::nullopt},
         {"ONLINE s\t1", true, std::nullopt},
         {"OFFLINE " + std::string(129, 'x'), true, std::nullopt},
@@ -57,21 +57,21 @@
         {std::string{"HEALTH\0", 7}, true, std::nullopt},
         {"HEALTH\rDUMP", true, std::nullopt},
         {"HEALTH\xc3\xa4", true, std::nullopt},
-        {std::string(300, 'A'), false, std::nullopt},  // over the bound
+        {std::string(300, 'A'), false, std::nullopt},  // over the length limit
     };
     for (const Row& row : rows) {
-        const auto call = admin::parse_command(row.line, row.ended);
-        const auto* good = std::get_if<admin::Command>(&call);
-        CHECK((good != nullptr) == row.kind.has_value());
-        if (good)
-            CHECK(good->kind == *row.kind && good->target == row.server);
-        if (!good)
-            CHECK(!std::get<admin::CommandError>(call).reason.empty());
+        const auto parsed = admin::parse_command(row.line, row.terminated);
+        const auto* command = std::get_if<admin::Command>(&parsed);
+        CHECK((command != nullptr) == row.kind.has_value());
+        if (command)
+            CHECK(command->kind == *row.kind && command->target == row.target);
+        if (!command)
+            CHECK(!std::get<admin::CommandError>(parsed).reason.empty());
     }
     CHECK(admin::acknowledge() == "ACK\n" && admin::reject("why not") == "NAK why not\n");
 }
 
-struct FixedOverrides : admin::OverrideCommands {
+struct StubOverrides : admin::OverrideCommands {
     admin::CommandResult take_offline(const core::ServerId& server) override {
         return {true, "out " + server.address};
     }
@@ -80,51 +80,53 @@
     }
 };
 
-struct Control {
-    Control(net::asio::io_context& io, Router& router, net::LineLimits limits = {})
+struct ControlServer {
+    ControlServer(net::asio::io_context& io, Router& router, net::LineLimits limits = {})
         : admin(router.engine, overrides, router.lifecycle, router.log),
           server(
               io, loopback(), limits,
-              [this](std::string_view line, bool ended) { return admin.answer(line, ended); }, router.log) {
+              [this](std::string_view line, bool terminated) { return admin.answer(line, terminated); },
+              router.log) {
         server.start();
     }
-    FixedOverrides overrides;
+    StubOverrides overrides;
     admin::Admin admin;
     net::LineServer server;
 };
 
-void misbehaving_callers_are_bounded() {
+void misbehaving_clients_are_limited() {
     net::asio::io_context io;
     Router router{io};
-    Control control{io, router, {.connections = 8, .line = 32}};
+    ControlServer control{io, router, {.connections = 8, .line = 32}};
     const auto at = control.server.local();
     CHECK(send_command(io, at, "HEALTH") == "ACK takes clients\n");
-    // Silent ones and ones with half a call, far more than there are places: a new caller is served all the
-    // same, and no more are held than the bound.
-    std::vector<std::unique_ptr<ControlClient>> crowd;
+    // Far more connections than the limit, which send nothing or only part of a command: a new client is
+    // still served, and the number of open connections stays within the limit.
+    std::vector<std::unique_ptr<ControlClient>> idle_callers;
     for (int i = 0; i < 200; ++i) {
-        crowd.push_back(std::make_unique<ControlClient>(io, at, i % 2 == 0 ? "" : "HEA"));
+        idle_callers.push_back(std::make_unique<ControlClient>(io, at, i % 2 == 0 ? "" : "HEA"));
         if (i % 50 == 49)
             CHECK(send_command(io, at, "HEALTH").starts_with("ACK"));
         CHECK(control.server.connections() <= 8);
     }
-    // One of the last of them finishes its call, in pieces, and gets its answer.
-    crowd.back()->send("L");
-    crowd.back()->send("TH\n");
-    run_until(io, [&] { return crowd.back()->done; });
-    CHECK(crowd.back()->answer == "ACK takes clients\n" && crowd.back()->clean);
-    // A half-closed caller still gets its answer; half a line and an end gets a no, nothing at all a close.
-    for (const auto& [says, wants] : {std::pair{"HEALTH\n", "ACK"}, {"HEALTH", "NAK"}, {"", ""}}) {
-        ControlClient caller{io, at, says};
+    // The newest of these clients completes its command in two writes and gets its response.
+    idle_callers.back()->send("L");
+    idle_callers.back()->send("TH\n");
+    run_until(io, [&] { return idle_callers.back()->done; });
+    CHECK(idle_callers.back()->answer == "ACK takes clients\n" && idle_callers.back()->clean);
+    // A client that half-closes its connection still gets a response: NAK for an unterminated line, and just
+    // the close if it has sent nothing.
+    for (const auto& [sent, expected] : {std::pair{"HEALTH\n", "ACK"}, {"HEALTH", "NAK"}, {"", ""}}) {
+        ControlClient caller{io, at, sent};
         caller.half_close();
         run_until(io, [&] { return caller.done; });
-        CHECK(caller.clean && caller.answer.starts_with(wants) && caller.answer.empty() == !*wants);
+        CHECK(caller.clean && caller.answer.starts_with(expected) && caller.answer.empty() == !*expected);
     }
-    // A line over the bound, without end: a no, and nothing more is kept of it.
+    // An unterminated line over the length limit gets NAK, and the rest of the line is discarded.
     ControlClient endless{io, at, std::string(20'000, 'x')};
     run_until(io, [&] { return endless.done; });
     CHECK(endless.answer.starts_with("NAK"));
-    // A second line with the first: one answer.
+    // Only the first of two lines sent together gets a response.
     CHECK(send_command(io, at, "HEALTH\nDUMP") == "ACK takes clients\n");
     CHECK(send_command(io, at, "OFFLINE s-1") == "ACK out s-1\n" &&
           send_command(io, at, "ONLINE s-1") == "NAK no such box\n");
@@ -132,7 +134,7 @@
     CHECK(send_command(io, at, "HEALTH") == "NAK draining\n");
 }
 
-std::uint64_t figure(const std::string& dump, const std::string& name) {
+std::uint64_t counter_value(const std::string& dump, const std::string& name) {
     const auto at = dump.find("edge." + name + "=");
     CHECK(at != std::string::npos && dump.ends_with("\n--\n"));
     return std::stoull(dump.substr(at + 6 + name.size()));
@@ -142,15 +144,15 @@
     net::asio::io_context io;
     Server server{io};
     Router router{io, {}, 2};
-    Control control{io, router};
+    ControlServer control{io, router};
     const auto dump = [&] {
         return send_command(io, control.server.local(), "DUMP");
     };
     const auto is = [&](const std::string& name, std::uint64_t wanted) {
         const std::string text = dump();
-        if (figure(text, name) != wanted)
+        if (counter_value(text, name) != wanted)
             std::fprintf(stderr, "%s", text.c_str());
-        CHECK(figure(text, name) == wanted);
+        CHECK(counter_value(text, name) == wanted);
     };
     for (const char* name : {"success.pages", "busy.pages", "failure.lodge", "backend_calls", "inflight"})
         is(name, 0);
@@ -161,13 +163,13 @@
         CHECK(!client.broken);
         return client.status();
     };
-    // Refused by the module: there is no server yet.
+    // Rejected by the decision module, because there is no server yet.
     CHECK(done(make_request("pages", kObject)) == 503);
     is("busy.pages", 1);
     router.list_with_sources({listed("s-a", server.address()), listed("s-far", "127.0.0.1:9", "other")});
     is("hosts_listed", 4);
     is("hosts_down", 0);
-    // Served, then told that the client's copy holds.
+    // Served, then 304 Not Modified for the client's copy.
     CHECK(done(make_request("pages", kObject)) == 200);
     server.response = Server::hit("");
     server.response.result(net::http::status::not_modified);
@@ -176,7 +178,7 @@
     CHECK(done(has) == 304);
     is("success.pages", 2);
     is("backend_calls", 2);
-    // A copy of its own: served without a call to a server.
+    // Served from the router's response cache without an attempt on a server.
     router.engine.enable_response_cache({.bytes = 1 << 20, .uplink = {1e9, 1e9}});
     router.engine.set_purges_reliable(true);
     server.response = Server::hit("bytes");
@@ -184,26 +186,27 @@
     CHECK(done(make_request("pages", kObject)) == 200 && done(make_request("pages", kObject)) == 200);
     is("success.pages", 4);
     is("backend_calls", 3);
-    // Failed: cut off after it may have run, and never to be run twice.
+    // Failed: the connection is reset after the request may have run, and its class is not idempotent.
     server.behaviour = Server::Behaviour::reset_after_reading;
     CHECK(done(make_request("lodge", "00000000000000a1")) == 502);
     is("failure.lodge", 1);
     is("backend_calls", 4);
-    // Unfit: a read of a class that writes. An unknown class counts nowhere.
-    Request unfit = make_request("lodge", kObject);
-    unfit.method(net::http::verb::get);
-    CHECK(done(unfit) == 502);
+    // Invalid: a read of a write-only class. A request of an unknown class is not counted.
+    Request invalid = make_request("lodge", kObject);
+    invalid.method(net::http::verb::get);
+    CHECK(done(invalid) == 502);
     is("failure.lodge", 2);
     Request unknown = make_request("pages", kObject);
     unknown.target("/ops/nothing/" + kObject + "/piece-0");
     CHECK(done(unknown) == 502);
-    // Past its deadline: one that no other server may be asked for.
+    // Deadline exceeded: the class allows no attempt on another server.
     server.behaviour = Server::Behaviour::never_respond;
     CHECK(done(make_request("lodge", "00000000000000a2", 300)) == 504);
     is("failure.lodge", 3);
     is("failure.pages", 0);
     is("inflight", 0);
-    // Open ones are in flight; over the bound the door refuses, and who has left counts nowhere.
+    // Open requests are counted as in flight. Requests over the limit of open requests are rejected. Requests
+    // abandoned by their clients are not counted.
     const std::size_t seen = server.seen.size();
     Client one{io, router.server.local()};
     Client two{io, router.server.local()};
@@ -218,16 +221,16 @@
     run_until(io, [&] { return router.engine.open() == 0; });
     is("inflight", 0);
     const std::string last = dump();
-    CHECK(figure(last, "success.pages") == 4 && figure(last, "busy.pages") == 2);
-    CHECK(figure(last, "failure.lodge") == 3 && figure(last, "busy.lodge") == 0);
-    // The same numbers as the counters of the platform's front.
+    CHECK(counter_value(last, "success.pages") == 4 && counter_value(last, "busy.pages") == 2);
+    CHECK(counter_value(last, "failure.lodge") == 3 && counter_value(last, "busy.lodge") == 0);
+    // GET /counters of the platform's front end shows the same values.
     client.send(Request{net::http::verb::get, "/counters", 11});
     run_until(io, [&] { return client.done; });
     for (const std::string name : {"backend_calls", "inflight", "hosts_listed", "hosts_down"})
-        CHECK(client.response.body().find("\n" + name + " " + std::to_string(figure(last, name)) + "\n") !=
-              std::string::npos);
+        CHECK(client.response.body().find("\n" + name + " " + std::to_string(counter_value(last, name)) +
+                                          "\n") != std::string::npos);
     CHECK(client.response.body().find("\nsuccess_pages 4\n") != std::string::npos);
-    // A server that refuses connections is avoided, and shows.
+    // A server that refuses connections is counted as down.
     server.stop_listening();
     router.list({listed("s-a", "127.0.0.1:9")}, false);
     for (int i = 0; i < 4; ++i)
@@ -238,8 +241,8 @@
 }  // namespace
 
 int main() {
-    commands_are_parsed_or_refused();
-    misbehaving_callers_are_bounded();
+    commands_are_parsed_or_rejected();
+    misbehaving_clients_are_limited();
     counters_show_each_outcome();
-    std::puts("admin: the second address answers everybody, and its figures are true");
+    std::puts("admin: commands, connection limits and counters are correct");
 }
