--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -398,11 +398,11 @@
 // longest. Returns false if all connections have an open request.
 bool HttpServer::evict_connection() {
     std::shared_ptr<HttpSession> victim;
-    std::optional<limits::EvictionClass> victim_class;
+    std::optional<limits::EvictionPriority> victim_class;
     const auto now = std::chrono::steady_clock::now();
     for (const auto& [session, weak] : sessions_) {
         const auto alive = weak.lock();
-        const auto candidate_class = alive ? limits::eviction_class(alive->activity(now)) : std::nullopt;
+        const auto candidate_class = alive ? limits::eviction_priority(alive->activity(now)) : std::nullopt;
         if (!candidate_class || (victim && std::pair{*victim_class, victim->since()} <=
                                                std::pair{*candidate_class, alive->since()}))
             continue;
