--- a/src/front/platform/platform.h
+++ b/src/front/platform/platform.h
@@ -1,4 +1,4 @@
-// The platform's HTTP/1.1 protocol: converts HTTP requests to core::ClientRequest and core::Answer to HTTP
+// The platform's HTTP/1.1 protocol: converts HTTP requests to core::ClientRequest and core::ClientResponse to HTTP
 // responses. All routing decisions are made by the core.
 #pragma once
 
@@ -19,7 +19,7 @@
 
 // `arrived`: when the last byte of the request was received. The deadline is relative to this time.
 std::variant<core::ClientRequest, RequestError> parse_request(net::HttpRequest request, core::Time arrived);
-net::HttpResponse response_of(core::Answer answer);
+net::HttpResponse response_of(core::ClientResponse answer);
 
 // Serves the platform's requests: health and counters directly, all others through the engine.
 class Platform {
