--- a/src/app/config_reload.cpp
+++ b/src/app/config_reload.cpp
@@ -55,7 +55,7 @@
 void ConfigReloader::apply(const config::Config& fresh, const config::OperatorSettings& fresh_settings) {
     for (const char* section : config::changed_sections(running_settings_, fresh_settings))
         log_.line("reload", "%s has changed: not applied, takes a restart", section);
-    for (const auto& name : config::need_restart(running_, fresh))
+    for (const auto& name : config::settings_needing_restart(running_, fresh))
         log_.line("reload", "%s has changed: not applied, takes a restart", name.c_str());
     if (fresh.discovery == discovery_address_ || !watch_) {
         log_.line("reload", "read; the discovery address is unchanged");
--- a/src/app/program.cpp
+++ b/src/app/program.cpp
@@ -108,7 +108,7 @@
 
 void Program::start_discovery() {
     discovery_.emplace(
-        io_, endpoint_of(config_.discovery), config_.known_no,
+        io_, endpoint_of(config_.discovery), config_.last_known_event,
         [this](std::int64_t, std::string_view data) { return on_discovery_data(data); }, log_, config_.seed);
     discovery_->when_synchronized([this](bool synchronized) { engine_.set_purges_reliable(synchronized); });
     discovery_->start();
--- a/src/app/trace_part.cpp
+++ b/src/app/trace_part.cpp
@@ -58,7 +58,7 @@
     result.flight_bytes = static_cast<std::size_t>(settings.flight_mb) << 20;
     result.trigger.failed_share = settings.dump_at_failed_share;
     result.trigger.window_ns = settings.dump_window_s * kNsPerSecond;
-    result.trigger.min_responses = static_cast<std::uint64_t>(settings.dump_least_answers);
+    result.trigger.min_responses = static_cast<std::uint64_t>(settings.dump_min_responses);
     result.trigger.min_interval_ns = settings.dump_hold_off_s * kNsPerSecond;
     return result;
 }
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -19,7 +19,7 @@
 }
 
 void parse_known_events(const JsonObject& known, Config& config) {
-    config.known_no = static_cast<std::int64_t>(known.number_or("no", 0));
+    config.last_known_event = static_cast<std::int64_t>(known.number_or("no", 0));
     for (const Json::Value& event : known.list("items"))
         config.known.push_back(event);
 }
@@ -71,7 +71,7 @@
     return parse_config(*json);
 }
 
-std::vector<std::string> need_restart(const Config& running, const Config& fresh) {
+std::vector<std::string> settings_needing_restart(const Config& running, const Config& fresh) {
     std::vector<std::string> paths;
     add_differences(running.root, fresh.root, "", paths);
     std::erase(paths, "bulletin");
--- a/src/config/discovery_event.cpp
+++ b/src/config/discovery_event.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "config/hex.h"
-#include "config/word_table.h"
+#include "config/keyword_table.h"
 
 namespace silverrail::config {
 
@@ -46,7 +46,7 @@
 }
 
 std::optional<core::Server> parse_server(const Json::Value& json) {
-    const auto condition = find_word(kStates, text(json, "state"));
+    const auto condition = find_keyword(kStates, text(json, "state"));
     core::Server server;
     server.entry.id = routing::ServerId{text(json, "id")};
     server.address = text(json, "addr");
--- a/src/config/json_object.h
+++ b/src/config/json_object.h
@@ -10,7 +10,7 @@
 #include <utility>
 
 #include "config/config_error.h"
-#include "config/word_table.h"
+#include "config/keyword_table.h"
 #include "silverrail/routing/router.h"
 
 namespace silverrail::config {
@@ -61,7 +61,7 @@
     }
     template <class Value>
     Value meaning(const char* key, const std::string& word, std::span<const WordMeaning<Value>> words) const {
-        const auto value = find_word(words, word);
+        const auto value = find_keyword(words, word);
         if (!value)
             throw ConfigError(path_of(key), "unknown word " + word);
         return *value;
--- a/src/config/word_table.h
+++ b/src/config/keyword_table.h
@@ -9,7 +9,7 @@
 
 // What `word` stands for in a table of pairs of word and value; absent if it is not there.
 template <std::ranges::input_range Table>
-auto find_word(const Table& table, std::string_view word)
+auto find_keyword(const Table& table, std::string_view word)
     -> std::optional<typename std::ranges::range_value_t<Table>::second_type> {
     for (const auto& [known, value] : table)
         if (word == known)
--- a/src/config/operator_settings.cpp
+++ b/src/config/operator_settings.cpp
@@ -63,7 +63,7 @@
 void read_trace_dump(SettingsSection section, TraceSettings& t) {
     t.dump_at_failed_share = section.number("at_failed_share", 0, 0, 1);
     t.dump_window_s = section.integer("window_s", t.dump_window_s, 1, 3600);
-    t.dump_least_answers = section.integer("least_answers", t.dump_least_answers, 1, 1'000'000);
+    t.dump_min_responses = section.integer("least_answers", t.dump_min_responses, 1, 1'000'000);
     t.dump_hold_off_s = section.integer("hold_off_s", t.dump_hold_off_s, 1, 86'400);
 }
 
--- a/src/config/operator_settings.h
+++ b/src/config/operator_settings.h
@@ -52,7 +52,7 @@
     std::int64_t flight_mb = 0;  // above 0: only the newest records are retained, in memory, until a dump
     double dump_at_failed_share = 0;
     std::int64_t dump_window_s = 10;
-    std::int64_t dump_least_answers = 50;
+    std::int64_t dump_min_responses = 50;
     std::int64_t dump_hold_off_s = 600;
     bool leave_out_clients = false;
     bool leave_out_tags = false;
--- a/src/front/admin/command_parser.cpp
+++ b/src/front/admin/command_parser.cpp
@@ -4,7 +4,7 @@
 #include <array>
 #include <optional>
 
-#include "config/word_table.h"
+#include "config/keyword_table.h"
 #include "overrides/server_overrides.h"
 
 namespace silverrail::front::admin {
@@ -67,12 +67,12 @@
     const std::string_view keyword = line.substr(0, line.find(' '));
     const bool has_arguments = keyword.size() < line.size();
     const std::string_view arguments = has_arguments ? line.substr(keyword.size() + 1) : std::string_view{};
-    if (const auto kind = config::find_word(kCommandsWithoutArguments, keyword)) {
+    if (const auto kind = config::find_keyword(kCommandsWithoutArguments, keyword)) {
         if (has_arguments)
             return CommandError{std::string{keyword} + " takes no arguments"};
         return Command{*kind};
     }
-    if (const auto kind = config::find_word(kServerCommands, keyword))
+    if (const auto kind = config::find_keyword(kServerCommands, keyword))
         return parse_server_command(*kind, keyword, arguments);
     if (keyword == kPin)
         return parse_pin(arguments);
--- a/src/net/server_protocol.cpp
+++ b/src/net/server_protocol.cpp
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <array>
 
+#include "config/keyword_table.h"
 #include "config/number.h"
-#include "config/word_table.h"
 
 namespace silverrail::net {
 
@@ -115,7 +115,7 @@
 }  // namespace
 
 CacheStatus parse_cache_status(std::string_view name) {
-    return config::find_word(kCacheStatusNames, name).value_or(CacheStatus::none);
+    return config::find_keyword(kCacheStatusNames, name).value_or(CacheStatus::none);
 }
 
 std::string_view cache_status_name(CacheStatus status) {
@@ -137,7 +137,7 @@
         const double value = parse_number<double>(field.substr(colon + 1)).value_or(-1);
         if (value < 0)
             continue;
-        if (const auto member = config::find_word(kLoadFields, field.substr(0, colon)))
+        if (const auto member = config::find_keyword(kLoadFields, field.substr(0, colon)))
             load.*(*member) = value;
     }
     return load;
