--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -24,12 +24,12 @@
         config.known.push_back(event);
 }
 
-// Adds the paths of the keys whose values differ.
+// Appends the paths of the top-level keys whose values differ.
 void add_differences(const Json::Value& a, const Json::Value& b, const std::string& path_prefix,
                      std::vector<std::string>& paths) {
     std::set<std::string> keys;
-    for (const Json::Value* side : {&a, &b})
-        for (const auto& key : side->getMemberNames())
+    for (const Json::Value* object : {&a, &b})
+        for (const auto& key : object->getMemberNames())
             keys.insert(key);
     for (const auto& key : keys)
         if (a[key] != b[key])
@@ -41,11 +41,11 @@
 Config parse_config(const Json::Value& json) {
     const JsonObject root{json, ""};
     Config config;
-    config.name = root.text_or("name", "");
-    config.listen = root.text("listen");
-    config.control = root.text_or("control", "");
-    config.discovery = root.text_or("bulletin", "");
-    const auto seed = parse_hex(root.text_or("seed", "1"));
+    config.name = root.string_or("name", "");
+    config.listen = root.string("listen");
+    config.control = root.string_or("control", "");
+    config.discovery = root.string_or("bulletin", "");
+    const auto seed = parse_hex(root.string_or("seed", "1"));
     if (!seed)
         throw ConfigError("seed", "expected up to 16 hex digits");
     config.seed = *seed;
@@ -71,13 +71,13 @@
     return parse_config(*json);
 }
 
-std::vector<std::string> settings_needing_restart(const Config& running, const Config& fresh) {
+std::vector<std::string> settings_needing_restart(const Config& running, const Config& reloaded) {
     std::vector<std::string> paths;
-    add_differences(running.root, fresh.root, "", paths);
+    add_differences(running.root, reloaded.root, "", paths);
     std::erase(paths, "bulletin");
-    // Large, so that its parts are named.
+    // `settings` is large, so the keys inside it are reported individually.
     if (std::erase(paths, "settings") > 0)
-        add_differences(running.root["settings"], fresh.root["settings"], "settings.", paths);
+        add_differences(running.root["settings"], reloaded.root["settings"], "settings.", paths);
     return paths;
 }
 
--- a/src/config/config_error.h
+++ b/src/config/config_error.h
@@ -1,4 +1,4 @@
-// What can be wrong with a settings file.
+// Errors in a settings file.
 #pragma once
 
 #include <stdexcept>
@@ -6,7 +6,7 @@
 
 namespace silverrail::config {
 
-// Thrown where the first problem ends the reading. The text names the whole path of the key.
+// Thrown by parsers that stop at the first problem. The message contains the full path of the key.
 class ConfigError : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
@@ -15,18 +15,18 @@
         : std::runtime_error(path + ": " + problem) {}
 };
 
-// One of several problems that are collected and reported together.
+// One problem in a settings file; parsers that continue after a problem collect all and report them together.
 struct ConfigProblem {
-    std::string file{};  // empty: the text was no file
-    std::string path{};  // of the key, such as "trace.file_mb"; empty: the file as a whole
+    std::string file{};  // empty: the input was not read from a file
+    std::string path{};  // of the key, such as "trace.file_mb"; empty: the whole file
     std::string problem{};
 
-    // "FILE: PATH: PROBLEM", less what is empty.
+    // "FILE: PATH: PROBLEM", without the empty parts.
     std::string text() const {
         std::string out;
-        for (const std::string* place : {&file, &path})
-            if (!place->empty())
-                out += *place + ": ";
+        for (const std::string* prefix : {&file, &path})
+            if (!prefix->empty())
+                out += *prefix + ": ";
         return out + problem;
     }
     bool operator==(const ConfigProblem&) const = default;
--- a/src/config/discovery_event.cpp
+++ b/src/config/discovery_event.cpp
@@ -13,10 +13,10 @@
 
 constexpr Json::ArrayIndex kMaxServers = 4096;
 
-// Whole numbers from here on have no exact value as a double, which JSON numbers may be.
+// JSON numbers may be doubles, which represent integers exactly only up to about this magnitude.
 constexpr double kMaxInteger = 9e15;
 
-// Keys of discovery's events.
+// Keys of discovery events.
 constexpr const char* kEventNumber = "no";
 constexpr const char* kServerList = "roster";
 constexpr const char* kListIsComplete = "full";
@@ -26,11 +26,11 @@
 constexpr const char* kPurgedGroup = "lot";
 constexpr const char* kPurgeIssuedUnixMs = "issued";
 
-// Words of discovery for a server's state.
+// Keywords of the `state` field of a server.
 constexpr std::pair<std::string_view, Condition> kStates[] = {
     {"active", Condition::ready}, {"leaving", Condition::draining}, {"left", Condition::gone}};
 
-// 0 if it is no number.
+// Returns 0 if the value is not a number.
 std::int64_t integer(const Json::Value& json, const char* key) {
     const Json::Value& value = json[key];
     if (value.isInt64())
@@ -40,21 +40,21 @@
     return static_cast<std::int64_t>(std::clamp(value.asDouble(), -kMaxInteger, kMaxInteger));
 }
 
-// Empty if it is no text.
-std::string text(const Json::Value& json, const char* key) {
+// Returns an empty string if the value is not a string.
+std::string string(const Json::Value& json, const char* key) {
     return json[key].isString() ? json[key].asString() : std::string{};
 }
 
 std::optional<core::Server> parse_server(const Json::Value& json) {
-    const auto condition = find_keyword(kStates, text(json, "state"));
+    const auto condition = find_keyword(kStates, string(json, "state"));
     core::Server server;
-    server.entry.id = routing::ServerId{text(json, "id")};
-    server.address = text(json, "addr");
+    server.entry.id = routing::ServerId{string(json, "id")};
+    server.address = string(json, "addr");
     if (!condition || server.entry.id.address.empty())
         return std::nullopt;
     server.entry.condition = *condition;
-    server.entry.zone = text(json, "zone");
-    server.entry.kind = text(json, "kind");
+    server.entry.zone = string(json, "zone");
+    server.entry.kind = string(json, "kind");
     server.entry.cell = routing::CellId{integer(json, "cell")};
     if (json["weight"].isNumeric())
         server.entry.weight = json["weight"].asDouble();
@@ -77,7 +77,7 @@
     return change;
 }
 
-// Names one object, or a group of them.
+// A purge applies to one object or to a group of objects.
 std::optional<core::PurgeNotice> parse_purge(const Json::Value& json) {
     core::PurgeNotice purge;
     if (json[kPurgedObject].isString()) {
--- a/src/config/discovery_event.h
+++ b/src/config/discovery_event.h
@@ -1,4 +1,5 @@
-// One event of service discovery. The configuration's `known` and the watch stream have the same form.
+// Parsing of service discovery events. The configuration's `known` list and the watch stream use the same
+// format.
 #pragma once
 
 #include <json/json.h>
@@ -12,13 +13,13 @@
 namespace silverrail::config {
 
 struct DiscoveryEvent {
-    std::int64_t no = 0;  // its number in the stream
+    std::int64_t no = 0;  // sequence number in the stream
     std::variant<core::ServerChange, core::PurgeNotice> what;
 };
 
-// Times of servers' starts and of purges stay in Unix time; the core converts them to the steady clock.
-// Absent if it is not an event that this version knows. Servers with an unknown state or without an id are
-// skipped.
+// Returns nothing if `json` is not an event that this version supports. Servers with an unknown state or
+// without an id are skipped. Start times of servers and issue times of purges remain in Unix time; the core
+// converts them to the steady clock.
 std::optional<DiscoveryEvent> parse_event(const Json::Value& json);
 
 }  // namespace silverrail::config
--- a/src/config/endpoint.h
+++ b/src/config/endpoint.h
@@ -1,4 +1,4 @@
-// Addresses with a port, as settings and discovery write them.
+// Parsing of "host:port" addresses from settings and discovery.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
     std::uint16_t port = 0;
 };
 
-// "HOST:PORT" or "[V6]:PORT". The host is not checked.
+// Parses "HOST:PORT" or "[IPV6]:PORT". The host is not validated.
 std::optional<Endpoint> parse_endpoint(std::string_view text);
 
 }  // namespace silverrail::config
--- a/src/config/hex.h
+++ b/src/config/hex.h
@@ -1,4 +1,4 @@
-// Hexadecimal ids.
+// Parsing and formatting of hexadecimal ids.
 #pragma once
 
 #include <cstdint>
@@ -8,9 +8,9 @@
 
 namespace silverrail::config {
 
-// 1 to 16 digits, of either case; absent if it is anything else.
+// Accepts 1 to 16 digits in either case; returns nothing for other input.
 std::optional<std::uint64_t> parse_hex(std::string_view text);
-// 16 digits of lower case.
+// Returns 16 lower-case digits.
 std::string hex_text(std::uint64_t value);
 
 }  // namespace silverrail::config
--- a/src/config/json_object.cpp
+++ b/src/config/json_object.cpp
@@ -4,12 +4,12 @@
 
 namespace {
 
-// Numbers are read as nanoseconds and sizes; larger ones would overflow a 64-bit count.
+// Numbers are converted to nanoseconds and sizes; larger values would overflow a 64-bit integer.
 constexpr double kNumberBound = 9e18;
 
-std::string checked_text(const Json::Value& value, const std::string& path) {
+std::string checked_string(const Json::Value& value, const std::string& path) {
     if (!value.isString())
-        throw ConfigError(path, "expected a text");
+        throw ConfigError(path, "expected a string");
     return value.asString();
 }
 
@@ -37,12 +37,12 @@
     return value;
 }
 
-std::string JsonObject::text(const char* key) const {
-    return checked_text(json_[key], path_of(key));
+std::string JsonObject::string(const char* key) const {
+    return checked_string(json_[key], path_of(key));
 }
 
-std::string JsonObject::text_or(const char* key, const char* fallback) const {
-    return has(key) ? text(key) : std::string{fallback};
+std::string JsonObject::string_or(const char* key, const char* fallback) const {
+    return has(key) ? string(key) : std::string{fallback};
 }
 
 double JsonObject::number_or(const char* key, double fallback) const {
@@ -55,7 +55,7 @@
 
 routing::Span JsonObject::required_duration(const char* key) const {
     if (!has(key))
-        throw ConfigError(path_of(key), "absent");
+        throw ConfigError(path_of(key), "required");
     return duration(key);
 }
 
--- a/src/config/json_object.h
+++ b/src/config/json_object.h
@@ -1,4 +1,5 @@
-// A JSON object whose values are read by key and checked. Errors are ConfigError and name the whole path.
+// Typed and validated access to the members of a JSON object. Errors are thrown as ConfigError with the full
+// path of the key.
 #pragma once
 
 #include <json/json.h>
@@ -15,9 +16,9 @@
 
 namespace silverrail::config {
 
-// A word of a settings file and the value that it stands for.
+// A keyword of a settings file and its value.
 template <class Value>
-using WordMeaning = std::pair<const char*, Value>;
+using KeywordValue = std::pair<const char*, Value>;
 
 class JsonObject {
 public:
@@ -27,32 +28,34 @@
     JsonObject child(const char* key) const {
         return {json_[key], path_of(key)};
     }
-    // Absent is the same as null.
+    // A key whose value is null counts as absent.
     bool has(const char* key) const {
         return !json_[key].isNull();
     }
     const Json::Value& list(const char* key) const;
-    std::string text(const char* key) const;
-    std::string text_or(const char* key, const char* fallback) const;
-    // Not negative, and below 9e18.
+    std::string string(const char* key) const;
+    std::string string_or(const char* key, const char* fallback) const;
+    // The number must be non-negative and below 9e18.
     double number_or(const char* key, double fallback) const;
-    // In nanoseconds; zero if absent.
+    // Reads a number of nanoseconds; returns zero if the key is absent.
     routing::Span duration(const char* key) const;
     routing::Span required_duration(const char* key) const;
-    // False if absent.
+    // Returns false if the key is absent.
     bool flag(const char* key) const;
-    // Item `index` of a list of numbers or flags (1 or 0); 0 if the list is absent or shorter.
+    // Returns item `index` of a list of numbers or booleans (as 1 or 0); 0 if the list is absent or shorter.
     double list_item(const char* key, std::size_t index) const;
-    // An index into another list; absent if negative, which stands for none, or not a whole number.
+    // Reads an index into another list; returns nothing if it is negative, which means none, or not an
+    // integer.
     std::optional<Json::ArrayIndex> index(const char* key) const;
-    // What the word at `key` stands for; `fallback` is the word if the key is absent.
+    // Returns the value of the keyword at `key`; an absent key is read as the keyword `fallback`.
     template <class Value>
-    Value word(const char* key, std::span<const WordMeaning<Value>> words, const char* fallback) const {
-        return meaning(key, text_or(key, fallback), words);
+    Value keyword(const char* key, std::span<const KeywordValue<Value>> keywords,
+                  const char* fallback) const {
+        return value_of(key, string_or(key, fallback), keywords);
     }
     template <class Value>
-    Value required_word(const char* key, std::span<const WordMeaning<Value>> words) const {
-        return meaning(key, text(key), words);
+    Value required_keyword(const char* key, std::span<const KeywordValue<Value>> keywords) const {
+        return value_of(key, string(key), keywords);
     }
 
 private:
@@ -60,10 +63,11 @@
         return path_.empty() ? key : path_ + "." + key;
     }
     template <class Value>
-    Value meaning(const char* key, const std::string& word, std::span<const WordMeaning<Value>> words) const {
-        const auto value = find_keyword(words, word);
+    Value value_of(const char* key, const std::string& keyword,
+                   std::span<const KeywordValue<Value>> keywords) const {
+        const auto value = find_keyword(keywords, keyword);
         if (!value)
-            throw ConfigError(path_of(key), "unknown word " + word);
+            throw ConfigError(path_of(key), "unknown value " + keyword);
         return *value;
     }
 
--- a/src/config/json_text.h
+++ b/src/config/json_text.h
@@ -1,4 +1,4 @@
-// JSON to and from text.
+// Conversion between JSON values and JSON text.
 #pragma once
 
 #include <json/json.h>
@@ -9,13 +9,13 @@
 
 namespace silverrail::config {
 
-// Nesting deeper than this is refused, as the parser recurses.
+// Input that is nested more deeply is rejected, because the parser is recursive.
 inline constexpr int kMaxJsonDepth = 64;
 
-// Comments are allowed. Absent if the text is not JSON.
+// Comments are accepted. Returns nothing if `text` is not valid JSON.
 std::optional<Json::Value> parse_json(std::string_view text);
 
-// On one line.
+// Serializes a value on one line.
 std::string json_line(const Json::Value& json);
 
 }  // namespace silverrail::config
--- a/src/config/keyword_table.h
+++ b/src/config/keyword_table.h
@@ -1,4 +1,4 @@
-// Tables of the words that stand for values on a wire or in a file.
+// Look-up in tables that map keywords of a protocol or file format to values.
 #pragma once
 
 #include <optional>
@@ -7,12 +7,12 @@
 
 namespace silverrail::config {
 
-// What `word` stands for in a table of pairs of word and value; absent if it is not there.
+// Returns the value of `keyword` in a table of (keyword, value) pairs, or nothing if it is not listed.
 template <std::ranges::input_range Table>
-auto find_keyword(const Table& table, std::string_view word)
+auto find_keyword(const Table& table, std::string_view keyword)
     -> std::optional<typename std::ranges::range_value_t<Table>::second_type> {
     for (const auto& [known, value] : table)
-        if (word == known)
+        if (keyword == known)
             return value;
     return std::nullopt;
 }
--- a/src/config/number.h
+++ b/src/config/number.h
@@ -1,4 +1,4 @@
-// Numbers in texts from outside.
+// Strict parsing of numbers from untrusted input.
 #pragma once
 
 #include <charconv>
@@ -7,8 +7,8 @@
 
 namespace silverrail::config {
 
-// The whole text as a number, in base 10 and as std::from_chars reads it: no blanks and no plus sign. Absent
-// if it is anything else or out of Number's range.
+// Parses the whole of `text` as a base-10 number in the format of std::from_chars: no whitespace and no plus
+// sign. Returns nothing for other input and for values outside the range of Number.
 template <class Number>
 std::optional<Number> parse_number(std::string_view text) {
     Number value{};
--- a/src/config/operator_settings.cpp
+++ b/src/config/operator_settings.cpp
@@ -16,8 +16,8 @@
 
 constexpr std::size_t kMaxFileBytes = 1024UL * 1024;
 
-// No answer may name a server later than 2 s after it began to drain. Half of that is for the answer's way,
-// so that resolvers may keep it for the other second.
+// Clients must not receive the address of a server later than 2 s after it began to drain. Delivery of a DNS
+// response may take 1 s of that, so resolvers may cache it for the other second.
 constexpr std::int64_t kMaxDnsTtlSeconds = 1;
 
 DnsSettings parse_dns(SettingsSection section) {
@@ -25,35 +25,35 @@
     d.udp = read_endpoint(section, "udp");
     d.tcp = read_endpoint(section, "tcp");
     d.tls = read_endpoint(section, "tls");
-    d.zone = section.text("zone");
-    d.server = section.text("server");
-    d.server_address = section.text("server_address");
-    d.mailbox = section.text("mailbox");
+    d.zone = section.string("zone");
+    d.server = section.string("server");
+    d.server_address = section.string("server_address");
+    d.mailbox = section.string("mailbox");
     d.ttl_s = static_cast<std::uint32_t>(section.integer("ttl_s", 1, 0, kMaxDnsTtlSeconds));
     d.deadline = std::chrono::milliseconds{section.integer("deadline_ms", 1000, 0, 60'000)};
     if (d.on() && d.zone.empty())
-        section.add_problem("zone", "needed where the front listens");
+        section.add_problem("zone", "required if a DNS listener is configured");
     if (d.on() && d.server.empty())
-        section.add_problem("server", "needed where the front listens");
+        section.add_problem("server", "required if a DNS listener is configured");
     return d;
 }
 
 AcmeSettings parse_acme(SettingsSection section, bool dns_on) {
     AcmeSettings a;
-    a.directory = section.text("directory");
-    a.contact = section.text("contact");
-    a.folder = section.text("folder");
-    a.trust = section.text("trust");
+    a.directory = section.string("directory");
+    a.contact = section.string("contact");
+    a.folder = section.string("folder");
+    a.trust = section.string("trust");
     if (a.on() && !dns_on)
-        section.add_problem("directory", "its proofs need the DNS front");
+        section.add_problem("directory", "requires a DNS listener, which answers the ACME challenges");
     return a;
 }
 
 void read_trace_files(SettingsSection& section, TraceSettings& t) {
-    t.folder = section.text("folder");
+    t.folder = section.string("folder");
     t.most_mb = section.integer("most_mb", t.most_mb, 1, 1 << 20);
-    const std::int64_t half_of_all = std::max<std::int64_t>(1, t.most_mb / 2);
-    t.file_mb = section.integer("file_mb", std::min<std::int64_t>(t.file_mb, half_of_all), 1, 1 << 16);
+    const std::int64_t half_of_total = std::max<std::int64_t>(1, t.most_mb / 2);
+    t.file_mb = section.integer("file_mb", std::min<std::int64_t>(t.file_mb, half_of_total), 1, 1 << 16);
     t.file_minutes = section.integer("file_minutes", t.file_minutes, 1, 7LL * 24 * 60);
     t.flush_ms = section.integer("flush_ms", t.flush_ms, 20, 600'000);
     t.queue_kb = section.integer("queue_kb", t.queue_kb, 64, 1 << 20);
@@ -71,20 +71,20 @@
     TraceSettings t;
     read_trace_files(section, t);
     read_trace_dump(section.child("dump"), t);
-    for (const std::string& word : section.words("leave_out", {"clients", "tags"})) {
-        t.leave_out_clients = t.leave_out_clients || word == "clients";
-        t.leave_out_tags = t.leave_out_tags || word == "tags";
+    for (const std::string& field : section.keywords("leave_out", {"clients", "tags"})) {
+        t.leave_out_clients = t.leave_out_clients || field == "clients";
+        t.leave_out_tags = t.leave_out_tags || field == "tags";
     }
     if (t.file_mb * 2 > t.most_mb && t.flight_mb == 0 && t.most_mb > 1)
-        section.add_problem("file_mb", "more than half of most_mb: no older file could be kept");
+        section.add_problem("file_mb", "exceeds half of most_mb: no older file could be kept");
     if (t.flight_mb > 0 && t.folder.empty())
-        section.add_problem("folder", "needed: where a flight recorder's dumps go");
+        section.add_problem("folder", "required if flight_mb is set: the flight recorder dumps there");
     if (t.dump_at_failed_share > 0 && t.flight_mb == 0)
-        section.add_problem("dump.at_failed_share", "works with flight_mb only");
+        section.add_problem("dump.at_failed_share", "requires flight_mb");
     return t;
 }
 
-// Unlike parse_json: keys given twice and anything behind the object are errors, and the reason is given.
+// Unlike parse_json, rejects duplicate keys and trailing data, and returns the parser's error message.
 std::variant<Json::Value, ConfigProblem> parse_strict_json(const std::string& text) {
     Json::CharReaderBuilder builder;
     builder["stackLimit"] = kMaxJsonDepth;
@@ -109,7 +109,7 @@
 
 CheckedOperatorSettings parse_operator(const Json::Value& root) {
     CheckedOperatorSettings checked;
-    // A scope of its own: the section's end adds the keys that were not read.
+    // The destructor of `file` reports the keys that were not read, so it must run before the return.
     {
         SettingsSection file{root, "", checked.problems};
         checked.settings.peers = parse_peers(file.child("peers"));
@@ -126,11 +126,11 @@
         text = store::read_file(path, kMaxFileBytes);
     } catch (const std::system_error& e) {
         const bool absent = e.code() == std::errc::no_such_file_or_directory;
-        // Not the same as an absent file, which turns every part off without notice.
+        // Must not be treated like an absent file, which would silently turn all subsystems off.
         if (!absent && store::is_transient(e.code().value()))
             throw;
         if (must_exist || !absent)
-            return {.settings = {}, .problems = {{.file = path, .problem = "can't be read"}}};
+            return {.settings = {}, .problems = {{.file = path, .problem = "cannot be read"}}};
         return {};
     }
     auto json = parse_strict_json(text);
--- a/src/config/peers_settings.cpp
+++ b/src/config/peers_settings.cpp
@@ -11,27 +11,28 @@
 
 constexpr std::size_t kMaxSeeds = 64;
 constexpr std::size_t kMaxNameBytes = 64;
-constexpr std::size_t kMaxPlaceBytes = 32;  // of a zone or region
+constexpr std::size_t kMaxZoneOrRegionBytes = 32;
 constexpr std::int64_t kMinSharedReportMs = 1'000;
 
-// Zone and region names stand in stored decisions, whose text gives '=' and spaces a meaning.
-bool is_place_name(const std::string& name) {
+// Stored failover decisions contain zone and region names in a text format that uses '=' and spaces as
+// delimiters.
+bool is_zone_or_region_name(const std::string& name) {
     return !name.empty() && name.size() <= cluster::kMaxZoneLength &&
            std::all_of(name.begin(), name.end(), [](char c) { return c > ' ' && c < '\x7f' && c != '='; });
 }
 
 void read_zone(SettingsSection& section, std::vector<cluster::FailoverZone>& zones) {
-    cluster::FailoverZone zone{section.text("name"), section.text("region"),
+    cluster::FailoverZone zone{section.string("name"), section.string("region"),
                                static_cast<std::size_t>(section.integer("routers", 0, 1, 10'000))};
-    if (!is_place_name(zone.name))
-        section.add_problem("name", "needed, of 1 to 32 plain letters without '='");
-    if (!is_place_name(zone.region))
-        section.add_problem("region", "needed, of 1 to 32 plain letters without '='");
+    if (!is_zone_or_region_name(zone.name))
+        section.add_problem("name", "required: 1 to 32 printable ASCII characters without spaces or '='");
+    if (!is_zone_or_region_name(zone.region))
+        section.add_problem("region", "required: 1 to 32 printable ASCII characters without spaces or '='");
     if (zone.routers == 0)
-        section.add_problem("routers", "needed: how many the zone has");
+        section.add_problem("routers", "required: the number of routers in the zone");
     for (const auto& other : zones)
         if (other.name == zone.name)
-            section.add_problem("name", "given twice: " + zone.name);
+            section.add_problem("name", "duplicate zone name: " + zone.name);
     zones.push_back(std::move(zone));
 }
 
@@ -59,20 +60,20 @@
         std::any_of(f.zones.begin(), f.zones.end(),
                     [&own_zone](const cluster::FailoverZone& zone) { return zone.name == own_zone; });
     if (!own_zone_listed)
-        section.add_problem("zones", "this router's own zone is not among them: " + own_zone);
+        section.add_problem("zones", "does not contain the zone of this router: " + own_zone);
     return f;
 }
 
 void read_identity(SettingsSection& section, PeersSettings& p) {
-    p.name = section.text("name");
-    p.zone = section.text("zone");
-    p.region = section.text("region");
+    p.name = section.string("name");
+    p.zone = section.string("zone");
+    p.region = section.string("region");
     p.bind = read_endpoint(section, "bind");
     p.advertise = read_endpoint(section, "advertise");
-    p.seeds = section.texts("seeds", kMaxSeeds);
+    p.seeds = section.strings("seeds", kMaxSeeds);
     for (const auto& seed : p.seeds)
         if (!parse_endpoint(seed))
-            section.add_problem("seeds", "not an address and a port: " + seed);
+            section.add_problem("seeds", "expected ADDRESS:PORT, got " + seed);
 }
 
 void read_membership(SettingsSection& section, PeersSettings& p) {
@@ -91,17 +92,17 @@
         section.integer("tombstone_keep_ms", p.tombstone_keep_ms, 10'000, 30 * 86'400'000LL);
     p.report_lifetime_ms = section.integer("hearsay_ms", p.report_lifetime_ms, 0, 30'000);
     if (p.report_lifetime_ms > 0 && p.report_lifetime_ms < kMinSharedReportMs)
-        section.add_problem("hearsay_ms", "0, or 1000 to 30000");
+        section.add_problem("hearsay_ms", "expected 0 or a whole number from 1000 to 30000");
 }
 
 void check_membership(SettingsSection& section, const PeersSettings& p) {
     if (p.bind.empty())
-        section.add_problem("bind", "needed: where the peers' port is");
+        section.add_problem("bind", "required: ADDRESS:PORT to listen on for peers");
     if (p.name.empty() || p.name.size() > kMaxNameBytes)
-        section.add_problem("name", "needed, of 1 to 64 bytes");
-    if (p.zone.size() > kMaxPlaceBytes)
+        section.add_problem("name", "required: 1 to 64 bytes");
+    if (p.zone.size() > kMaxZoneOrRegionBytes)
         section.add_problem("zone", "at most 32 bytes");
-    if (p.region.size() > kMaxPlaceBytes)
+    if (p.region.size() > kMaxZoneOrRegionBytes)
         section.add_problem("region", "at most 32 bytes");
     if (p.probe_timeout_ms >= p.probe_ms)
         section.add_problem("probe_timeout_ms", "must be shorter than probe_ms");
@@ -110,10 +111,10 @@
 }  // namespace
 
 std::string read_endpoint(SettingsSection& section, const char* key) {
-    const std::string text = section.text(key);
-    if (!text.empty() && !parse_endpoint(text))
-        section.add_problem(key, "not an address and a port: " + text);
-    return text;
+    const std::string endpoint = section.string(key);
+    if (!endpoint.empty() && !parse_endpoint(endpoint))
+        section.add_problem(key, "expected ADDRESS:PORT, got " + endpoint);
+    return endpoint;
 }
 
 PeersSettings parse_peers(SettingsSection section) {
--- a/src/config/peers_settings.h
+++ b/src/config/peers_settings.h
@@ -6,7 +6,7 @@
 
 namespace silverrail::config {
 
-// "ADDRESS:PORT", checked; empty if absent.
+// Reads and validates "ADDRESS:PORT"; returns an empty string if the key is absent.
 std::string read_endpoint(SettingsSection& section, const char* key);
 
 PeersSettings parse_peers(SettingsSection section);
--- a/src/config/routing_settings.cpp
+++ b/src/config/routing_settings.cpp
@@ -14,33 +14,33 @@
 
 constexpr Json::ArrayIndex kMaxClasses = 1000;
 
-// The platform's words and what they stand for.
-constexpr WordMeaning<Idempotency> kIdempotencyWords[] = {
+// The platform's keywords and their values.
+constexpr KeywordValue<Idempotency> kIdempotencyKeywords[] = {
     {"pure", Idempotency::idempotent}, {"token", Idempotency::keyed}, {"side_effect", Idempotency::none}};
-constexpr WordMeaning<KeyScope> kKeyScopeWords[] = {
+constexpr KeywordValue<KeyScope> kKeyScopeKeywords[] = {
     {"all", KeyScope::all}, {"zone", KeyScope::zone}, {"cell", KeyScope::cell}};
-constexpr WordMeaning<ServerWeights> kServerWeightsWords[] = {{"off", ServerWeights::none},
-                                                              {"nominal", ServerWeights::nominal},
-                                                              {"rough", ServerWeights::nominal},
-                                                              {"live", ServerWeights::live}};
-constexpr WordMeaning<OutcomeDetail> kOutcomeDetailWords[] = {
+constexpr KeywordValue<ServerWeights> kServerWeightsKeywords[] = {{"off", ServerWeights::none},
+                                                                  {"nominal", ServerWeights::nominal},
+                                                                  {"rough", ServerWeights::nominal},
+                                                                  {"live", ServerWeights::live}};
+constexpr KeywordValue<OutcomeDetail> kOutcomeDetailKeywords[] = {
     {"off", OutcomeDetail::off}, {"hit", OutcomeDetail::hit}, {"all", OutcomeDetail::all}};
 
 Span nanoseconds(double count) {
     return Span{static_cast<Span::rep>(count)};
 }
 
-// `family`: holds lists with an item for each class.
+// `family` contains lists with one item per class, which `index` selects.
 routing::ClassSettings parse_class(const JsonObject& json, const JsonObject& family, std::size_t index) {
     routing::ClassSettings c;
-    c.name = json.text("name");
+    c.name = json.string("name");
     c.latency_objective = json.required_duration("aim");
     c.objective_transfer_factor = json.number_or("aim-stretch", 0);
     c.client_timeout = json.required_duration("give-up");
     c.priority_weight = json.number_or("worth", 1);
     c.late_weight = json.number_or("late-worth", 0);
-    c.idempotency = json.required_word<Idempotency>("effect", kIdempotencyWords);
-    c.key_scope = json.word<KeyScope>("group", kKeyScopeWords, "cell");
+    c.idempotency = json.required_keyword<Idempotency>("effect", kIdempotencyKeywords);
+    c.key_scope = json.keyword<KeyScope>("group", kKeyScopeKeywords, "cell");
     c.retry_window = json.duration("window");
     c.max_age = nanoseconds(family.list_item("max-age", index));
     c.stale_grace = nanoseconds(family.list_item("class-grace", index));
@@ -53,7 +53,7 @@
 std::vector<routing::ClassSettings> parse_classes(const JsonObject& json, const JsonObject& family) {
     const auto& list = json.list("classes");
     if (list.empty() || list.size() > kMaxClasses)
-        throw ConfigError("settings.classes", "expected 1 to 1000");
+        throw ConfigError("settings.classes", "expected 1 to 1000 classes");
     std::vector<routing::ClassSettings> classes;
     for (Json::ArrayIndex i = 0; i < list.size(); ++i) {
         const JsonObject item{list[i], "settings.classes." + std::to_string(i)};
@@ -62,7 +62,7 @@
     return classes;
 }
 
-// The index of the router's zone in the list of zones; past its end if it is not listed.
+// Returns the index of the router's zone in the list of zones, or the length of the list if it is not listed.
 std::size_t zone_index(const JsonObject& json, const std::string& zone) {
     const auto& zones = json.list("dcs");
     std::size_t found = zones.size();
@@ -72,7 +72,7 @@
     return found;
 }
 
-// The server kind whose index stands at `key`; empty if there is none.
+// Returns the server kind whose index is the value of `key`, or an empty string if there is none.
 std::string server_kind(const JsonObject& json, const JsonObject& family, const char* key) {
     const auto& kinds = json.list("kinds");
     const auto index = family.index(key);
@@ -82,7 +82,7 @@
 }
 
 void parse_zone(const JsonObject& json, const JsonObject& family, routing::Settings& settings) {
-    settings.zone = json.text("zone");
+    settings.zone = json.string("zone");
     const std::size_t zone = zone_index(json, settings.zone);
     settings.routers = std::max(1, static_cast<int>(json.number_or("balancers", 1)));
     const int in_zone = static_cast<int>(family.list_item("zone-balancers", zone));
@@ -93,12 +93,12 @@
 void parse_servers(const JsonObject& json, const JsonObject& family, routing::Settings& settings) {
     settings.parent_kind = server_kind(json, family, "second-tier-kind");
     settings.origin_kind = server_kind(json, family, "origin-kind");
-    settings.server_weights = json.word<ServerWeights>("weights", kServerWeightsWords, "off");
+    settings.server_weights = json.keyword<ServerWeights>("weights", kServerWeightsKeywords, "off");
     settings.max_response_kb_per_s = family.number_or("one-flow-kb-per-s", 0);
-    settings.outcome_detail = family.word<OutcomeDetail>("detail", kOutcomeDetailWords, "off");
+    settings.outcome_detail = family.keyword<OutcomeDetail>("detail", kOutcomeDetailKeywords, "off");
 }
 
-// What the router may do, and the family's rules on purges.
+// Reads the permitted router features and the time limits for purges.
 void parse_permissions(const JsonObject& allowed, const JsonObject& family, routing::Settings& settings) {
     settings.cancellation_supported = allowed.flag("cancel");
     settings.retry_after_supported = allowed.flag("retry-after");
--- a/src/config/routing_settings.h
+++ b/src/config/routing_settings.h
@@ -1,5 +1,5 @@
-// The decision module's settings, read from the platform's configuration. The platform's keys and words
-// appear here and nowhere else.
+// Translates the platform's configuration into the settings of the decision module. Apart from the
+// simulator adapter, no other file uses the platform's keys and keywords for these settings.
 #pragma once
 
 #include "config/json_object.h"
@@ -7,7 +7,7 @@
 
 namespace silverrail::config {
 
-// `json`: the configuration's `settings`. Throws ConfigError.
+// `json` is the configuration's `settings` object. Throws ConfigError.
 routing::Settings parse_routing_settings(const JsonObject& json);
 
 }  // namespace silverrail::config
--- a/src/config/settings_section.cpp
+++ b/src/config/settings_section.cpp
@@ -7,21 +7,21 @@
 
 namespace {
 
-// Whole numbers below this are printed without a fraction.
+// Integers below this magnitude are printed without a fraction.
 constexpr double kMaxPrintedInteger = 1e15;
 
-// Without trailing zeros.
-std::string number_text(double value) {
+// Formats a number without trailing zeros.
+std::string format_number(double value) {
     if (value == std::floor(value) && std::abs(value) < kMaxPrintedInteger)
         return std::to_string(static_cast<long long>(value));
     const std::string text = std::to_string(value);
     return text.substr(0, text.find_last_not_of('0') + 1);
 }
 
-std::string joined(const std::vector<std::string>& words) {
+std::string joined(const std::vector<std::string>& items) {
     std::string out;
-    for (const auto& word : words)
-        out += (out.empty() ? "" : ", ") + word;
+    for (const auto& item : items)
+        out += (out.empty() ? "" : ", ") + item;
     return out;
 }
 
@@ -56,12 +56,12 @@
     problems_.push_back({.path = path_of(key), .problem = problem});
 }
 
-std::string SettingsSection::text(const char* key) {
+std::string SettingsSection::string(const char* key) {
     const Json::Value& v = value(key);
     if (v.isString())
         return v.asString();
     if (!v.isNull())
-        add_problem(key, "expected a text");
+        add_problem(key, "expected a string");
     return {};
 }
 
@@ -82,29 +82,29 @@
         return fallback;
     if (v.isNumeric() && v.asDouble() >= min && v.asDouble() <= max)
         return v.asDouble();
-    add_problem(key, "expected a number from " + number_text(min) + " to " + number_text(max));
+    add_problem(key, "expected a number from " + format_number(min) + " to " + format_number(max));
     return fallback;
 }
 
-std::vector<std::string> SettingsSection::texts(const char* key, std::size_t max_count) {
+std::vector<std::string> SettingsSection::strings(const char* key, std::size_t max_count) {
     const Json::Value& v = value(key);
     std::vector<std::string> out;
     if (v.isNull())
         return out;
     if (!v.isArray() || v.size() > max_count) {
-        add_problem(key, "expected a list of at most " + std::to_string(max_count) + " texts");
+        add_problem(key, "expected a list of at most " + std::to_string(max_count) + " strings");
         return out;
     }
     for (const Json::Value& item : v) {
         if (item.isString())
             out.push_back(item.asString());
         else
-            add_problem(key, "expected only texts");
+            add_problem(key, "expected only strings");
     }
     return out;
 }
 
-std::vector<std::string> SettingsSection::words(const char* key, const std::vector<std::string>& known) {
+std::vector<std::string> SettingsSection::keywords(const char* key, const std::vector<std::string>& known) {
     const Json::Value& v = value(key);
     std::vector<std::string> out;
     if (v.isNull())
@@ -128,7 +128,7 @@
     if (v.isNull())
         return;
     if (!v.isArray() || v.size() > max_count)
-        return add_problem(key, "expected a list of at most " + std::to_string(max_count));
+        return add_problem(key, "expected a list of at most " + std::to_string(max_count) + " objects");
     for (Json::ArrayIndex i = 0; i < v.size(); ++i) {
         SettingsSection item{v[i], path_of(key) + "." + std::to_string(i), problems_};
         read(item);
--- a/src/config/settings_section.h
+++ b/src/config/settings_section.h
@@ -1,5 +1,5 @@
-// One section of the operator's file, read key by key. Problems are collected with their whole path, so that
-// all of them can be reported at once; keys that nobody reads are problems too.
+// Typed access to one section of the operator's file. Problems are collected with the full path of the key,
+// so that all of them can be reported at once. A key that is never read is reported as unknown.
 #pragma once
 
 #include <json/json.h>
@@ -14,11 +14,11 @@
 
 namespace silverrail::config {
 
-// Every reader returns the fallback if the key is absent or null, and also, with a problem added, if the
-// value is not good.
+// The accessors return the fallback if the key is absent or null. If the value is invalid, they add a problem
+// and return the fallback.
 class SettingsSection {
 public:
-    // `json` may be null: then every key is absent. `path` is empty for the file as a whole.
+    // If `json` is null, all keys are absent. `path` is empty for the whole file.
     SettingsSection(const Json::Value& json, std::string path, std::vector<ConfigProblem>& problems);
     // Adds a problem for each key that was never read.
     ~SettingsSection();
@@ -29,13 +29,13 @@
         return json_.isObject();
     }
     SettingsSection child(const char* key);
-    std::string text(const char* key);
+    std::string string(const char* key);
     std::int64_t integer(const char* key, std::int64_t fallback, std::int64_t min, std::int64_t max);
     double number(const char* key, double fallback, double min, double max);
-    // A list of words, each one of `known`.
-    std::vector<std::string> words(const char* key, const std::vector<std::string>& known);
-    std::vector<std::string> texts(const char* key, std::size_t max_count);
-    // Reads each object of a list as a section of its own, with a path such as `peers.zones.2`.
+    // Reads a list of keywords, each of which must be one of `known`.
+    std::vector<std::string> keywords(const char* key, const std::vector<std::string>& known);
+    std::vector<std::string> strings(const char* key, std::size_t max_count);
+    // Calls `read` with a section for each object of a list; their paths are such as `peers.zones.2`.
     void for_each(const char* key, std::size_t max_count, const std::function<void(SettingsSection&)>& read);
     void add_problem(const char* key, const std::string& problem);
 
--- a/tests/silverrail/config_test.cpp
+++ b/tests/silverrail/config_test.cpp
@@ -1,4 +1,4 @@
-// The settings files and discovery's events: tables of cases, well-formed and not.
+// Parsing of the settings files and of discovery events: tables of valid and invalid input.
 #include "config/config.h"
 
 #include <functional>
@@ -11,31 +11,32 @@
 
 namespace {
 
-std::vector<std::string> texts(const std::vector<config::ConfigProblem>& problems) {
+std::vector<std::string> messages(const std::vector<config::ConfigProblem>& problems) {
     std::vector<std::string> out;
     for (const auto& problem : problems)
         out.push_back(problem.text());
     return out;
 }
 
-// Each problem of a section makes the file unusable.
-void operator_file_is_checked() {
+// A problem in any section makes the file invalid.
+void operator_file_is_validated() {
     struct Case {
         const char* json;
-        bool good;
+        bool valid;
     };
     const Case cases[] = {
         {R"({})", true},
         {R"({"dns":{"udp":"127.0.0.1:0","zone":"z.example","server":"ns.z.example"}})", true},
         {R"({"dns":{"udp":"127.0.0.1:0"}})", false},
         {R"({"dns":{"udp":"nowhere","zone":"z.example","server":"ns.z.example"}})", false},
-        {R"({"dns":{"ttl_s":2}})", false},  // would outlive the grace of a drain
+        {R"({"dns":{"ttl_s":2}})", false},  // responses would stay cached past the grace period of a drain
         {R"({"dns":3})", false},
-        {R"({"acme":{"directory":"https://ca.example/"}})", false},  // nothing to answer its challenge
+        {R"({"acme":{"directory":"https://ca.example/"}})",
+         false},  // no DNS listener to answer the challenge
         {R"({"trace":{"folder":"/tmp/t","most_mb":100,"leave_out":["clients"]}})", true},
         {R"({"trace":{"folder":"/tmp/t","flight_mb":4,"dump":{"at_failed_share":0.2}}})", true},
-        {R"({"trace":{"dump":{"at_failed_share":0.2}}})", false},  // nothing is kept that could be dumped
-        {R"({"trace":{"flight_mb":4}})", false},                   // nowhere to dump to
+        {R"({"trace":{"dump":{"at_failed_share":0.2}}})", false},  // no flight recorder to dump
+        {R"({"trace":{"flight_mb":4}})", false},                   // no folder for the dumps
         {R"({"trace":{"folder":"/tmp/t","most_mb":10,"file_mb":6}})", false},
         {R"({"trace":{"leave_out":["names"]}})", false},
         {R"({"trace":{"queue_kb":1.5}})", false},
@@ -43,34 +44,34 @@
         {R"([])", false},
     };
     for (const Case& c : cases)
-        CHECK(config::parse_operator(*config::parse_json(c.json)).problems.empty() == c.good);
+        CHECK(config::parse_operator(*config::parse_json(c.json)).problems.empty() == c.valid);
 }
 
-void all_problems_are_reported_with_their_whole_path() {
+void all_problems_are_reported_with_full_paths() {
     const auto checked = config::parse_operator(
         *config::parse_json(R"({"dns":{"ttl_s":7},"trace":{"most_mb":0,"dump":{"share":1}},"x":1})"));
     const std::vector<std::string> expected{"dns.ttl_s: expected a whole number from 0 to 1",
                                             "trace.most_mb: expected a whole number from 1 to 1048576",
                                             "trace.dump.share: no such setting", "x: no such setting"};
-    CHECK(texts(checked.problems) == expected);
+    CHECK(messages(checked.problems) == expected);
     CHECK(checked.problems.at(2).path == "trace.dump.share" &&
           checked.problems.at(2).problem == "no such setting");
 }
 
-// Absent: off. Present: each wrong key is reported by its path.
-void peers_section_is_checked() {
+// Without the section, the subsystem is off. In the section, each invalid key is reported with its path.
+void peers_section_is_validated() {
     const struct {
         const char* json;
         std::vector<std::string> problems;
     } cases[] = {
         {R"({})", {}},
         {R"({"peers":{"name":"a","bind":"127.0.0.1:7946","seeds":["127.0.0.2:7946"]}})", {}},
-        {R"({"peers":{"name":"a"}})", {"peers.bind: needed: where the peers' port is"}},
-        {R"({"peers":{"bind":"127.0.0.1:7946"}})", {"peers.name: needed, of 1 to 64 bytes"}},
+        {R"({"peers":{"name":"a"}})", {"peers.bind: required: ADDRESS:PORT to listen on for peers"}},
+        {R"({"peers":{"bind":"127.0.0.1:7946"}})", {"peers.name: required: 1 to 64 bytes"}},
         {R"({"peers":{"name":"a","bind":"127.0.0.1:7946","seeds":"x"}})",
-         {"peers.seeds: expected a list of at most 64 texts"}},
+         {"peers.seeds: expected a list of at most 64 strings"}},
         {R"({"peers":{"name":"a","bind":"127.0.0.1:7946","seeds":["nowhere"]}})",
-         {"peers.seeds: not an address and a port: nowhere"}},
+         {"peers.seeds: expected ADDRESS:PORT, got nowhere"}},
         {R"({"peers":{"name":"a","bind":"127.0.0.1:7946","probe_ms":100,"probe_timeout_ms":100}})",
          {"peers.probe_timeout_ms: must be shorter than probe_ms"}},
         {R"({"peers":{"name":"a","bind":"127.0.0.1:7946","probe_ms":5}})",
@@ -78,26 +79,26 @@
         {R"({"peers":{"name":"a","bind":"127.0.0.1:7946","zone":"zzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzzz"}})",
          {"peers.zone: at most 32 bytes"}},
         {R"({"peers":{"name":"a","bind":"127.0.0.1:7946","hearsay_ms":500}})",
-         {"peers.hearsay_ms: 0, or 1000 to 30000"}},
+         {"peers.hearsay_ms: expected 0 or a whole number from 1000 to 30000"}},
         {R"({"peers":{"name":"a","bind":"127.0.0.1:7946","zone":"z1","failover":{"hold_ms":2000,"zones":[
             {"name":"z1","region":"r1","routers":3},{"name":"z2","region":"r1","routers":3}]}}})",
          {}},
         {R"({"peers":{"name":"a","bind":"127.0.0.1:7946","zone":"z9","failover":{"panic":2,"zones":[
             {"name":"z1","region":"r1","routers":0},{"name":"z1","region":"r=1","routers":3,"x":1}]}}})",
          {"peers.failover.zones.0.routers: expected a whole number from 1 to 10000",
-          "peers.failover.zones.0.routers: needed: how many the zone has",
-          "peers.failover.zones.1.region: needed, of 1 to 32 plain letters without '='",
-          "peers.failover.zones.1.name: given twice: z1", "peers.failover.zones.1.x: no such setting",
+          "peers.failover.zones.0.routers: required: the number of routers in the zone",
+          "peers.failover.zones.1.region: required: 1 to 32 printable ASCII characters without spaces or '='",
+          "peers.failover.zones.1.name: duplicate zone name: z1", "peers.failover.zones.1.x: no such setting",
           "peers.failover.panic: expected a number from 0 to 1",
-          "peers.failover.zones: this router's own zone is not among them: z9"}},
+          "peers.failover.zones: does not contain the zone of this router: z9"}},
         {R"({"peers":{"name":"a","bind":"127.0.0.1:7946","zone":"z1","failover":{"zones":{}}}})",
-         {"peers.failover.zones: expected a list of at most 64",
-          "peers.failover.zones: this router's own zone is not among them: z1"}},
+         {"peers.failover.zones: expected a list of at most 64 objects",
+          "peers.failover.zones: does not contain the zone of this router: z1"}},
         {R"({"peers":{"name":"a","bind":"127.0.0.1:7946","gossip":1}})", {"peers.gossip: no such setting"}},
     };
     for (const auto& c : cases) {
         const auto checked = config::parse_operator(*config::parse_json(c.json));
-        const auto found = texts(checked.problems);
+        const auto found = messages(checked.problems);
         if (found != c.problems) {
             for (const auto& f : found)
                 std::fprintf(stderr, "%s: %s\n", c.json, f.c_str());
@@ -114,10 +115,10 @@
         CHECK(!config::parse_endpoint(bad));
 }
 
-void discovery_events_are_parsed_or_refused() {
+void discovery_events_are_parsed_or_rejected() {
     struct Case {
         const char* json;
-        bool good;
+        bool valid;
     };
     const Case cases[] = {
         {R"({"no":1,"roster":{"full":true,"servers":[{"id":"a","addr":"h:1","state":"active"}]}})", true},
@@ -129,28 +130,28 @@
         {R"({"no":4,"roster":{"servers":[3]}})", false},
         {R"([1])", false},
         {R"({"no":4})", false},
-        // Numbers past what a whole one holds here are no reason to end.
+        // Numbers beyond the range of a 64-bit integer must not end the program.
         {R"({"no":18446744073709551615,"recall":{"lot":17,"issued":18446744073709551615}})", true},
         {R"({"no":1e300,"recall":{"lot":17,"issued":-1e300}})", true},
         {R"({"no":1,"recall":{"lot":1e300,"issued":5}})", false},
     };
     for (const Case& c : cases)
-        CHECK(config::parse_event(*config::parse_json(c.json)).has_value() == c.good);
+        CHECK(config::parse_event(*config::parse_json(c.json)).has_value() == c.valid);
     CHECK(!config::parse_json("{"));
     CHECK(!config::parse_json(std::string(100000, '[')));
 }
 
-// Discovery's words for a server's state.
+// Discovery's keywords for the state of a server.
 void server_states_are_translated() {
     using routing::Condition;
     const std::pair<const char*, Condition> states[] = {
         {"active", Condition::ready}, {"leaving", Condition::draining}, {"left", Condition::gone}};
-    for (const auto& [word, condition] : states) {
+    for (const auto& [keyword, condition] : states) {
         const auto event = config::parse_event(*config::parse_json(
-            R"({"roster":{"servers":[{"id":"a","addr":"h:1","state":")" + std::string{word} +
+            R"({"roster":{"servers":[{"id":"a","addr":"h:1","state":")" + std::string{keyword} +
             R"(","started_ms":1000},{"id":"b","addr":"h:1","state":"unheard-of"}]}})"));
         const auto& servers = std::get<core::ServerChange>(event->what).servers;
-        CHECK(servers.size() == 1);  // a state that is not known leaves the server out
+        CHECK(servers.size() == 1);  // the server with the unknown state is skipped
         CHECK(servers[0].entry.condition == condition);
         CHECK(servers[0].started_ms == 1000 && !servers[0].entry.started_at);
     }
@@ -162,7 +163,7 @@
         "kinds":["small-box"],"family-info":{}}})");
 }
 
-// What the settings say after one word of the configuration was set.
+// Returns the settings that result from the platform configuration as modified by `set`.
 template <class Set>
 routing::Settings settings_with(Set set) {
     Json::Value json = platform_config();
@@ -170,38 +171,39 @@
     return config::parse_config(json).settings;
 }
 
-// The platform's words for the code's terms.
-void platform_words_are_translated() {
+// The platform's keywords for the values of enumerations.
+void platform_keywords_are_translated() {
     using namespace routing;
     const std::pair<const char*, Idempotency> effects[] = {
         {"pure", Idempotency::idempotent}, {"token", Idempotency::keyed}, {"side_effect", Idempotency::none}};
-    for (const auto& [word, value] : effects)
-        CHECK(settings_with([&](auto& s) { s["classes"][0]["effect"] = word; }).classes[0].idempotency ==
+    for (const auto& [keyword, value] : effects)
+        CHECK(settings_with([&](auto& s) { s["classes"][0]["effect"] = keyword; }).classes[0].idempotency ==
               value);
     const std::pair<const char*, KeyScope> scopes[] = {
         {"all", KeyScope::all}, {"zone", KeyScope::zone}, {"cell", KeyScope::cell}};
-    for (const auto& [word, value] : scopes)
-        CHECK(settings_with([&](auto& s) { s["classes"][0]["group"] = word; }).classes[0].key_scope == value);
+    for (const auto& [keyword, value] : scopes)
+        CHECK(settings_with([&](auto& s) { s["classes"][0]["group"] = keyword; }).classes[0].key_scope ==
+              value);
     const std::pair<const char*, ServerWeights> weights[] = {{"off", ServerWeights::none},
                                                              {"nominal", ServerWeights::nominal},
                                                              {"rough", ServerWeights::nominal},
                                                              {"live", ServerWeights::live}};
-    for (const auto& [word, value] : weights)
-        CHECK(settings_with([&](auto& s) { s["weights"] = word; }).server_weights == value);
+    for (const auto& [keyword, value] : weights)
+        CHECK(settings_with([&](auto& s) { s["weights"] = keyword; }).server_weights == value);
     const std::pair<const char*, OutcomeDetail> details[] = {
         {"off", OutcomeDetail::off}, {"hit", OutcomeDetail::hit}, {"all", OutcomeDetail::all}};
-    for (const auto& [word, value] : details)
-        CHECK(settings_with([&](auto& s) { s["family-info"]["detail"] = word; }).outcome_detail == value);
+    for (const auto& [keyword, value] : details)
+        CHECK(settings_with([&](auto& s) { s["family-info"]["detail"] = keyword; }).outcome_detail == value);
 }
 
-void absent_platform_words_have_defaults() {
+void absent_platform_keywords_have_defaults() {
     const auto settings = settings_with([](auto&) {});
     CHECK(settings.classes[0].key_scope == routing::KeyScope::cell);
     CHECK(settings.server_weights == routing::ServerWeights::none);
     CHECK(settings.outcome_detail == routing::OutcomeDetail::off);
 }
 
-// The text of the error that a configuration ends with.
+// Returns the message of the error for an invalid configuration; empty if it is valid.
 std::string error_of(const Json::Value& json) {
     try {
         (void)config::parse_config(json);
@@ -211,22 +213,23 @@
     return {};
 }
 
-void platform_config_errors_name_the_whole_path() {
+void platform_config_errors_contain_the_full_path() {
     struct Case {
-        std::function<void(Json::Value&)> spoil;
+        std::function<void(Json::Value&)> invalidate;
         const char* error;
     };
     const Case cases[] = {
-        {[](auto& j) { j.removeMember("listen"); }, "listen: expected a text"},
+        {[](auto& j) { j.removeMember("listen"); }, "listen: expected a string"},
         {[](auto& j) { j["seed"] = "xyz"; }, "seed: expected up to 16 hex digits"},
         {[](auto& j) { j.removeMember("settings"); }, "settings: expected an object"},
         {[](auto& j) { j["settings"].removeMember("allowed"); }, "settings.allowed: expected an object"},
         {[](auto& j) { j["settings"]["classes"] = 1; }, "settings.classes: expected a list"},
         {[](auto& j) { j["settings"]["classes"] = Json::Value{Json::arrayValue}; },
-         "settings.classes: expected 1 to 1000"},
+         "settings.classes: expected 1 to 1000 classes"},
         {[](auto& j) { j["settings"]["classes"][0]["effect"] = "magic"; },
-         "settings.classes.0.effect: unknown word magic"},
-        {[](auto& j) { j["settings"]["classes"][0].removeMember("aim"); }, "settings.classes.0.aim: absent"},
+         "settings.classes.0.effect: unknown value magic"},
+        {[](auto& j) { j["settings"]["classes"][0].removeMember("aim"); },
+         "settings.classes.0.aim: required"},
         {[](auto& j) { j["settings"]["classes"][0]["aim"] = -1; }, "settings.classes.0.aim: out of range"},
         {[](auto& j) { j["settings"]["classes"][0]["aim"] = "x"; },
          "settings.classes.0.aim: expected a number"},
@@ -236,7 +239,7 @@
     };
     for (const Case& c : cases) {
         Json::Value json = platform_config();
-        c.spoil(json);
+        c.invalidate(json);
         CHECK(error_of(json) == c.error);
     }
 }
@@ -244,14 +247,14 @@
 }  // namespace
 
 int main() {
-    operator_file_is_checked();
-    all_problems_are_reported_with_their_whole_path();
-    peers_section_is_checked();
+    operator_file_is_validated();
+    all_problems_are_reported_with_full_paths();
+    peers_section_is_validated();
     endpoints_are_parsed();
-    discovery_events_are_parsed_or_refused();
+    discovery_events_are_parsed_or_rejected();
     server_states_are_translated();
-    platform_words_are_translated();
-    absent_platform_words_have_defaults();
-    platform_config_errors_name_the_whole_path();
-    std::puts("config: all cases hold");
+    platform_keywords_are_translated();
+    absent_platform_keywords_have_defaults();
+    platform_config_errors_contain_the_full_path();
+    std::puts("config: all cases passed");
 }
