--- a/tests/silverrail/settings_wires_test.cpp
+++ b/tests/silverrail/settings_wires_test.cpp
@@ -1,4 +1,4 @@
-// The module's settings as the simulator's wire gives them and as the platform's file does.
+// The simulator's protocol and the platform's configuration file must yield the same module settings.
 #include "check.h"
 #include "config/config.h"
 #include "settings.h"
@@ -8,7 +8,7 @@
 
 namespace {
 
-void both_wires_give_the_same_settings() {
+void both_formats_yield_the_same_settings() {
     const auto json = config::parse_json(R"({"listen":"127.0.0.1:1","seed":"8c1f30d27a5be964","settings":{
         "allowed":{"cancel":true,"conn-idle":15000000000,"connect-timeout":400000000,"max-retry-after":500000000,
             "retry-after":true,"try-limit":6},
@@ -45,7 +45,7 @@
         "invariants.cold-from=0.26 invariants.fall=3000000000 invariants.tip-multiple=2.0";
     const auto a = routing::adapter::parse_settings(routing::adapter::split(pairs, ' '));
     const auto& b = from_file.settings;
-    const auto all = [](const routing::Settings& s) {
+    const auto module_values = [](const routing::Settings& s) {
         return std::tuple{s.zone,
                           s.routers,
                           s.routers_in_zone,
@@ -71,23 +71,22 @@
                           s.parent_slow_start_duration,
                           s.parent_overload_multiple};
     };
-    const auto each = [](const routing::ClassSettings& c) {
-        return std::tuple{c.name,           c.latency_objective, c.objective_transfer_factor,
-                          c.client_timeout, c.priority_weight,   c.late_weight,
-                          c.idempotency,    c.key_scope,         c.retry_window,
-                          c.max_age,        c.stale_grace,       c.stale_weight,
-                          c.segmented,      c.uncached};
+    const auto class_values = [](const routing::ClassSettings& c) {
+        return std::tuple{
+            c.name,        c.latency_objective, c.objective_transfer_factor, c.client_timeout, c.priority_weight,
+            c.late_weight, c.idempotency,       c.key_scope,         c.retry_window,   c.max_age,
+            c.stale_grace, c.stale_weight,      c.segmented,         c.uncached};
     };
-    CHECK(all(a) == all(b) && a.classes.size() == 2 && b.classes.size() == 2);
+    CHECK(module_values(a) == module_values(b) && a.classes.size() == 2 && b.classes.size() == 2);
     for (std::size_t i = 0; i < 2; ++i)
-        CHECK(each(a.classes[i]) == each(b.classes[i]));
+        CHECK(class_values(a.classes[i]) == class_values(b.classes[i]));
     CHECK(b.parent_kind == "parent" && b.routers_in_zone == 2 && b.classes[1].uncached);
     CHECK(from_file.connect_timeout == 400ms && from_file.seed == 0x8c1f30d27a5be964);
     auto broken = *json;
     broken["settings"]["classes"][0]["aim"] = "soon";
     try {
         (void)config::parse_config(broken);
-        CHECK(!"read");
+        CHECK(!"an invalid value was accepted");
     } catch (const config::ConfigError& e) {
         CHECK(std::string_view{e.what()}.find("settings.classes.0.aim") != std::string_view::npos);
     }
@@ -96,6 +95,6 @@
 }  // namespace
 
 int main() {
-    both_wires_give_the_same_settings();
-    std::puts("settings of both wires: every case holds");
+    both_formats_yield_the_same_settings();
+    std::puts("settings formats: all cases passed");
 }
