--- a/src/front/platform/platform.h
+++ b/src/front/platform/platform.h
@@ -1,5 +1,5 @@
-// The platform's HTTP/1.1 protocol: converts HTTP requests to core::ClientRequest and core::ClientResponse to HTTP
-// responses. All routing decisions are made by the core.
+// The platform's HTTP/1.1 protocol: converts HTTP requests to core::ClientRequest and core::ClientResponse to
+// HTTP responses. All routing decisions are made by the core.
 #pragma once
 
 #include <functional>
--- a/tests/fleet/membership_test.cpp
+++ b/tests/fleet/membership_test.cpp
@@ -230,12 +230,12 @@
 
 int main(int argc, char** argv) {
     return run_scenario(argc, argv,
-                {{"join", join},
-                 {"crash", crash},
-                 {"stall", stall},
-                 {"bad_links", bad_links},
-                 {"partition", partition},
-                 {"restart", restart},
-                 {"concurrent_joins", concurrent_joins},
-                 {"bad_peers", bad_peers}});
+                        {{"join", join},
+                         {"crash", crash},
+                         {"stall", stall},
+                         {"bad_links", bad_links},
+                         {"partition", partition},
+                         {"restart", restart},
+                         {"concurrent_joins", concurrent_joins},
+                         {"bad_peers", bad_peers}});
 }
--- a/tests/silverrail/settings_wires_test.cpp
+++ b/tests/silverrail/settings_wires_test.cpp
@@ -72,10 +72,11 @@
                           s.parent_overload_multiple};
     };
     const auto class_values = [](const routing::ClassSettings& c) {
-        return std::tuple{
-            c.name,        c.latency_objective, c.objective_transfer_factor, c.client_timeout, c.priority_weight,
-            c.late_weight, c.idempotency,       c.key_scope,         c.retry_window,   c.max_age,
-            c.stale_grace, c.stale_weight,      c.segmented,         c.uncached};
+        return std::tuple{c.name,           c.latency_objective, c.objective_transfer_factor,
+                          c.client_timeout, c.priority_weight,   c.late_weight,
+                          c.idempotency,    c.key_scope,         c.retry_window,
+                          c.max_age,        c.stale_grace,       c.stale_weight,
+                          c.segmented,      c.uncached};
     };
     CHECK(module_values(a) == module_values(b) && a.classes.size() == 2 && b.classes.size() == 2);
     for (std::size_t i = 0; i < 2; ++i)
